--- a/crates/cell/src/engine/wait.rs
+++ b/crates/cell/src/engine/wait.rs
@@ -1,4 +1,4 @@
-//! Why open steps wait: told when the reason changes, and steps that no worker can run are set aside.
+//! Why open steps wait: logs each change of the reason, and parks steps that no known worker can run.
 
 use std::{
     sync::Arc,
@@ -28,63 +28,64 @@
     worker::Worker,
 };
 
-/// How often the reason why a step waits is looked for, and after how long for the first time: most steps are
-/// asked about and placed before, and a look takes in every worker.
-const LOOK: Duration = Duration::from_secs(1);
+/// The interval between two evaluations of why a step waits, and the delay before the first one.
+///
+/// Most steps are placed before that, and an evaluation examines every worker.
+const WAIT_REASON_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Why tasks of a step whose turn has come don't start.
+/// Why tasks of a step that may start don't.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Wait {
-    /// No worker of its pool has the label that it requires.
+    /// No worker of the step's pool has the label that the step requires.
     Label,
-    /// No worker of its pool that has the label is large enough, even with nothing on it.
+    /// No worker of the pool that has the label is large enough, even when empty.
     Size,
-    /// None of the workers that could run it takes tasks: they are silent, leaving or not heard of yet.
-    Closed,
-    /// The workers that could run it stand in data centres that are evacuated.
+    /// None of the workers that could run the step accepts tasks: they are silent, leaving or have not answered yet.
+    NotAccepting,
+    /// The workers that could run the step are in evacuated data centres.
     Evacuated,
-    /// It is not known of late which data centres are evacuated.
+    /// There is no recent information about which data centres are evacuated.
     Evacuation,
-    /// It waits for a node that is free to ask which workers may run it.
-    Desk,
-    /// The advice service has been asked.
+    /// No node is free to ask the advice service about the step.
+    AdviceNode,
+    /// A call to the advice service is under way.
     Advice,
-    /// None of the workers that were asked about may run it.
-    Barred,
-    /// The workers that may run it have no room.
+    /// The advice service allows none of the workers that it was asked about.
+    NotAllowed,
+    /// The workers that may run the step have no free room.
     Room,
-    /// There is room, but the tickets for it have run out.
+    /// There is room, but the tickets for those workers have expired.
     Ticket,
-    /// Workers have gone down under it, and none is empty for it alone.
-    Alone,
-    /// There is room, but too little for a whole gang, or it is kept for another step.
-    Kept,
-    /// Its workspace has as much running as it may, or what is left of that waits for a step that comes before it.
+    /// Workers have crashed while running the step's tasks, which must run alone, and no worker is empty.
+    EmptyWorker,
+    /// There is room, but too little for a whole gang, or it is reserved for another step.
+    Reserved,
+    /// The step's workspace is at its limit, or the rest of the limit is reserved for a step of higher rank.
     Limit,
 }
 
 impl Wait {
-    /// Returns the bare word, for logs and counters.
+    /// Returns the reason as one word, for logs and metrics.
     pub const fn word(self) -> &'static str {
         match self {
             Self::Label => "label",
             Self::Size => "size",
-            Self::Closed => "closed",
+            Self::NotAccepting => "closed",
             Self::Evacuated => "evacuated",
             Self::Evacuation => "evacuation-unknown",
-            Self::Desk => "desk",
+            Self::AdviceNode => "desk",
             Self::Advice => "advice",
-            Self::Barred => "barred",
+            Self::NotAllowed => "barred",
             Self::Room => "room",
             Self::Ticket => "ticket",
-            Self::Alone => "alone",
-            Self::Kept => "kept",
+            Self::EmptyWorker => "alone",
+            Self::Reserved => "kept",
             Self::Limit => "limit",
         }
     }
 }
 
-/// What a step asks for that no worker offers.
+/// A requirement of a step that no worker meets.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Lack {
     /// No worker of the pool has the label.
@@ -95,25 +96,25 @@
     Size(usize),
 }
 
-/// What was found of the workers when the reason was looked for, for the log.
+/// Counts of the workers that were examined when the wait reason was evaluated, for the log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Survey {
-    /// Workers that were asked about.
+    /// Workers that the advice service was asked about.
     pub named: usize,
-    /// Workers that have the label, are large enough and may run the step, as far as that is known.
+    /// Workers that have the label, are large enough and may run the step, as far as is known.
     pub allowed: usize,
-    /// Those of them that take tasks.
+    /// The allowed workers that accept new tasks.
     pub open: usize,
-    /// How many of its tasks fit on these.
+    /// How many tasks of the step fit on the open workers.
     pub room: usize,
-    /// How many fit where the ticket can be used as well.
+    /// How many of these tasks fit on workers for which there is a usable ticket.
     pub ticketed: usize,
-    /// How long ago the one of them was heard that has been silent for longest.
+    /// The longest time since any of the allowed workers last answered.
     pub heard: Option<Duration>,
 }
 
-/// Returns whether a worker could run tasks of a step if nothing else ran on it.
-fn is_suited(step: &Step, queue: &Queue, worker: &Worker) -> bool {
+/// Returns whether an empty worker could run tasks of a step.
+fn fits_when_empty(step: &Step, queue: &Queue, worker: &Worker) -> bool {
     has_label(step, queue, worker)
         && super::place::worker_share(step).fits(&worker.registration.capacity)
 }
@@ -133,20 +134,20 @@
 }
 
 impl Engine {
-    /// Returns what a job would ask for that no known worker of its queue's pool offers, whatever runs there.
+    /// Returns the first requirement of a job that no known worker of its queue's pool meets, even when empty.
     ///
-    /// `None` where none of the pool is known: nothing can be said then.
+    /// Returns `None` if no worker of the pool is known, since nothing can be concluded then.
     pub fn lack(&self, queue: &Queue, spec: &Spec) -> Option<Lack> {
         let mut steps = spec.steps.iter().enumerate();
-        steps.find_map(|(index, step)| self.lack_of(step, index, queue))
+        steps.find_map(|(index, step)| self.unmet_requirement_of(step, index, queue))
     }
 
-    fn lack_of(&self, step: &Step, index: usize, queue: &Queue) -> Option<Lack> {
+    fn unmet_requirement_of(&self, step: &Step, index: usize, queue: &Queue) -> Option<Lack> {
         if self.rooms.members(&queue.pool) == 0 {
             return None;
         }
         let mut workers = self.workers.values();
-        if workers.any(|worker| is_suited(step, queue, worker)) {
+        if workers.any(|worker| fits_when_empty(step, queue, worker)) {
             return None;
         }
         let mut workers = self.workers.values();
@@ -158,11 +159,11 @@
         })
     }
 
-    /// Sets a step aside that no known worker could run, and returns whether it did.
+    /// Parks a step that no known worker could run; returns whether it did.
     ///
-    /// It comes back when a worker is listed or has changed. Left among the open steps, those that can't run
-    /// take the looks of a pass from those that can: behind 400 of them, 40 quick jobs on idle workers were not
-    /// done after 30 s, and are after 6 s now (virtual time, 8 workers).
+    /// The step is reopened when a worker is listed or changes. If steps that can't run stayed among the open ones,
+    /// they would use up the step budget of a scheduling pass: behind 400 of them, 40 quick jobs on idle workers
+    /// are not done after 30 s; with parking they are done after 6 s (virtual time, 8 workers).
     pub(super) fn set_aside(&mut self, id: StepId, now: Timestamp) -> bool {
         let Some(job) = self.jobs.get(&id.job) else {
             return false;
@@ -171,16 +172,16 @@
             return false;
         };
         let index = usize::from(id.step);
-        let Some(lack) = self.lack_of(demand.step, index, demand.queue) else {
+        let Some(lack) = self.unmet_requirement_of(demand.step, index, demand.queue) else {
             return false;
         };
         self.agenda.remove(id);
         self.aside.insert(id);
-        self.tell_wait(id, Wait::from(&lack), Survey::default(), now);
+        self.set_wait_reason(id, Wait::from(&lack), Survey::default(), now);
         true
     }
 
-    /// Opens the steps that were set aside: other workers may run them now.
+    /// Reopens all parked steps, because new or changed workers may run them.
     pub(super) fn take_up(&mut self) {
         for id in std::mem::take(&mut self.aside) {
             let job = self.jobs.get(&id.job).filter(|job| !job.is_over());
@@ -192,7 +193,7 @@
         }
     }
 
-    /// Looks for the reason why a step waits, from time to time, and tells it where it has changed.
+    /// Evaluates periodically why a step waits, and logs the reason if it has changed.
     pub(super) fn explain_wait(&mut self, id: StepId, now: Timestamp) {
         let Some(job) = self.jobs.get(&id.job) else {
             return;
@@ -200,61 +201,63 @@
         let (Some(demand), Some(stage)) = (self.demand(job, id), job.stage(id)) else {
             return;
         };
-        if self.is_explained(id, now) {
+        if self.is_wait_reason_recent(id, now) {
             return;
         }
         let survey = self.survey(&demand, now);
         let is_asked = demand.queue.advice.is_none() || stage.advice.is_answered;
         let why = match survey {
             _ if !is_asked && stage.advice.asking > 0 => Wait::Advice,
-            _ if !is_asked && self.has_open(&demand, now) => Wait::Desk,
+            _ if !is_asked && self.has_open_worker(&demand, now) => Wait::AdviceNode,
             Survey { open: 0, .. } if self.is_pool_evacuated(&demand) => Wait::Evacuated,
-            Survey { allowed: 0, .. } if is_asked => Wait::Barred,
-            Survey { open: 0, .. } => Wait::Closed,
-            _ if stage.are_suspects() => Wait::Alone,
+            Survey { allowed: 0, .. } if is_asked => Wait::NotAllowed,
+            Survey { open: 0, .. } => Wait::NotAccepting,
+            _ if stage.are_suspects() => Wait::EmptyWorker,
             Survey { room: 0, .. } => Wait::Room,
             Survey { ticketed: 0, .. } => Wait::Ticket,
-            _ => Wait::Kept,
+            _ => Wait::Reserved,
         };
-        self.tell_wait(id, why, survey, now);
+        self.set_wait_reason(id, why, survey, now);
     }
 
-    /// Tells for what a step waits where no worker has to be looked at for that.
+    /// Logs a wait reason that is known without examining workers, at the same interval.
     pub(super) fn explain(&mut self, id: StepId, why: Wait, now: Timestamp) {
-        if !self.is_explained(id, now) {
-            self.tell_wait(id, why, Survey::default(), now);
+        if !self.is_wait_reason_recent(id, now) {
+            self.set_wait_reason(id, why, Survey::default(), now);
         }
     }
 
-    /// Returns whether the reason why a step waits was looked for of late.
-    pub(super) fn is_explained(&self, id: StepId, now: Timestamp) -> bool {
+    /// Returns whether the wait reason of a step was evaluated recently.
+    pub(super) fn is_wait_reason_recent(&self, id: StepId, now: Timestamp) -> bool {
         let stage = self.jobs.get(&id.job).and_then(|job| job.stage(id));
         stage.is_none_or(|stage| {
             let opened = stage.opened.unwrap_or(now);
-            now < stage.explained.max(opened) + LOOK
+            now < stage.explained.max(opened) + WAIT_REASON_INTERVAL
         })
     }
 
-    /// Returns whether any worker takes tasks of a step, room and advice aside.
-    fn has_open(&self, demand: &Demand<'_>, now: Timestamp) -> bool {
+    /// Returns whether any worker accepts tasks of a step, regardless of room and advice.
+    fn has_open_worker(&self, demand: &Demand<'_>, now: Timestamp) -> bool {
         let slots = self.rooms.from(&demand.queue.pool, Millicores(0));
         let mut workers = slots.filter_map(|slot| self.workers.get(&slot));
         workers.any(|worker| demand.admits(worker, now))
     }
 
+    /// Counts the workers that matter for a step's wait reason.
     fn survey(&self, demand: &Demand<'_>, now: Timestamp) -> Survey {
         let mut survey = Survey::default();
-        let stage = self.jobs.get(&demand.id.job);
-        let Some(stage) = stage.and_then(|job| job.stage(demand.id)) else {
+        let job = self.jobs.get(&demand.id.job);
+        let Some(stage) = job.and_then(|job| job.stage(demand.id)) else {
             return survey;
         };
         survey.named = stage.advice.named.len();
-        let is_free = demand.queue.advice.is_none();
-        let leaves = self.leaves(now);
-        let has_ticket =
-            |slot, worker| is_free || stage.advice.ticket(slot, worker, leaves).is_some();
+        let needs_no_ticket = demand.queue.advice.is_none();
+        let departure = self.leaves(now);
+        let has_ticket = |slot, worker| {
+            needs_no_ticket || stage.advice.ticket(slot, worker, departure).is_some()
+        };
         for (slot, worker) in self.candidates(demand, stage) {
-            if !is_suited(demand.step, demand.queue, worker) {
+            if !fits_when_empty(demand.step, demand.queue, worker) {
                 continue;
             }
             survey.allowed += 1;
@@ -270,7 +273,14 @@
         survey
     }
 
-    pub(super) fn tell_wait(&mut self, id: StepId, why: Wait, survey: Survey, now: Timestamp) {
+    /// Stores the wait reason of a step, and logs it if it has changed.
+    pub(super) fn set_wait_reason(
+        &mut self,
+        id: StepId,
+        why: Wait,
+        survey: Survey,
+        now: Timestamp,
+    ) {
         let stage = self.jobs.get_mut(&id.job).and_then(|job| job.stage_mut(id));
         let Some(stage) = stage else {
             return;
