--- a/crates/cell/src/engine/contact.rs
+++ b/crates/cell/src/engine/contact.rs
@@ -1,4 +1,4 @@
-//! Workers that come, their leases and their inventories.
+//! Registration of workers, and the calls that renew their leases and fetch their inventories.
 
 use std::time::Duration;
 
@@ -40,36 +40,38 @@
     },
 };
 
-/// How long a worker waits for an end before it answers; the platform takes at most 2 s, and a lost
-/// call is noticed only after this time.
-const HOLD_WAIT: Duration = Duration::from_millis(1_000);
-/// How long it waits while filling tasks run beside serving ones: harm shows after half a second, and has to
-/// be ended within some.
-const MIXED_WAIT: Duration = Duration::from_millis(400);
-/// The wait before a worker that gave no answer is asked again.
-const SILENT_AGAIN: Duration = Duration::from_millis(200);
-/// The longest time between two renewals while an end waits for its record.
-const UNKEPT_AGAIN: Duration = Duration::from_millis(500);
+/// How long a worker may wait for a run to end before it answers a call for its inventory.
+///
+/// The platform allows at most 2 s, and a lost call is noticed only after this time.
+const INVENTORY_WAIT: Duration = Duration::from_millis(1_000);
+/// The same bound while filling tasks run beside serving ones.
+///
+/// Interference shows after half a second and has to be ended within a few seconds.
+const MIXED_LOAD_INVENTORY_WAIT: Duration = Duration::from_millis(400);
+/// The delay before a worker that gave no answer is called again.
+const SILENT_WORKER_RETRY_DELAY: Duration = Duration::from_millis(200);
+/// The longest time between two lease renewals while an end waits to be recorded in the store.
+const UNRECORDED_END_RENEWAL_INTERVAL: Duration = Duration::from_millis(500);
 
 impl Engine {
-    /// Takes what a worker reports of itself, a new one or a change.
+    /// Handles the registration of a new worker, or a change to a known one.
     pub fn register(&mut self, registration: Registration, now: Timestamp) {
         self.is_stirred = true;
         if let Some(slot) = self.slots.get(&registration.id).copied() {
             let Some(worker) = self.workers.get_mut(&slot) else {
                 return;
             };
-            let was = worker.registration.leaving.is_some();
-            let leaves = registration.leaving.is_some();
+            let was_leaving = worker.registration.leaving.is_some();
+            let is_leaving = registration.leaving.is_some();
             let is_changed = worker.offers_other(&registration);
-            let is_reborn = worker.is_superseded_by(&registration);
+            let has_new_incarnation = worker.is_superseded_by(&registration);
             let shrinks = !worker.registration.capacity.fits(&registration.capacity);
             worker.told = now;
             worker.unlisted = None;
             let was_distrusted = worker.distrusted.take().is_some();
             worker.registration = registration;
             worker.adopt_capacity();
-            if is_reborn {
+            if has_new_incarnation {
                 self.expect_incarnation(slot, now);
             }
             if was_distrusted {
@@ -77,13 +79,13 @@
             }
             self.index(slot);
             self.mark_evacuated(slot);
-            if shrinks && !is_reborn {
+            if shrinks && !has_new_incarnation {
                 self.shrink(slot, now);
             }
             if is_changed {
                 self.take_up();
             }
-            if leaves && !was {
+            if is_leaving && !was_leaving {
                 self.note_worker(slot, "leaving", now);
             }
             return;
@@ -94,7 +96,7 @@
         self.take_up();
     }
 
-    /// Notes that the store doesn't list a worker any more.
+    /// Notes that the store no longer lists a worker.
     pub fn unregister(&mut self, id: &WorkerId, now: Timestamp) {
         let Some(slot) = self.slots.get(id).copied() else {
             return;
@@ -108,13 +110,12 @@
         }
     }
 
-    /// Notes that what the store lists of a worker names none to use any more; of one that isn't known it
-    /// says nothing.
+    /// Notes that the store's entry for a worker is not usable; ignored for unknown workers.
     ///
-    /// Anybody may have written that. It doesn't prove that the worker is gone: what runs there goes on under
-    /// its lease, is asked for at the address that was good, and is started nowhere else. Nor does it confirm
-    /// what was listed before, a capacity or a pool: nothing new is started there. Both last until a good
-    /// entry comes, or until the worker is silent and its leases have lapsed.
+    /// Anybody may have written the entry. It doesn't prove that the worker is gone: its runs go on under their
+    /// lease, their inventory is still fetched from the last valid address, and they are not started elsewhere. Nor
+    /// does it confirm the capacity and pool listed before, so nothing new is started there. Both hold until a valid
+    /// entry appears, or until the worker is silent and its leases have lapsed.
     pub fn distrust(&mut self, id: &WorkerId, now: Timestamp) {
         let Some(slot) = self.slots.get(id).copied() else {
             return;
@@ -128,7 +129,7 @@
         }
     }
 
-    /// Looks for a worker that former owners may have given tasks.
+    /// Adds a worker that may hold tasks started by former owners, by its usage on record.
     pub(super) fn expect_worker(
         &mut self,
         id: WorkerId,
@@ -157,7 +158,7 @@
                 checkpoint: None,
                 load: 0,
             };
-            // What a former owner was stopping is not listed, and ends within its grace.
+            // Runs that a former owner was stopping may be missing from an inventory; they end within the grace time.
             self.adopt(slot, &running, now + self.bounds.stopped(), now);
         }
     }
@@ -172,10 +173,9 @@
         slot
     }
 
-    /// Sets by what is known of a worker now when it is called, when it may have to be given up, and its place among
-    /// the others by what it has left.
+    /// Updates the indexes of a worker: its next call, its next expiry, and its position by free room.
     ///
-    /// Both times may turn out to be too early, and are then set anew.
+    /// Both times may turn out to be too early and are then set again.
     pub(super) fn index(&mut self, slot: Slot) {
         let worker = self.workers.get(&slot);
         self.rooms.set(slot, worker);
@@ -184,7 +184,7 @@
             .set(slot, worker.and_then(Worker::next_expiry));
     }
 
-    /// Calls every worker whose turn it is.
+    /// Calls every worker whose next call is due.
     pub(super) fn call_workers(&mut self, now: Timestamp) {
         for slot in self.calls.take_due(now) {
             self.call_worker(slot, now);
@@ -196,32 +196,34 @@
         let Some(worker) = self.workers.get_mut(&slot) else {
             return;
         };
-        // An answer is told from another's by when its call was made, so two calls never leave at one moment.
+        // Answers are matched to calls by the time of the call, so two calls must not leave at the same instant.
         let is_calling = worker.contact == Contact::Out(now);
         if !is_calling && worker.peek.is_some_and(|peek| peek.is_due(now)) {
             worker.peek = Some(Contact::Out(now));
-            let hold = hold(worker, None, Duration::ZERO, now);
-            self.outbox.push(hold);
+            let call = inventory_call(worker, None, Duration::ZERO, now);
+            self.outbox.push(call);
         }
         if !worker.contact.is_due(now) || worker.peek == Some(Contact::Out(now)) {
             return;
         }
-        // A worker that doesn't answer may still get its calls: its lease must be able to lapse.
+        // A worker that doesn't answer may still receive calls; not extending the lease lets it lapse.
         let deadline = match worker.silent {
             None => worker.extend(&self.bounds, now),
             Some(_) => None,
         };
         let wait = match worker.heard {
-            Some(_) if worker.silent.is_none() && worker.pacing.is_mixed => MIXED_WAIT,
-            Some(_) if worker.silent.is_none() => HOLD_WAIT,
+            Some(_) if worker.silent.is_none() && worker.pacing.is_mixed => {
+                MIXED_LOAD_INVENTORY_WAIT
+            }
+            Some(_) if worker.silent.is_none() => INVENTORY_WAIT,
             _ => Duration::ZERO,
         };
         worker.contact = Contact::Out(now);
-        let hold = hold(worker, deadline, wait, now);
-        self.outbox.push(hold);
+        let call = inventory_call(worker, deadline, wait, now);
+        self.outbox.push(call);
     }
 
-    /// Takes the answer to a call for an inventory.
+    /// Handles the answer to a call for an inventory.
     ///
     /// `asked` is when the call was made.
     pub fn held(&mut self, id: &WorkerId, asked: Timestamp, answer: HoldAnswer, now: Timestamp) {
@@ -238,8 +240,8 @@
             return;
         }
         match answer {
-            HoldAnswer::Listed(inventory) => self.hear(slot, inventory, asked, now),
-            // The call was made before the fence was raised.
+            HoldAnswer::Listed(inventory) => self.handle_inventory(slot, inventory, asked, now),
+            // The call predates the current fence, so the refusal doesn't mean that another node owns the cell.
             HoldAnswer::Fenced if worker.raised.is_some_and(|raised| asked < raised) => {
                 worker.call_again(is_peek, now);
                 self.index(slot);
@@ -247,27 +249,33 @@
             HoldAnswer::Fenced => self.outbox.push(Effect::Deposed),
             HoldAnswer::Gone => self.lose_worker(slot, "replaced", now),
             HoldAnswer::Silent | HoldAnswer::Broken | HoldAnswer::Refused if is_peek => {
-                worker.peek = Some(Contact::Due(now + SILENT_AGAIN));
+                worker.peek = Some(Contact::Due(now + SILENT_WORKER_RETRY_DELAY));
                 self.index(slot);
             }
             HoldAnswer::Silent | HoldAnswer::Broken | HoldAnswer::Refused => {
-                worker.contact = Contact::Due(now + SILENT_AGAIN);
-                let is_news = worker.silent.is_none();
+                worker.contact = Contact::Due(now + SILENT_WORKER_RETRY_DELAY);
+                let was_responsive = worker.silent.is_none();
                 worker.silent.get_or_insert(now);
                 worker.silence.get_or_insert(match answer {
                     HoldAnswer::Broken => Silence::Broken(now),
                     _ => Silence::Missed,
                 });
                 self.index(slot);
-                if is_news {
+                if was_responsive {
                     self.note_worker(slot, "silent", now);
                 }
             }
         }
     }
 
-    /// Takes an inventory of whichever incarnation tells it.
-    fn hear(&mut self, slot: Slot, inventory: Inventory, asked: Timestamp, now: Timestamp) {
+    /// Handles an inventory, after finding out which incarnation of the worker sent it.
+    fn handle_inventory(
+        &mut self,
+        slot: Slot,
+        inventory: Inventory,
+        asked: Timestamp,
+        now: Timestamp,
+    ) {
         let Some(worker) = self.workers.get_mut(&slot) else {
             return;
         };
@@ -279,10 +287,11 @@
             }
             Teller::Later => self.begin_incarnation(slot, &inventory, asked, now),
         }
-        self.take_inventory(slot, inventory, asked, now);
+        self.apply_inventory(slot, inventory, asked, now);
     }
 
-    fn take_inventory(
+    /// Applies an inventory of the current incarnation: its runs, its ends and what is absent from it.
+    fn apply_inventory(
         &mut self,
         slot: Slot,
         inventory: Inventory,
@@ -310,7 +319,7 @@
         for running in &inventory.running {
             self.mark_begun(running.task.step.job);
             listed.push((running.task, running.run));
-            self.take_running(slot, running, asked, now);
+            self.apply_running(slot, running, asked, now);
         }
         for ended in inventory.ended {
             listed.push((ended.task, ended.run));
@@ -318,7 +327,7 @@
                 if let Some(worker) = self.workers.get_mut(&slot) {
                     worker.seen = worker.seen.max(ended.serial);
                 }
-                self.take_end(slot, ended, now);
+                self.handle_end(slot, ended, now);
             }
         }
         self.release_absent(slot, &listed, asked, now);
@@ -331,8 +340,8 @@
         };
         if worker.contact == Contact::Out(asked) {
             worker.contact = match worker.seen > worker.kept {
-                // The record of the ends brings the next call forward.
-                true => Contact::Due(now + UNKEPT_AGAIN),
+                // Once the ends are recorded, the next call is made at once.
+                true => Contact::Due(now + UNRECORDED_END_RENEWAL_INTERVAL),
                 false => Contact::Due(now),
             };
         }
@@ -341,8 +350,8 @@
         self.ledger.add_ends(slot, seen);
     }
 
-    /// Takes in a run that a worker lists.
-    fn take_running(&mut self, slot: Slot, running: &Running, asked: Timestamp, now: Timestamp) {
+    /// Applies a run that a worker lists as running.
+    fn apply_running(&mut self, slot: Slot, running: &Running, asked: Timestamp, now: Timestamp) {
         let task = running.task;
         let Some(worker) = self.workers.get_mut(&slot) else {
             return;
@@ -357,17 +366,17 @@
         };
         claim.confirm(now);
         claim.fence = worker.fence;
-        claim.outlast_start(asked);
+        claim.update_outlasted(asked);
         if claim.alone && claim.outlasted {
-            self.end_solitude(slot, task, running.run);
+            self.end_isolation(slot, task, running.run);
         }
-        self.save(task, running.checkpoint.as_ref());
+        self.save_checkpoint(task, running.checkpoint.as_ref());
     }
 
-    /// Takes over a run that this owner did not start, or has it stopped.
+    /// Takes over a run that this owner did not start, or stops it if it is not needed.
     ///
-    /// An inventory that was asked for from `proves` on and doesn't list it proves that it is gone.
-    fn adopt(&mut self, slot: Slot, running: &Running, proves: Timestamp, now: Timestamp) {
+    /// If an inventory requested at `proven_from` or later doesn't list the run, that proves that it is gone.
+    fn adopt(&mut self, slot: Slot, running: &Running, proven_from: Timestamp, now: Timestamp) {
         let (task, run) = (running.task, running.run);
         let charge = self.charge(task.step);
         let job = self.jobs.get_mut(&task.step.job);
@@ -379,11 +388,11 @@
         let (mut is_wanted, mut alone) = (false, false);
         if let Some(job) = job
             && let Some(stage) = job.stage_mut(task.step)
-            && let Some(own) = stage.task_mut(task.index)
+            && let Some(state) = stage.task_mut(task.index)
         {
-            own.last = own.last.max(run);
-            alone = own.is_suspect();
-            if !is_over && !own.is_done && own.note_run(slot, run) {
+            state.last = state.last.max(run);
+            alone = state.is_suspect();
+            if !is_over && !state.is_done && state.note_run(slot, run) {
                 stage.waiting.remove(&task.index);
                 stage.opened.get_or_insert(now);
                 is_wanted = true;
@@ -395,11 +404,11 @@
         let Some(worker) = self.workers.get_mut(&slot) else {
             return;
         };
-        let is_listed = proves <= now;
+        let is_listed = proven_from <= now;
         let claim = Claim {
             size,
             charge,
-            phase: Phase::Running { since: proves },
+            phase: Phase::Running { since: proven_from },
             since: now,
             fence: worker.fence,
             unanswered: u8::from(!is_listed),
@@ -416,14 +425,14 @@
         self.index(slot);
         self.note(Note::Adopted { task, run, worker });
         match is_wanted {
-            true => self.save(task, running.checkpoint.as_ref()),
+            true => self.save_checkpoint(task, running.checkpoint.as_ref()),
             false => self.stop(slot, task, run, "unwanted", now),
         }
     }
 
-    /// Gives back the room of runs that an inventory proves to be gone.
+    /// Releases the room of runs that an inventory proves to be gone.
     ///
-    /// It proves that only for what was settled before it was asked for.
+    /// The absence of a run proves that only if its start or stop was settled before the inventory was requested.
     fn release_absent(
         &mut self,
         slot: Slot,
@@ -443,7 +452,7 @@
                     Phase::Recording => false,
                     Phase::Starting => is_void,
                     Phase::Running { since } => is_void || since <= asked,
-                    // While it is being stopped a run may be listed neither as running nor as ended.
+                    // During a stop, a run may be listed neither as running nor as ended.
                     Phase::Stopping { confirmed } => {
                         confirmed.is_some_and(|at| at + self.bounds.stopped() <= asked)
                     }
@@ -457,6 +466,7 @@
         }
     }
 
+    /// Logs a change in what is believed about a worker.
     pub(super) fn note_worker(&mut self, slot: Slot, belief: &'static str, now: Timestamp) {
         let Some(worker) = self.workers.get(&slot) else {
             return;
@@ -471,8 +481,13 @@
     }
 }
 
-/// Makes the call that asks a worker for its inventory, and extends its lease up to a deadline.
-fn hold(worker: &Worker, deadline: Option<u64>, wait: Duration, asked: Timestamp) -> Effect {
+/// Returns the call that requests a worker's inventory and extends its lease up to `deadline`, if there is one.
+fn inventory_call(
+    worker: &Worker,
+    deadline: Option<u64>,
+    wait: Duration,
+    asked: Timestamp,
+) -> Effect {
     Effect::Hold(Hold {
         to: worker.destination(),
         deadline,
--- a/crates/cell/src/engine/end.rs
+++ b/crates/cell/src/engine/end.rs
@@ -1,4 +1,4 @@
-//! Ends of runs: tries, checkpoints and the ends of jobs.
+//! Ends of runs: how they affect tries, checkpoints, gangs and jobs.
 
 use std::{
     sync::Arc,
@@ -24,14 +24,14 @@
     record::Outcome,
 };
 
-/// After this many failures in a row a worker is suspected of failing whatever it starts.
-const SUSPICIOUS: u32 = 3;
-/// How long a suspected worker gets nothing; then one more failure rests it again.
-const SUSPECT_REST: Duration = Duration::from_secs(3);
+/// The number of consecutive failures after which a worker is suspected of failing everything that it starts.
+const MIN_FAILURES_FOR_QUARANTINE: u32 = 3;
+/// How long a suspected worker gets no new tasks; after that, a single further failure quarantines it again.
+const FAILURE_QUARANTINE: Duration = Duration::from_secs(3);
 
 impl Engine {
-    /// Takes an end that a worker lists for the first time.
-    pub(super) fn take_end(&mut self, slot: Slot, ended: Ended, now: Timestamp) {
+    /// Handles an end that a worker lists for the first time.
+    pub(super) fn handle_end(&mut self, slot: Slot, ended: Ended, now: Timestamp) {
         let Ended { task, run, how, .. } = ended;
         if let Some(worker) = self.workers.get(&slot) {
             let worker = worker.registration.id.clone();
@@ -43,24 +43,24 @@
             });
         }
         self.mark_begun(task.step.job);
-        self.save(task, ended.checkpoint.as_ref());
+        self.save_checkpoint(task, ended.checkpoint.as_ref());
         match how {
-            How::Done => self.take_done(slot, task, run, now),
+            How::Done => self.handle_success(slot, task, run, now),
             How::Failed => {
-                self.clear(task);
-                self.take_failure(slot, task, run, now);
+                self.clear_crashes(task);
+                self.handle_failure(slot, task, run, now);
             }
-            How::Lapsed | How::Alone => self.clear(task),
+            How::Lapsed | How::Alone => self.clear_crashes(task),
             How::Stopped | How::Broken => {}
         }
         self.release(slot, task, run, now);
         if how != How::Done {
-            self.break_gang(task, run, now);
+            self.stop_gang(task, run, now);
         }
     }
 
-    /// Remembers the newest checkpoint of a task; any member's is good for its whole gang.
-    pub(super) fn save(&mut self, task: TaskId, checkpoint: Option<&Arc<str>>) {
+    /// Stores the newest checkpoint of a task; a checkpoint of one gang member is valid for the whole gang.
+    pub(super) fn save_checkpoint(&mut self, task: TaskId, checkpoint: Option<&Arc<str>>) {
         let Some(checkpoint) = checkpoint else {
             return;
         };
@@ -75,12 +75,13 @@
             for member in &mut stage.tasks {
                 member.checkpoint = Some(checkpoint.clone());
             }
-        } else if let Some(own) = stage.task_mut(task.index) {
-            own.checkpoint = Some(checkpoint.clone());
+        } else if let Some(state) = stage.task_mut(task.index) {
+            state.checkpoint = Some(checkpoint.clone());
         }
     }
 
-    fn take_done(&mut self, slot: Slot, task: TaskId, run: Run, now: Timestamp) {
+    /// Handles the success of a run: its task, or its whole gang, is done.
+    fn handle_success(&mut self, slot: Slot, task: TaskId, run: Run, now: Timestamp) {
         if let Some(worker) = self.workers.get_mut(&slot) {
             worker.failures = 0;
         }
@@ -103,13 +104,13 @@
         };
         let mut others = Vec::new();
         for index in indices {
-            let Some(own) = stage.task_mut(index) else {
+            let Some(state) = stage.task_mut(index) else {
                 continue;
             };
-            // The members of one run of a gang end together; other runs of a task are not needed.
-            let other = own.active.filter(|(_, active)| *active != run);
+            // Members of the same gang run end by themselves; other runs of a done task are stopped.
+            let other = state.active.filter(|(_, active)| *active != run);
             others.extend(other.map(|(slot, run)| (slot, index, run)));
-            if !std::mem::replace(&mut own.is_done, true) {
+            if !std::mem::replace(&mut state.is_done, true) {
                 stage.done += 1;
                 stage.waiting.remove(&index);
             }
@@ -126,11 +127,12 @@
         }
     }
 
-    fn take_failure(&mut self, slot: Slot, task: TaskId, run: Run, now: Timestamp) {
+    /// Handles the failure of a run: counts it against the worker and the tries of the task.
+    fn handle_failure(&mut self, slot: Slot, task: TaskId, run: Run, now: Timestamp) {
         if let Some(worker) = self.workers.get_mut(&slot) {
             worker.failures += 1;
-            if worker.failures >= SUSPICIOUS {
-                worker.rests = now + SUSPECT_REST;
+            if worker.failures >= MIN_FAILURES_FOR_QUARANTINE {
+                worker.rests = now + FAILURE_QUARANTINE;
             }
         }
         let Some(job) = self.jobs.get_mut(&task.step.job) else {
@@ -149,18 +151,18 @@
         let Some(stage) = job.stage_mut(task.step) else {
             return;
         };
-        // The tries of a gang are those of its first member.
+        // The first member of a gang counts the tries of the whole gang.
         let counted = if is_gang { 0 } else { task.index };
-        let Some(own) = stage.task_mut(counted) else {
+        let Some(state) = stage.task_mut(counted) else {
             return;
         };
-        own.avoid = Some(slot);
-        // All members of a gang report its failure, and a new owner hears of one that is on record.
-        if is_lasting || own.failures.contains(&run) {
+        state.avoid = Some(slot);
+        // Each member of a gang reports the same failure, and a new owner may be told of one that is already recorded.
+        if is_lasting || state.failures.contains(&run) {
             return;
         }
-        own.failures.push(run);
-        let failures = u32::try_from(own.failures.len()).unwrap_or(u32::MAX);
+        state.failures.push(run);
+        let failures = u32::try_from(state.failures.len()).unwrap_or(u32::MAX);
         let is_spent = failures >= tries.max(1);
         self.ledger.add_job(task.step.job);
         if is_spent {
@@ -169,8 +171,8 @@
         }
     }
 
-    /// Stops the members of a gang of which one has ended without success.
-    fn break_gang(&mut self, task: TaskId, run: Run, now: Timestamp) {
+    /// Stops the other members of a gang after one has ended without success.
+    fn stop_gang(&mut self, task: TaskId, run: Run, now: Timestamp) {
         let Some(job) = self.jobs.get(&task.step.job) else {
             return;
         };
