--- a/crates/cell/src/engine/ask.rs
+++ b/crates/cell/src/engine/ask.rs
@@ -1,4 +1,4 @@
-//! Asking which workers may run a step.
+//! Calls to the advice service, which says which workers may run a step.
 
 use std::time::Duration;
 
@@ -34,37 +34,46 @@
     worker::Worker,
 };
 
-/// The most workers that the advice service takes in one call.
-const MOST_NAMED: usize = 100;
-/// Calls that take longer than this don't get all nodes.
-const LONG_CALL: Duration = Duration::from_millis(150);
-/// How many times the room that a step takes the workers have that it is asked about, as far as they are
-/// likely to be allowed: others take some of it before the answer comes.
-const ROOM_TIMES: f64 = 2.0;
-/// How many times the room that a gang takes the workers have that it is asked about, were nothing else on them:
-/// their room comes up bit by bit, and each further call takes a gang longer than its tickets last. Asked only about
-/// those that had room just then, gangs of 40 and more tasks on a full fleet of 540 waited 30 s for the last of them.
-const GANG_TIMES: f64 = 9.0;
-/// How many times the room that a step takes the workers have whose tickets are renewed.
-const REFRESH_TIMES: f64 = 1.5;
-/// At least so many workers are asked about. With as few as just hold the step, fleets of 48 workers were
-/// worth 0.03 less: what was asked about was taken by others, and another call cost more than it saved.
-const LEAST_NAMED: usize = 48;
-/// How many calls for one step are out at most.
-const MOST_CALLS: usize = 6;
-/// How long to wait after a call that brought nothing.
-const PAUSE: Duration = Duration::from_millis(100);
+/// The maximum number of workers that the advice service accepts in one call.
+const MAX_WORKERS_PER_CALL: usize = 100;
+/// Calls that take longer than this are long: some nodes are withheld from them.
+const LONG_CALL_THRESHOLD: Duration = Duration::from_millis(150);
+/// The free room of the workers to ask about, as a multiple of the room that the step takes, scaled by the share of
+/// workers that is likely to be allowed.
+///
+/// It exceeds 1 because other steps take some of the room before the answer arrives.
+const ROOM_FACTOR: f64 = 2.0;
+/// The capacity of the workers to ask about for a gang, as a multiple of the room that the gang takes, scaled in the
+/// same way.
+///
+/// Room on these workers becomes free bit by bit, and each further call takes longer than a gang's tickets last. If a
+/// gang asks only about workers that have room at the time, gangs of 40 or more tasks on a full fleet of 540 workers
+/// wait 30 s for their last members.
+const GANG_CAPACITY_FACTOR: f64 = 9.0;
+/// The free room of the workers whose tickets are renewed, as a multiple of the room that the step takes.
+const REFRESH_ROOM_FACTOR: f64 = 1.5;
+/// The minimum number of workers to ask about.
+///
+/// With only as many as just hold the step, fleets of 48 workers score 0.03 lower: other steps take the workers that
+/// were asked about, and the further call costs more than the short one saved.
+const MIN_NAMED_WORKERS: usize = 48;
+/// The maximum number of concurrent calls for one step.
+const MAX_CALLS_PER_STEP: usize = 6;
+/// The delay before another call for a step after one without an answer.
+const UNANSWERED_CALL_BACKOFF: Duration = Duration::from_millis(100);
 
-/// Returns whether a step is asked about only where it is likely to run: a gang takes its places at once, and
-/// an urgent task the first one. Other tasks wait for room that may come up anywhere; asked about as few
-/// workers, they were worth a quarter less on a busy fleet of 350.
-fn is_choosy(demand: &Demand<'_>) -> bool {
+/// Returns whether a step asks only about the workers on which it is likely to run.
+///
+/// A gang takes its workers at once, and an urgent task the first one. Other tasks wait for room that may become free
+/// on any worker; if they ask about as few workers, they score a quarter lower on a busy fleet of 350 workers.
+fn is_selective(demand: &Demand<'_>) -> bool {
     demand.step.gang || demand.queue.priority == 0
 }
 
-/// Returns how many workers with these rooms, in this order, hold as many tasks as wanted; `None` where all
-/// of them don't, or all are to be asked about.
-fn enough(
+/// Returns how many of the first workers, each holding the given number of tasks, together hold as many as wanted.
+///
+/// Returns `None` if all of them together don't, or if the step asks about all workers.
+fn sufficient_prefix(
     demand: &Demand<'_>,
     mut rooms: impl Iterator<Item = usize>,
     wanted: f64,
@@ -74,7 +83,7 @@
         sum += room as f64;
         sum >= wanted
     });
-    last.filter(|_| is_choosy(demand)).map(|last| last + 1)
+    last.filter(|_| is_selective(demand)).map(|last| last + 1)
 }
 
 impl Engine {
@@ -87,11 +96,11 @@
         is_known || self.queue_of(job).advice.is_none()
     }
 
-    /// Asks about workers that could run a step, if a node is free to ask.
+    /// Asks about workers that could run a step, if a node is free to make the call.
     ///
-    /// Those with the most room come first, and as many of them as most likely hold all of its tasks; a
-    /// call takes longer the more it names. Where all of them together have too little room, any of them
-    /// may be the next to have some.
+    /// It selects the workers with the most room first, and as many as are likely to hold all tasks of the step, since
+    /// a call takes longer the more workers it names. If all workers together have too little room, it names all of
+    /// them, since any of them may be the next to have some.
     pub(super) fn ask(&mut self, id: StepId, now: Timestamp) {
         let Some(job) = self.jobs.get(&id.job) else {
             return;
@@ -108,14 +117,14 @@
         }
         let tasks = stage.waiting.len() as f64;
         let share = self.experience.share(&demand.queue.name);
-        let is_choosy = is_choosy(&demand);
+        let is_selective = is_selective(&demand);
         let mut named = Vec::new();
         let (mut room, mut fits) = (0.0, 0.0);
-        for (slot, worker) in self.unnamed(&demand, stage, Millicores(0), now) {
-            let is_enough = room >= tasks * ROOM_TIMES / share
-                || (demand.step.gang && fits >= tasks * GANG_TIMES / share);
-            let is_most = !demand.step.gang && named.len() >= MOST_NAMED;
-            if is_most || (is_choosy && is_enough && named.len() >= LEAST_NAMED) {
+        for (slot, worker) in self.unnamed_workers(&demand, stage, Millicores(0), now) {
+            let is_enough = room >= tasks * ROOM_FACTOR / share
+                || (demand.step.gang && fits >= tasks * GANG_CAPACITY_FACTOR / share);
+            let is_full = !demand.step.gang && named.len() >= MAX_WORKERS_PER_CALL;
+            if is_full || (is_selective && is_enough && named.len() >= MIN_NAMED_WORKERS) {
                 break;
             }
             room += room_for(&worker.free, &demand.size) as f64;
@@ -126,9 +135,11 @@
         self.call_planned(id, now);
     }
 
-    /// Returns the workers that a step was not asked about and that could run it, with so much processor time left or
-    /// more; the roomiest come first.
-    fn unnamed<'a>(
+    /// Returns the workers that could run a step and were not asked about yet, with at least `least` processor time
+    /// left.
+    ///
+    /// Those with the most room come first.
+    fn unnamed_workers<'a>(
         &'a self,
         demand: &'a Demand<'_>,
         stage: &'a Stage,
@@ -143,7 +154,7 @@
         })
     }
 
-    /// Asks again about workers with room whose tickets have run out.
+    /// Asks again about workers that have room but whose tickets have expired.
     pub(super) fn refresh_advice(&mut self, id: StepId, reserved: &mut Reserved, now: Timestamp) {
         let Some(job) = self.jobs.get(&id.job) else {
             return;
@@ -169,25 +180,25 @@
         };
         if room < needed {
             if self.may_call(&demand, stage, now) {
-                let further = self.further(&demand, stage, reserved, now);
+                let further = self.further_workers(&demand, stage, reserved, now);
                 self.plan_calls(id, further);
                 self.call_planned(id, now);
             }
             return;
         }
-        let leaves = self.leaves(now);
+        let departure = self.leaves(now);
         let is_stale = |slot: &Slot| {
             let worker = self.workers.get(slot);
-            worker.is_none_or(|worker| stage.advice.ticket(*slot, worker, leaves).is_none())
+            worker.is_none_or(|worker| stage.advice.ticket(*slot, worker, departure).is_none())
         };
         if !rooms.iter().any(|(slot, _)| is_stale(slot)) {
             return;
         }
-        // The roomiest first, and no more of them than are needed.
+        // Keep those with the most room, and no more than are needed.
         rooms.sort_by_key(|(slot, room)| (std::cmp::Reverse(*room), *slot));
-        // One that has to run alone takes more than its room.
-        let wanted = (stage.waiting.len() + stage.suspects().count()) as f64 * REFRESH_TIMES;
-        let enough = enough(&demand, rooms.iter().map(|(_, room)| *room), wanted);
+        // A task that has to run alone takes more than its own room.
+        let wanted = (stage.waiting.len() + stage.suspects().count()) as f64 * REFRESH_ROOM_FACTOR;
+        let enough = sufficient_prefix(&demand, rooms.iter().map(|(_, room)| *room), wanted);
         rooms.truncate(enough.unwrap_or(rooms.len()));
         let slots: Vec<Slot> = rooms.into_iter().map(|(slot, _)| slot).collect();
         let stale: Vec<Slot> = slots.iter().copied().filter(is_stale).collect();
@@ -197,16 +208,17 @@
         if self.may_call(&demand, stage, now) {
             self.plan_calls(id, stale);
             self.call_planned(id, now);
-            // Which tickets are worth another call is seen anew by then.
+            // Which tickets to renew is decided again once another node is free.
             self.drop_planned(id);
         }
     }
 
-    /// Returns the workers that a step should be asked about beside those that it was.
+    /// Returns further workers to ask about for a step.
     ///
-    /// For a gang that is as many as make its room likely to come up on those that are allowed. For another step it is
-    /// those with room, or where there are none and the allowed ones could hardly ever hold it, any.
-    fn further(
+    /// For a gang, these are as many as make it likely that enough room becomes free on allowed workers. For another
+    /// step, they are the workers with room; if there are none and the allowed workers have too little capacity, all
+    /// workers.
+    fn further_workers(
         &self,
         demand: &Demand<'_>,
         stage: &Stage,
@@ -219,11 +231,11 @@
         let allowed: f64 = allowed.map(|(_, worker)| fits(worker)).sum();
         let tasks = stage.waiting.len() as f64;
         let unnamed = |least| {
-            let unnamed = self.unnamed(demand, stage, least, now);
+            let unnamed = self.unnamed_workers(demand, stage, least, now);
             unnamed.filter(|(slot, _)| !reserved.holds(*slot, demand.id))
         };
         if demand.step.gang {
-            let missing = tasks * GANG_TIMES - allowed;
+            let missing = tasks * GANG_CAPACITY_FACTOR - allowed;
             if missing <= 0.0 {
                 return Vec::new();
             }
@@ -232,7 +244,7 @@
             let mut sum = 0.0;
             let further = unnamed(Millicores(0)).enumerate();
             let further = further.take_while(|(count, (_, worker))| {
-                let is_missing = sum < missing || *count < worthwhile.min(MOST_NAMED);
+                let is_missing = sum < missing || *count < worthwhile.min(MAX_WORKERS_PER_CALL);
                 sum += fits(worker);
                 is_missing
             });
@@ -241,25 +253,32 @@
         let with_room = unnamed(demand.size.cpu);
         let with_room = with_room.filter(|(_, worker)| demand.size.fits(&worker.free));
         let with_room: Vec<Slot> = with_room.map(|(slot, _)| slot).collect();
-        match with_room.is_empty() && allowed < tasks * ROOM_TIMES {
+        match with_room.is_empty() && allowed < tasks * ROOM_FACTOR {
             true => unnamed(Millicores(0)).map(|(slot, _)| slot).collect(),
             false => with_room,
         }
     }
 
-    /// Returns whether a call for a step could leave now: none is out, and a node is free for a short one at least.
+    /// Returns whether a call for a step could leave now: none is under way or backed off, and a node is free for a
+    /// call about one worker.
     fn may_call(&self, demand: &Demand<'_>, stage: &Stage, now: Timestamp) -> bool {
         let terms = demand.queue.advice;
-        let is_long = terms.is_some_and(|terms| terms.duration(1) > LONG_CALL);
+        let is_long = terms.is_some_and(|terms| terms.duration(1) > LONG_CALL_THRESHOLD);
         let is_free = stage.advice.asking == 0 && stage.advice.pause <= now;
         is_free && self.desk.idle(is_long).is_some()
     }
 
-    /// Plans calls about workers, by several nodes at once where they are too many for one call.
+    /// Plans calls about workers, split over several nodes if there are too many workers for one call.
     fn plan_calls(&mut self, id: StepId, named: Vec<Slot>) {
-        let calls = named.len().div_ceil(MOST_NAMED).min(MOST_CALLS);
-        // Calls of like length end together.
-        let each = named.len().div_ceil(calls.max(1)).clamp(1, MOST_NAMED);
+        let calls = named
+            .len()
+            .div_ceil(MAX_WORKERS_PER_CALL)
+            .min(MAX_CALLS_PER_STEP);
+        // Equal calls take equally long, so that their answers arrive together.
+        let each = named
+            .len()
+            .div_ceil(calls.max(1))
+            .clamp(1, MAX_WORKERS_PER_CALL);
         let planned = named.chunks(each).take(calls).map(<[Slot]>::to_vec);
         let planned: Vec<Vec<Slot>> = planned.collect();
         if let Some(stage) = self.jobs.get_mut(&id.job).and_then(|job| job.stage_mut(id)) {
@@ -269,8 +288,8 @@
 
     /// Makes the planned calls of a step for which nodes are free.
     ///
-    /// The others follow as nodes become free, without an answer to these: a gang gets what it needs to know within a
-    /// call's time or two. One after the other they took a gang of 70 tasks 20 s.
+    /// The other calls follow as nodes become free, without waiting for the answers to these, so that a gang has all
+    /// its answers after the time of one or two calls. Sequential calls take 20 s for a gang of 70 tasks.
     pub(super) fn call_planned(&mut self, id: StepId, now: Timestamp) {
         let Some(job) = self.jobs.get(&id.job) else {
             return;
@@ -287,12 +306,13 @@
         while let Some(stage) = self.jobs.get_mut(&id.job).and_then(|job| job.stage_mut(id))
             && let Some(mut named) = stage.advice.planned.pop()
         {
-            let is_long = terms.duration(named.len()) > LONG_CALL;
+            let is_long = terms.duration(named.len()) > LONG_CALL_THRESHOLD;
             let Some(node) = self.desk.idle(is_long).cloned() else {
                 stage.advice.planned.push(named);
                 return;
             };
-            // Only once a node is free: hundreds of steps may wait for one, and each is looked at in every pass.
+            // This comes after the check for a free node to keep it cheap: hundreds of steps may wait for a node, and
+            // each is examined in every pass.
             named.retain(|slot| !is_evacuated(slot));
             if named.is_empty() {
                 continue;
@@ -317,13 +337,14 @@
         }
     }
 
+    /// Drops the planned calls of a step that have not been made.
     fn drop_planned(&mut self, id: StepId) {
         if let Some(stage) = self.jobs.get_mut(&id.job).and_then(|job| job.stage_mut(id)) {
             stage.advice.planned.clear();
         }
     }
 
-    /// Takes the answer of the advice service, or `None` where there was none.
+    /// Handles the answer of the advice service; `None` stands for a call without an answer.
     pub fn advised(
         &mut self,
         node: &NodeName,
@@ -370,7 +391,8 @@
             return;
         };
         stage.advice.answer(tickets.into_iter());
-        // Without that a step goes on asking about it, and never about others.
+        // Withdraw workers whose current incarnation was denied; otherwise the step would keep asking about these and
+        // never about others.
         for slot in call.named {
             let worker = self.workers.get(&slot);
             let ticket = stage.advice.allowed.get(slot);
@@ -383,11 +405,13 @@
         }
     }
 
-    /// Lets a step be asked about again after a call that brought nothing.
+    /// Notes that a call got no answer, so that the step may ask about its workers again after a delay.
     pub(super) fn unask(&mut self, call: &Call, now: Timestamp) {
         let stage = self.jobs.get_mut(&call.step.job);
         if let Some(stage) = stage.and_then(|job| job.stage_mut(call.step)) {
-            stage.advice.fail(&call.named, now + PAUSE);
+            stage
+                .advice
+                .fail(&call.named, now + UNANSWERED_CALL_BACKOFF);
         }
     }
 }
