--- a/crates/cell/src/engine/job.rs
+++ b/crates/cell/src/engine/job.rs
@@ -1,4 +1,4 @@
-//! A job with its occurrences, stages and tasks.
+//! The state of a job: its occurrences, stages and tasks.
 
 use std::{
     collections::{
@@ -42,54 +42,54 @@
     workspace::WorkspaceName,
 };
 
-/// A task and where it is.
+/// The state of a task.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Task {
     /// The run that may be under way.
     pub(super) active: Option<(Slot, Run)>,
-    /// Further runs that may be under way and are being stopped; the task starts again once all are gone.
+    /// Other runs that may be under way and are being stopped; the task starts again only once all are gone.
     pub(super) others: Vec<(Slot, Run)>,
     pub(super) is_done: bool,
-    /// The runs that have failed; those of a gang stand under its first member.
+    /// The runs that have failed; those of a gang are kept with its first member.
     pub(super) failures: Vec<Run>,
-    /// The workers that went down when they had just started it.
+    /// The crashes of workers that had just started the task.
     pub(super) crashes: Vec<Crash>,
-    /// Since when it waits for an empty worker.
+    /// When the task began to wait for an empty worker.
     pub(super) apart_since: Option<Timestamp>,
-    /// Runs on workers that were given up on, and until when such a worker may still come back and
-    /// tell that the run had failed.
+    /// Runs on workers that were given up, each with the time until which its worker may still return and report that
+    /// the run failed.
     pub(super) lost: Vec<(Run, Timestamp)>,
     /// The last run that was started.
     pub(super) last: Run,
     pub(super) checkpoint: Option<Arc<str>>,
-    /// Where it failed last; not tried there again while others have room.
+    /// The worker on which the task failed last; avoided while others have room.
     pub(super) avoid: Option<Slot>,
 }
 
-/// One step of one occurrence.
+/// The state of one step of one occurrence.
 #[derive(Clone, Debug)]
 pub(super) struct Stage {
     pub(super) tasks: Vec<Task>,
     /// Tasks that are neither done nor under way.
     pub(super) waiting: BTreeSet<u16>,
     pub(super) done: u16,
-    /// How many tasks are done by the record; later steps go by that.
+    /// How many tasks are done according to the store; later steps start by this number.
     pub(super) kept: u16,
-    /// When its turn came.
+    /// When the step's predecessors were done, so that it could start.
     pub(super) opened: Option<Timestamp>,
     pub(super) advice: Advice,
-    /// Why it waits, as far as that was told.
+    /// The wait reason that was last logged.
     pub(super) wait: Option<Wait>,
-    /// When the reason was looked for.
+    /// When the wait reason was last evaluated.
     pub(super) explained: Timestamp,
-    /// When the present run of a gang was decided.
+    /// When the current run of a gang was decided.
     pub(super) gang_since: Timestamp,
-    /// How many gangs of its queue had started when its turn came.
+    /// How many gangs of its queue had started when the step was opened.
     pub(super) started_before: u64,
 }
 
 impl Task {
-    /// Notes a run that may be under way; returns whether it is the only one.
+    /// Adds a run that may be under way; returns whether it is the only one.
     pub(super) fn note_run(&mut self, slot: Slot, run: Run) -> bool {
         self.last = self.last.max(run);
         match self.active {
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Notes that a run is certainly gone; returns whether it was the last that may have been under way.
+    /// Removes a run that is certainly gone; returns whether it was the last that may have been under way.
     pub(super) fn end_run(&mut self, slot: Slot, run: Run) -> bool {
         if self.active != Some((slot, run)) {
             self.others.retain(|other| *other != (slot, run));
@@ -161,6 +161,7 @@
         self.tasks.get_mut(usize::from(index))
     }
 
+    /// Returns the progress to record.
     pub(super) fn progress(&self) -> StepProgress {
         let mut progress = StepProgress::default();
         for (index, task) in (0u16..).zip(&self.tasks) {
@@ -183,11 +184,10 @@
         progress
     }
 
-    /// Returns how many tries a task may have used: its failures, and the runs that may turn out to
-    /// have failed.
+    /// Returns how many tries a task may have used: its failures, and lost runs that may turn out to have failed.
     pub(super) fn tries_used(&self, index: u16, is_gang: bool, now: Timestamp) -> usize {
-        let own = self.task(index);
-        let lost = own.map_or(0, |task| {
+        let state = self.task(index);
+        let lost = state.map_or(0, |task| {
             let lost = task.lost.iter();
             let lost = lost.filter(|(run, until)| *until > now && !task.failures.contains(run));
             lost.count()
@@ -204,28 +204,28 @@
     }
 }
 
-/// A job as the engine keeps it.
+/// The state of a job in the engine.
 #[derive(Clone, Debug)]
 pub(super) struct Job {
     pub(super) accepted: Accepted,
-    /// The account of its workspace, where it belongs to one.
+    /// The account of its workspace, if it belongs to one.
     pub(super) account: Option<quota::Slot>,
     pub(super) is_cancelled: bool,
-    /// Whether a task of it was seen on a worker, by this owner or by the record.
+    /// Whether a task of the job is known to have run on a worker, to this owner or by the store.
     pub(super) has_begun: bool,
     pub(super) occurrences: BTreeMap<u32, Vec<Stage>>,
-    /// How it ended, once that is decided.
+    /// The outcome, once it is decided.
     pub(super) outcome: Option<Outcome>,
-    /// How it ended by the record, which is what callers see.
+    /// The outcome according to the store, which is what callers see.
     pub(super) kept_outcome: Option<Outcome>,
-    /// How long it may take from its start to be in time.
+    /// How long the job may take from its start to be in time.
     objective: Duration,
-    /// The longest chain of work from each step on, by the estimates.
+    /// The length of the critical path from the start of each step on, by the estimates.
     chains: Vec<Duration>,
 }
 
-/// A job that ends later than this many times its latency objective is worth nothing.
-const WORTHLESS_AFTER: u32 = 3;
+/// A job that takes longer than this multiple of its latency objective is worth nothing.
+const WORTHLESS_AFTER_OBJECTIVES: u32 = 3;
 
 impl Job {
     pub(super) fn new(accepted: Accepted, progress: &Progress) -> Self {
@@ -259,12 +259,12 @@
         &self.accepted.spec
     }
 
-    /// Returns whether nothing of it is to be started any more.
+    /// Returns whether the job is cancelled or ended, so that none of its tasks may start.
     pub(super) const fn is_over(&self) -> bool {
         self.is_cancelled || self.outcome.is_some()
     }
 
-    /// Sets up the stages of an occurrence.
+    /// Creates the stages of an occurrence from its recorded progress, unless it exists.
     pub(super) fn begin_occurrence(&mut self, occurrence: u32, kept: &[StepProgress]) {
         let none = StepProgress::default();
         let stages = self
@@ -278,7 +278,7 @@
         self.occurrences.entry(occurrence).or_insert(stages);
     }
 
-    /// Returns how many times the steps run.
+    /// Returns how many occurrences the job has.
     pub(super) fn times(&self) -> u32 {
         self.spec().schedule.map_or(1, |schedule| schedule.times)
     }
@@ -304,8 +304,9 @@
         begun >= self.times() && stages.all(|stage| usize::from(stage.done) == stage.tasks.len())
     }
 
+    /// Returns the progress to record.
     pub(super) fn progress(&self) -> Progress {
-        // What is done of a job that has ended needs no telling.
+        // Once a job has ended, its outcome replaces the progress of its steps.
         let occurrences = self.occurrences.iter();
         let occurrences = occurrences.filter(|_| self.outcome.is_none());
         Progress {
@@ -317,7 +318,7 @@
         }
     }
 
-    /// Returns when an occurrence counts from: its own time, or the job's arrival.
+    /// Returns the time from which the latency of an occurrence counts: its scheduled time, or the job's arrival.
     fn start_of(&self, occurrence: u32) -> Timestamp {
         match self.spec().schedule {
             Some(schedule) => Timestamp::ZERO + schedule.first + schedule.period * occurrence,
@@ -332,20 +333,20 @@
         due.saturating_sub(chain.unwrap_or_default())
     }
 
-    /// Returns from when on the completion of an occurrence is worth nothing any more.
+    /// Returns the time after which the completion of an occurrence is worth nothing.
     pub(super) fn worthless(&self, occurrence: u32) -> Timestamp {
-        self.start_of(occurrence) + self.objective * WORTHLESS_AFTER
+        self.start_of(occurrence) + self.objective * WORTHLESS_AFTER_OBJECTIVES
     }
 }
 
 impl Engine {
-    /// Returns a task of a job that is known.
+    /// Returns a task, if its job is known.
     pub(super) fn task(&self, id: TaskId) -> Option<&Task> {
         let stage = self.jobs.get(&id.step.job)?.stage(id.step);
         stage?.task(id.index)
     }
 
-    /// Returns a task of a job that is known, to change it.
+    /// Returns a task for modification, if its job is known.
     pub(super) fn task_mut(&mut self, id: TaskId) -> Option<&mut Task> {
         let stage = self.jobs.get_mut(&id.step.job)?.stage_mut(id.step);
         stage?.task_mut(id.index)
--- a/crates/cell/src/engine/keep.rs
+++ b/crates/cell/src/engine/keep.rs
@@ -1,4 +1,4 @@
-//! What has to be on record before it is acted on.
+//! Changes that have to be recorded in the store before the engine acts on them.
 
 use std::{
     collections::{
@@ -37,42 +37,44 @@
     },
 };
 
-/// The least time between the beginnings of two records. The first thing that comes up after a pause is
-/// recorded at once; in a busy second records would follow each other each 8 to 12 ms otherwise, which was
-/// 4,100 of 6,950 priced calls of the store on a quiet day of 48 workers.
-const RECORD_GAP: Duration = Duration::from_millis(24);
+/// The minimum time between the starts of two record writes.
+///
+/// The first change after a pause is written at once. Without this bound, writes follow each other every 8 to 12 ms
+/// under load, which makes up 4,100 of 6,950 billed store calls on a quiet day of 48 workers.
+const MIN_RECORD_INTERVAL: Duration = Duration::from_millis(24);
 
-/// The longest time for a record that is reckoned with: a ticket must be usable for some time yet, however slow the store.
-const MOST_TOOK: Duration = Duration::from_millis(500);
+/// The upper bound on the expected duration of a record write: however slow the store is, a ticket must remain usable
+/// for some time.
+const MAX_EXPECTED_RECORD_DURATION: Duration = Duration::from_millis(500);
 
-/// What waits for its record, and the record that is on its way; one at a time.
+/// The changes that wait to be recorded, and the one record write that is in flight.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Ledger {
     jobs: BTreeSet<JobId>,
     workers: BTreeSet<Slot>,
-    /// Workers that are gone for good.
+    /// Workers that are gone for good and whose usage is to be removed from the store.
     gone: BTreeSet<WorkerId>,
-    /// The last end of each worker that was taken in.
+    /// The serial of the last end that was handled, by worker.
     ends: BTreeMap<Slot, u64>,
-    flight: Option<Flight>,
-    /// Before this no further record leaves.
-    next: Timestamp,
-    /// How long the last record took.
-    took: Duration,
+    in_flight: Option<InFlight>,
+    /// The earliest time of the next record write.
+    next_write: Timestamp,
+    /// How long the last record write took.
+    last_duration: Duration,
 }
 
-/// What one record covers.
+/// The changes that one record write covers.
 #[derive(Clone, Debug, Default)]
-struct Flight {
-    /// When it left.
+struct InFlight {
+    /// When it was sent.
     since: Timestamp,
     jobs: Vec<Snapshot>,
-    /// The starts that were decided when the record was written.
+    /// The starts that the record contains; their orders leave once it is written.
     starts: Vec<(Slot, TaskId, Run)>,
     ends: BTreeMap<Slot, u64>,
 }
 
-/// How far a job had come when the record was written.
+/// The state of a job at the time of a record write.
 #[derive(Clone, Debug)]
 struct Snapshot {
     job: JobId,
@@ -93,32 +95,33 @@
         self.ends.insert(slot, last);
     }
 
-    /// Drops the numbers of ends of a worker that counts from one again.
+    /// Drops the serials of the ends of a worker whose new incarnation numbers them from one again.
     pub(super) fn drop_ends(&mut self, slot: Slot) {
         self.ends.remove(&slot);
-        if let Some(flight) = &mut self.flight {
+        if let Some(flight) = &mut self.in_flight {
             flight.ends.remove(&slot);
         }
     }
 
-    /// Returns whether anything waits for its record, and none is on its way.
+    /// Returns whether changes wait to be recorded and no write is in flight.
     fn is_waiting(&self) -> bool {
         let is_empty = self.jobs.is_empty() && self.workers.is_empty() && self.gone.is_empty();
-        self.flight.is_none() && !is_empty
+        self.in_flight.is_none() && !is_empty
     }
 
-    /// Returns how long what is decided now waits until it is on record, by the time that the last one took: the record on
-    /// its way comes first.
-    fn wait(&self, now: Timestamp) -> Duration {
-        let whole = self.took.min(MOST_TOOK);
-        let flight = self.flight.as_ref();
+    /// Returns the expected time until a decision made now is recorded, by the duration of the last write.
+    ///
+    /// A write in flight has to finish first.
+    fn expected_delay(&self, now: Timestamp) -> Duration {
+        let whole = self.last_duration.min(MAX_EXPECTED_RECORD_DURATION);
+        let flight = self.in_flight.as_ref();
         let rest = flight.map(|flight| whole.saturating_sub(now.since(flight.since)));
         rest.unwrap_or_default() + whole
     }
 
-    /// Returns when the next record may leave, where something waits for it.
+    /// Returns the time of the next record write, if changes wait for it.
     pub(super) fn due(&self) -> Option<Timestamp> {
-        self.is_waiting().then_some(self.next)
+        self.is_waiting().then_some(self.next_write)
     }
 
     pub(super) fn remove_worker(&mut self, worker: WorkerId) {
@@ -127,26 +130,28 @@
 }
 
 impl Engine {
-    /// Returns when an order leaves that is decided now, about.
+    /// Returns the estimated time at which an order decided now leaves, after its record is written.
     ///
-    /// A ticket has to be usable then. Where the store takes 0.4 s a record, steps that had waited for room took it with
-    /// tickets that ran out before their orders could leave, and took it again after another call for advice.
+    /// Its ticket has to be usable then. Without this estimate, if a write takes 0.4 s, steps that have waited for room
+    /// take it with tickets that expire before their orders leave, and take it again after another call for advice.
     pub(super) fn leaves(&self, now: Timestamp) -> Timestamp {
-        now + self.ledger.wait(now)
+        now + self.ledger.expected_delay(now)
     }
 
-    /// Writes what has changed, unless a record is on its way.
+    /// Writes all changes that wait to be recorded, unless a write is in flight.
     ///
-    /// What comes up meanwhile goes into the next one, so records are grouped by the store's pace.
+    /// Changes that arrive meanwhile go into the next write, so that the store's latency determines the batch size.
     pub(super) fn keep(&mut self, now: Timestamp) {
-        if self.ledger.flight.is_some() || (self.ledger.is_waiting() && now < self.ledger.next) {
+        if self.ledger.in_flight.is_some()
+            || (self.ledger.is_waiting() && now < self.ledger.next_write)
+        {
             return;
         }
         let jobs = std::mem::take(&mut self.ledger.jobs);
         let workers = std::mem::take(&mut self.ledger.workers);
         let ends = std::mem::take(&mut self.ledger.ends);
-        // Before what runs on a worker that has come back under its id: the last entry of a key is the one that
-        // stands, and a new owner would start elsewhere what it doesn't find there.
+        // Removals come before the usage of a worker that has returned under the same id: the last entry of a key wins,
+        // and a new owner would start runs elsewhere that it doesn't find on record.
         let gone = std::mem::take(&mut self.ledger.gone);
         let mut entries: Vec<Entry> = gone.into_iter().map(Entry::Gone).collect();
         let mut snapshots = Vec::new();
@@ -172,7 +177,7 @@
             let decided = decided.filter(|(_, claim)| claim.phase == Phase::Recording);
             starts.extend(decided.map(|((task, run), _)| (slot, *task, *run)));
         }
-        let flight = Flight {
+        let flight = InFlight {
             since: now,
             jobs: snapshots,
             starts,
@@ -182,11 +187,12 @@
             self.acknowledge(&flight.ends, None);
             return;
         }
-        self.ledger.flight = Some(flight);
-        self.ledger.next = now + RECORD_GAP;
+        self.ledger.in_flight = Some(flight);
+        self.ledger.next_write = now + MIN_RECORD_INTERVAL;
         self.outbox.push(Effect::Record(entries));
     }
 
+    /// Returns the state of a job for the record write that is about to leave.
     fn snapshot(&self, id: JobId) -> Snapshot {
         let job = self.jobs.get(&id);
         let occurrences = job.map(|job| &job.occurrences).into_iter().flatten();
@@ -207,21 +213,22 @@
         }
     }
 
-    /// Notes that the record on its way is kept.
+    /// Handles the completion of the record write in flight.
     pub fn recorded(&mut self, now: Timestamp) {
-        let Some(flight) = self.ledger.flight.take() else {
+        let Some(flight) = self.ledger.in_flight.take() else {
             return;
         };
-        self.ledger.took = now.since(flight.since);
-        self.reports.note_record(self.ledger.took, now);
+        self.ledger.last_duration = now.since(flight.since);
+        self.reports.note_record(self.ledger.last_duration, now);
         self.send_starts(flight.starts, now);
         for snapshot in flight.jobs {
-            self.apply(snapshot, now);
+            self.apply_recorded(snapshot, now);
         }
         self.acknowledge(&flight.ends, Some(now));
     }
 
-    fn apply(&mut self, snapshot: Snapshot, now: Timestamp) {
+    /// Acts on the recorded state of a job: its end, and steps that may start.
+    fn apply_recorded(&mut self, snapshot: Snapshot, now: Timestamp) {
         let Some(job) = self.jobs.get_mut(&snapshot.job) else {
             return;
         };
@@ -247,15 +254,15 @@
         self.open_steps(snapshot.job, now);
     }
 
-    /// Lets workers forget ends that are on record or need none.
+    /// Acknowledges ends that are recorded, or need no record, so that workers may forget them.
     fn acknowledge(&mut self, ends: &BTreeMap<Slot, u64>, now: Option<Timestamp>) {
         for (slot, last) in ends {
             let Some(worker) = self.workers.get_mut(slot) else {
                 continue;
             };
-            let is_news = *last > worker.kept;
+            let is_newer = *last > worker.kept;
             worker.kept = worker.kept.max(*last);
-            if is_news && let Contact::Due(due) = worker.contact {
+            if is_newer && let Contact::Due(due) = worker.contact {
                 worker.contact = Contact::Due(now.unwrap_or(Timestamp::ZERO).min(due));
                 self.index(*slot);
             }
