--- a/crates/cell/src/engine/agenda.rs
+++ b/crates/cell/src/engine/agenda.rs
@@ -1,4 +1,4 @@
-//! The open steps in the order of their urgency.
+//! The open steps, ordered by urgency.
 
 use std::{
     collections::{
@@ -20,22 +20,22 @@
     StepId, //
 };
 
-/// The open steps, ranked; a step changes its place only when its job is late or worth nothing, or when the
-/// configuration changes.
+/// The open steps, ordered by rank.
 ///
-/// A pass over 20,000 steps that wait begins with the most urgent one and doesn't rank the others anew.
+/// The rank of a step changes only when its job becomes late or worth nothing, or when the configuration changes. Since
+/// ranks are stored, a pass over 20,000 waiting steps begins with the most urgent one without ranking the others again.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Agenda {
-    /// All of them, with their ranks once they have one.
+    /// All open steps, with their ranks once they are computed.
     steps: BTreeMap<StepId, Option<Rank>>,
     ranked: BTreeSet<Rank>,
     unranked: Vec<StepId>,
-    /// When ranks change.
+    /// The times at which ranks change.
     changes: Timers<StepId>,
 }
 
 impl Agenda {
-    /// Adds a step, unless it is there.
+    /// Adds a step, unless it is present.
     pub(super) fn insert(&mut self, id: StepId) {
         if let Entry::Vacant(place) = self.steps.entry(id) {
             place.insert(None);
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Takes a step out.
+    /// Removes a step.
     pub(super) fn remove(&mut self, id: StepId) {
         if let Some(Some(rank)) = self.steps.remove(&id) {
             self.ranked.remove(&rank);
@@ -51,7 +51,7 @@
         self.changes.set(id, None);
     }
 
-    /// Takes all steps of a job out.
+    /// Removes all steps of a job.
     pub(super) fn remove_job(&mut self, job: JobId) {
         let steps = self.steps.range(StepId::all_of(job));
         let steps: Vec<StepId> = steps.map(|(id, _)| *id).collect();
@@ -60,22 +60,22 @@
         }
     }
 
-    /// Has all steps ranked anew.
+    /// Marks all steps for ranking.
     pub(super) fn unrank(&mut self) {
         self.unranked = self.steps.keys().copied().collect();
     }
 
-    /// Has a step ranked anew.
+    /// Marks a step for ranking.
     pub(super) fn unrank_one(&mut self, id: StepId) {
         self.unranked.push(id);
     }
 
-    /// Returns the rank of an open step, once it has one.
+    /// Returns the rank of an open step, once it is computed.
     pub(super) fn rank_of(&self, id: StepId) -> Option<Rank> {
         self.steps.get(&id).copied().flatten()
     }
 
-    /// Takes the steps that are to be ranked now.
+    /// Removes and returns the steps that have to be ranked now.
     pub(super) fn take_unranked(&mut self, now: Timestamp) -> Vec<StepId> {
         let mut unranked = std::mem::take(&mut self.unranked);
         unranked.extend(self.changes.take_due(now));
@@ -83,7 +83,7 @@
         unranked
     }
 
-    /// Ranks a step until its rank changes.
+    /// Sets the rank of a step, and the time at which it changes.
     pub(super) fn rank(&mut self, rank: Rank, change: Option<Timestamp>) {
         let id = rank.step;
         if let Some(Some(before)) = self.steps.insert(id, Some(rank)) {
@@ -93,13 +93,13 @@
         self.changes.set(id, change);
     }
 
-    /// Returns the most urgent step, or the one that comes next after another.
+    /// Returns the rank that follows the given one, or that of the most urgent step if none is given.
     pub(super) fn after(&self, rank: Option<Rank>) -> Option<Rank> {
         let from = rank.map_or(Bound::Unbounded, Bound::Excluded);
         self.ranked.range((from, Bound::Unbounded)).next().copied()
     }
 
-    /// Returns how many there are.
+    /// Returns the number of open steps.
     pub(super) fn len(&self) -> usize {
         self.steps.len()
     }
--- a/crates/cell/src/engine/announce.rs
+++ b/crates/cell/src/engine/announce.rs
@@ -1,4 +1,5 @@
-//! Jobs whose acceptance is on its way to the store: all is prepared but the orders.
+//! Announced jobs: their acceptance is being recorded in the store, and meanwhile everything but the orders is
+//! prepared.
 
 use std::time::Duration;
 
@@ -21,27 +22,27 @@
     },
 };
 
-/// An announced job is given up when nothing was heard of its acceptance for this long: callers wait 3 s.
-const GIVEN_UP: Duration = Duration::from_secs(3);
+/// How long an announced job waits for its acceptance to be recorded before it is withdrawn: callers wait 3 s.
+const ANNOUNCEMENT_TIMEOUT: Duration = Duration::from_secs(3);
 
 impl Engine {
-    /// Takes a job whose acceptance is on its way; false where it is known already.
+    /// Adds a job whose acceptance is being recorded; returns false if the job is known already.
     ///
-    /// Its steps are asked about, placed and put on record at once. The orders leave when [`Self::submit`]
-    /// says that the acceptance is on record, and never if it doesn't: a caller that is told "not run" is
-    /// told the truth. It answers a slow store, where acceptance and start took 1.1 s one after the other at
-    /// 0.35 s a call, and take 0.6 s so.
+    /// The engine asks for advice on its steps, places them and records the starts at once. The orders leave when
+    /// [`Self::submit`] confirms that the acceptance is recorded, and never otherwise, so that a caller that is told
+    /// "not run" is told the truth. This hides the latency of a slow store: at 0.35 s a call, acceptance and start take
+    /// 1.1 s one after the other, and 0.6 s this way.
     pub fn announce(&mut self, accepted: Accepted, now: Timestamp) -> bool {
         let id = accepted.job;
         if self.jobs.contains_key(&id) || self.ended.contains_key(&id) {
             return false;
         }
-        self.announced.insert(id, now + GIVEN_UP);
+        self.announced.insert(id, now + ANNOUNCEMENT_TIMEOUT);
         self.insert(Job::new(accepted, &Progress::default()), now);
         true
     }
 
-    /// Gives up a job that was announced and is not on record, as far as anybody can tell.
+    /// Removes an announced job whose acceptance is not recorded, as far as is known.
     pub fn withdraw(&mut self, id: JobId, now: Timestamp) {
         if self.announced.remove(&id).is_none() {
             return;
@@ -50,7 +51,7 @@
             self.release(slot, task, run, now);
         }
         for (slot, task, run) in self.runs_of(id) {
-            // None of its orders has left.
+            // None of the orders has left, so the runs can be released without a stop.
             self.release(slot, task, run, now);
         }
         self.jobs.remove(&id);
@@ -58,7 +59,7 @@
         self.aside.retain(|step| step.job != id);
     }
 
-    /// Gives up the announced jobs of which nothing was heard.
+    /// Withdraws the announced jobs whose acceptance was not confirmed in time.
     pub(super) fn expire_announced(&mut self, now: Timestamp) {
         let overdue = self.announced.iter().filter(|(_, until)| **until <= now);
         let overdue: Vec<JobId> = overdue.map(|(id, _)| *id).collect();
@@ -67,7 +68,9 @@
         }
     }
 
-    /// Notes that an announced job is on record, and orders what waited for that.
+    /// Notes that the acceptance of an announced job is recorded, and sends the orders that waited for it.
+    ///
+    /// Returns false if the job was not announced.
     pub(super) fn confirm_announced(&mut self, id: JobId, now: Timestamp) -> bool {
         if self.announced.remove(&id).is_none() {
             return false;
@@ -77,26 +80,27 @@
         true
     }
 
-    /// Has the tasks of a job wait for runs of it that were found before it was known.
+    /// Assigns runs that were found before their job was known to its tasks, which don't start again until these are
+    /// gone.
     ///
-    /// Their orders have never left, but they stand on record, and a task must not stand there twice: the next
-    /// owner could not tell which run is the one that may be under way.
+    /// The orders of these runs never left, but the runs are on record, and a task must not have two runs there: the
+    /// next owner could not tell which of them may be under way.
     pub(super) fn claim_strangers(&mut self, id: JobId) {
         for (slot, task, run) in self.strangers.remove(&id).unwrap_or_default() {
             let stage = self.jobs.get_mut(&id);
             let Some(stage) = stage.and_then(|job| job.stage_mut(task.step)) else {
                 continue;
             };
-            if let Some(own) = stage.task_mut(task.index)
-                && !own.is_done
+            if let Some(state) = stage.task_mut(task.index)
+                && !state.is_done
             {
-                own.note_run(slot, run);
+                state.note_run(slot, run);
                 stage.waiting.remove(&task.index);
             }
         }
     }
 
-    /// Notes that a run of a job that is not known is gone.
+    /// Notes that a run of an unknown job is gone.
     pub(super) fn forget_stranger(&mut self, slot: Slot, task: TaskId, run: Run) {
         let Some(strangers) = self.strangers.get_mut(&task.step.job) else {
             return;
@@ -107,6 +111,7 @@
         }
     }
 
+    /// Removes and returns the starts of a job that wait for its acceptance.
     fn take_held(&mut self, id: JobId) -> Vec<(Slot, TaskId, Run)> {
         let (held, kept) = std::mem::take(&mut self.held)
             .into_iter()
@@ -115,12 +120,13 @@
         held
     }
 
+    /// Returns all runs of a job that workers may hold.
     fn runs_of(&self, id: JobId) -> Vec<(Slot, TaskId, Run)> {
         let workers = self.workers.iter();
         let runs = workers.flat_map(|(slot, worker)| {
             let keys = worker.claims.keys();
-            let own = keys.filter(|(task, _)| task.step.job == id);
-            own.map(move |(task, run)| (*slot, *task, *run))
+            let runs = keys.filter(|(task, _)| task.step.job == id);
+            runs.map(move |(task, run)| (*slot, *task, *run))
         });
         runs.collect()
     }
--- a/crates/cell/src/engine/evacuate.rs
+++ b/crates/cell/src/engine/evacuate.rs
@@ -1,7 +1,7 @@
-//! Data centres that are evacuated: no start leaves for their workers, whichever way it came.
+//! Evacuated data centres: no order to start a task leaves for their workers, by any code path.
 //!
-//! What runs there runs on. While it isn't known which data centres are evacuated, or that was read too long ago, nothing is
-//! started anywhere: the operator may have evacuated any of them since.
+//! Running tasks go on. While it is unknown which data centres are evacuated, or the last reading is too old, nothing
+//! is started anywhere, since the operator may have evacuated any of them since.
 
 use fulmarpier_state::clock::Timestamp;
 
@@ -15,7 +15,7 @@
     worker::Worker, //
 };
 
-/// What a reading of the operator's records has told.
+/// The result of reading the operator's records, with its time.
 #[derive(Clone, Debug)]
 pub(super) struct Reading {
     evacuation: Evacuation,
@@ -23,7 +23,7 @@
 }
 
 impl Engine {
-    /// Takes in which data centres are evacuated, as was read at a moment.
+    /// Sets which data centres are evacuated, according to a reading made at `read`.
     pub fn evacuate(&mut self, evacuation: Evacuation, read: Timestamp, now: Timestamp) {
         let was_known = self.knows_evacuation(now);
         let before = self.evacuation.replace(Reading {
@@ -31,18 +31,18 @@
             at: read,
         });
         let after = self.evacuation.as_ref();
-        let is_news = before.as_ref().map(|before| &before.evacuation)
+        let has_changed = before.as_ref().map(|before| &before.evacuation)
             != after.map(|after| &after.evacuation);
-        if is_news {
+        if has_changed {
             for slot in self.workers.keys().copied().collect::<Vec<_>>() {
                 self.mark_evacuated(slot);
             }
         }
-        self.is_stirred |= is_news || !was_known;
+        self.is_stirred |= has_changed || !was_known;
     }
 
-    /// Returns whether it is known which data centres are evacuated, by a reading that is recent enough for an order to
-    /// start that leaves now.
+    /// Returns whether the last reading of the evacuated data centres is recent enough for an order to start that
+    /// leaves now.
     pub(super) fn knows_evacuation(&self, now: Timestamp) -> bool {
         let Some(reading) = &self.evacuation else {
             return false;
@@ -51,7 +51,7 @@
         most.is_none_or(|most| now.since(reading.at) <= most)
     }
 
-    /// Notes of a worker whether its data centre is evacuated.
+    /// Updates whether the data centre of a worker is evacuated.
     pub(super) fn mark_evacuated(&mut self, slot: Slot) {
         let Some(worker) = self.workers.get_mut(&slot) else {
             return;
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Returns why no order to start may leave for a worker now, as one word, where evacuations are what forbids it.
+    /// Returns why evacuations forbid an order to start on a worker now, as one word; `None` if they allow it.
     pub(super) fn evacuation_forbids(
         &self,
         worker: &Worker,
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Returns whether workers of a step's pool would take its tasks if their data centres were not evacuated.
+    /// Returns whether a worker of a step's pool in an evacuated data centre is large enough for its tasks.
     pub(super) fn is_pool_evacuated(&self, demand: &Demand<'_>) -> bool {
         let mut workers = self.workers.values();
         workers.any(|worker| {
--- a/crates/cell/src/engine/forget.rs
+++ b/crates/cell/src/engine/forget.rs
@@ -1,4 +1,4 @@
-//! Jobs that are over: what is on record of them shrinks to how they ended.
+//! Removal of jobs that are over: only their outcome stays, in memory and on record.
 
 use std::time::Duration;
 
@@ -20,43 +20,44 @@
     record::Cancellation, //
 };
 
-/// How often jobs are forgotten: each time costs an append a partition.
-const SWEEP: Duration = Duration::from_secs(3);
-/// The memory of how many forgotten jobs is given back with one event: that of 1,400 at once, with their tasks and
-/// tickets, kept other events waiting for 5 ms of a whole core.
-const DROPPED_AT_ONCE: usize = 32;
-/// A job is forgotten this long after its end, when callers have mostly asked for it.
-const SETTLED: Duration = Duration::from_secs(2);
+/// The interval between two removals of jobs that are over: each costs one append per partition.
+const FORGET_INTERVAL: Duration = Duration::from_secs(3);
+/// The maximum number of removed jobs whose memory is freed in one call of [`Engine::advance`].
+///
+/// Freeing 1,400 jobs at once, with their tasks and tickets, delays other events by 5 ms of a whole core.
+const MAX_JOBS_FREED_AT_ONCE: usize = 32;
+/// How long a job is kept after its end: by then, most callers have queried it.
+const FORGET_DELAY: Duration = Duration::from_secs(2);
 
 impl Engine {
-    /// Notes that a job is over.
+    /// Queues a job that is over for removal.
     pub(super) fn note_over(&mut self, id: JobId, now: Timestamp) {
         self.over.push((now, id));
     }
 
-    /// Forgets what jobs that are over were to run, here and on record.
+    /// Removes the specifications of jobs that are over, from memory and from the store.
     ///
-    /// How they ended stays. A takeover reads what is open and some 30 bytes of each job that is over, not all
-    /// that was ever handed in: of 12,000 jobs that are over 0.32 MB instead of 4.32 MB (bytes of keys and
-    /// values; two tasks and 250 bytes of text a job).
+    /// Their outcomes stay. A takeover therefore reads the open jobs and about 30 bytes of each job that is over,
+    /// rather than all jobs ever submitted: for 12,000 jobs that are over, 0.32 MB instead of 4.32 MB (bytes of keys
+    /// and values; two tasks and 250 bytes of text a job).
     ///
-    /// A job that a worker may still run keeps its sizes: its room has to be counted.
+    /// A job that a worker may still run is kept, since its sizes are needed to count the room that it takes.
     pub(super) fn forget_ended(&mut self, now: Timestamp) {
-        let left = self.dropped.len().saturating_sub(DROPPED_AT_ONCE);
+        let left = self.dropped.len().saturating_sub(MAX_JOBS_FREED_AT_ONCE);
         self.dropped.truncate(left);
         if now < self.next_sweep {
             return;
         }
-        self.next_sweep = now + SWEEP;
+        self.next_sweep = now + FORGET_INTERVAL;
         let claims = self.workers.values().flat_map(|worker| &worker.claims);
         let claimed: HashSet<JobId> = claims.map(|((task, _), _)| task.step.job).collect();
         let over = std::mem::take(&mut self.over);
         for (since, id) in over {
-            // Of a job that is only announced nothing is on record that could be taken off.
-            let is_due = now.since(since) >= SETTLED
+            // The acceptance of an announced job is not on record yet, so there is nothing to remove.
+            let is_due = now.since(since) >= FORGET_DELAY
                 && !claimed.contains(&id)
                 && !self.announced.contains_key(&id);
-            if is_due && self.is_end_kept(id) {
+            if is_due && self.is_end_recorded(id) {
                 self.forget(id);
             } else {
                 self.over.push((since, id));
@@ -69,15 +70,16 @@
         }
     }
 
-    /// Returns whether how a job ended is on record.
-    fn is_end_kept(&self, id: JobId) -> bool {
+    /// Returns whether the end of a job is on record.
+    fn is_end_recorded(&self, id: JobId) -> bool {
         let Some(job) = self.jobs.get(&id) else {
             return true;
         };
-        // A cancellation is on record before it is told.
+        // A cancellation is recorded before the engine is told of it.
         job.kept_outcome.is_some() || (job.is_cancelled && job.outcome.is_none())
     }
 
+    /// Removes a job, and queues its acceptance for removal from the store.
     fn forget(&mut self, id: JobId) {
         let Some(job) = self.jobs.remove(&id) else {
             return;
@@ -99,7 +101,7 @@
             job: id,
             workspace,
             partition,
-            // Without its acceptance, only this says that the job was handed in.
+            // Once the acceptance is removed, only this records that the job was submitted.
             cancellation: unseen.map(|noted| {
                 *noted = Cancellation::Seen;
                 *noted
