--- a/crates/cell/src/engine/ask.rs
+++ b/crates/cell/src/engine/ask.rs
@@ -135,7 +135,7 @@
         self.call_planned(id, now);
     }
 
-    /// Returns the workers that could run a step and were not asked about yet, with at least `least` processor time
+    /// Returns the workers that could run a step and were not asked about yet, with at least `min_cpu` processor time
     /// left.
     ///
     /// Those with the most room come first.
@@ -143,10 +143,10 @@
         &'a self,
         demand: &'a Demand<'_>,
         stage: &'a Stage,
-        least: Millicores,
+        min_cpu: Millicores,
         now: Timestamp,
     ) -> impl Iterator<Item = (Slot, &'a Worker)> {
-        let slots = self.rooms.from(&demand.queue.pool, least).rev();
+        let slots = self.rooms.from(&demand.queue.pool, min_cpu).rev();
         let slots = slots.filter(|slot| !stage.advice.has_named(*slot));
         let workers = slots.filter_map(|slot| Some((slot, self.workers.get(&slot)?)));
         workers.filter(move |(_, worker)| {
@@ -230,8 +230,8 @@
         let allowed = allowed.filter(|(_, worker)| !worker.is_evacuated);
         let allowed: f64 = allowed.map(|(_, worker)| fits(worker)).sum();
         let tasks = stage.waiting.len() as f64;
-        let unnamed = |least| {
-            let unnamed = self.unnamed_workers(demand, stage, least, now);
+        let unnamed = |min_cpu| {
+            let unnamed = self.unnamed_workers(demand, stage, min_cpu, now);
             unnamed.filter(|(slot, _)| !reserved.holds(*slot, demand.id))
         };
         if demand.step.gang {
@@ -275,11 +275,11 @@
             .div_ceil(MAX_WORKERS_PER_CALL)
             .min(MAX_CALLS_PER_STEP);
         // Equal calls take equally long, so that their answers arrive together.
-        let each = named
+        let call_size = named
             .len()
             .div_ceil(calls.max(1))
             .clamp(1, MAX_WORKERS_PER_CALL);
-        let planned = named.chunks(each).take(calls).map(<[Slot]>::to_vec);
+        let planned = named.chunks(call_size).take(calls).map(<[Slot]>::to_vec);
         let planned: Vec<Vec<Slot>> = planned.collect();
         if let Some(stage) = self.jobs.get_mut(&id.job).and_then(|job| job.stage_mut(id)) {
             stage.advice.planned = planned;
--- a/crates/cell/src/engine/crash.rs
+++ b/crates/cell/src/engine/crash.rs
@@ -316,13 +316,13 @@
     /// Indexes the recorded crashes of a job by their workers, in case these answer again or turn out to be gone.
     pub(super) fn inherit_crashes(&mut self, job: JobId, progress: &Progress) {
         for (occurrence, steps) in &progress.occurrences {
-            for (step, kept) in (0u16..).zip(steps) {
+            for (step, step_progress) in (0u16..).zip(steps) {
                 let id = StepId {
                     job,
                     occurrence: *occurrence,
                     step,
                 };
-                for recorded in &kept.crashes {
+                for recorded in &step_progress.crashes {
                     for crash in &recorded.crashes {
                         self.index_crash(&crash.worker, id.task(recorded.index));
                     }
--- a/crates/cell/src/engine/end.rs
+++ b/crates/cell/src/engine/end.rs
@@ -163,9 +163,9 @@
         }
         state.failures.push(run);
         let failures = u32::try_from(state.failures.len()).unwrap_or(u32::MAX);
-        let is_spent = failures >= tries.max(1);
+        let is_exhausted = failures >= tries.max(1);
         self.ledger.add_job(task.step.job);
-        if is_spent {
+        if is_exhausted {
             job.outcome = Some(Outcome::Failed);
             self.close(task.step.job, "job-failed", now);
         }
--- a/crates/cell/src/engine/evacuate.rs
+++ b/crates/cell/src/engine/evacuate.rs
@@ -47,8 +47,8 @@
         let Some(reading) = &self.evacuation else {
             return false;
         };
-        let most = self.bounds.evacuation_age();
-        most.is_none_or(|most| now.since(reading.at) <= most)
+        let max_age = self.bounds.evacuation_age();
+        max_age.is_none_or(|max_age| now.since(reading.at) <= max_age)
     }
 
     /// Updates whether the data centre of a worker is evacuated.
--- a/crates/cell/src/engine/job.rs
+++ b/crates/cell/src/engine/job.rs
@@ -75,7 +75,7 @@
     pub(super) done: u16,
     /// How many tasks are done according to the store; later steps start by this number.
     pub(super) kept: u16,
-    /// When the step's predecessors were done, so that it could start.
+    /// When the step was opened: its predecessors are done, so that it may start.
     pub(super) opened: Option<Timestamp>,
     pub(super) advice: Advice,
     /// The wait reason that was last logged.
@@ -118,7 +118,7 @@
 }
 
 impl Stage {
-    fn new(step: &Step, kept: &StepProgress) -> Self {
+    fn new(step: &Step, recorded: &StepProgress) -> Self {
         let mut stage = Self {
             tasks: vec![Task::default(); usize::from(step.count)],
             waiting: BTreeSet::new(),
@@ -131,18 +131,18 @@
             gang_since: Timestamp::ZERO,
             started_before: 0,
         };
-        for failures in &kept.failures {
+        for failures in &recorded.failures {
             if let Some(task) = stage.tasks.get_mut(usize::from(failures.index)) {
                 task.failures.clone_from(&failures.runs);
             }
         }
-        for crashes in &kept.crashes {
+        for crashes in &recorded.crashes {
             if let Some(task) = stage.tasks.get_mut(usize::from(crashes.index)) {
                 task.crashes.clone_from(&crashes.crashes);
             }
         }
         for index in 0..step.count {
-            if kept.is_done(index) {
+            if recorded.is_done(index) {
                 stage.tasks[usize::from(index)].is_done = true;
                 stage.done += 1;
             } else {
@@ -211,7 +211,7 @@
     /// The account of its workspace, if it belongs to one.
     pub(super) account: Option<quota::Slot>,
     pub(super) is_cancelled: bool,
-    /// Whether a task of the job is known to have run on a worker, to this owner or by the store.
+    /// Whether a task of the job is known to have run on a worker, by this owner or from the store.
     pub(super) has_begun: bool,
     pub(super) occurrences: BTreeMap<u32, Vec<Stage>>,
     /// The outcome, once it is decided.
@@ -265,7 +265,7 @@
     }
 
     /// Creates the stages of an occurrence from its recorded progress, unless it exists.
-    pub(super) fn begin_occurrence(&mut self, occurrence: u32, kept: &[StepProgress]) {
+    pub(super) fn begin_occurrence(&mut self, occurrence: u32, recorded: &[StepProgress]) {
         let none = StepProgress::default();
         let stages = self
             .accepted
@@ -273,7 +273,7 @@
             .steps
             .iter()
             .enumerate()
-            .map(|(index, step)| Stage::new(step, kept.get(index).unwrap_or(&none)))
+            .map(|(index, step)| Stage::new(step, recorded.get(index).unwrap_or(&none)))
             .collect();
         self.occurrences.entry(occurrence).or_insert(stages);
     }
--- a/crates/cell/src/engine/keep.rs
+++ b/crates/cell/src/engine/keep.rs
@@ -113,10 +113,10 @@
     ///
     /// A write in flight has to finish first.
     fn expected_delay(&self, now: Timestamp) -> Duration {
-        let whole = self.last_duration.min(MAX_EXPECTED_RECORD_DURATION);
+        let duration = self.last_duration.min(MAX_EXPECTED_RECORD_DURATION);
         let flight = self.in_flight.as_ref();
-        let rest = flight.map(|flight| whole.saturating_sub(now.since(flight.since)));
-        rest.unwrap_or_default() + whole
+        let remaining = flight.map(|flight| duration.saturating_sub(now.since(flight.since)));
+        remaining.unwrap_or_default() + duration
     }
 
     /// Returns the time of the next record write, if changes wait for it.
