--- a/crates/cell/src/engine/loss.rs
+++ b/crates/cell/src/engine/loss.rs
@@ -1,4 +1,4 @@
-//! Workers that are lost, and what becomes of the runs that they held.
+//! Lost workers, and the runs that they held.
 
 use std::time::Duration;
 
@@ -20,12 +20,12 @@
     },
 };
 
-/// For this long a worker whose leases have lapsed may come back with ends to tell; cuts of workers
-/// last some seconds beyond their leases.
-const COMES_BACK: Duration = Duration::from_secs(12);
+/// How long a worker whose leases have lapsed may take to come back and report ends of runs. Network outages of workers
+/// last some seconds longer than their leases.
+const LATE_RETURN_PERIOD: Duration = Duration::from_secs(12);
 
 impl Engine {
-    /// Gives back the room of a run that is certainly gone, and lets its task be started again.
+    /// Frees the resources of a run that is certainly gone, and lets its task be restarted.
     pub(super) fn release(&mut self, slot: Slot, task: TaskId, run: Run, now: Timestamp) {
         self.is_stirred = true;
         if let Some(worker) = self.workers.get_mut(&slot) {
@@ -34,7 +34,7 @@
             if let Some(charge) = charge {
                 self.quotas.credit(charge.account, charge.size);
             }
-            // A record that lists it elsewhere must not be kept before one that doesn't list it here.
+            // A record that lists the run at another worker must not be written before one that removes it here.
             self.ledger.add_worker(slot);
         }
         self.orders.remove(&(slot, task, run));
@@ -59,13 +59,13 @@
         self.agenda.insert(task.step);
     }
 
-    /// Notes that an incarnation is gone with all that it ran.
+    /// Removes an incarnation that is gone, with all its runs.
     pub(super) fn lose_worker(&mut self, slot: Slot, why: &'static str, now: Timestamp) {
         self.note_worker(slot, why, now);
         self.note_losses(slot, why, now);
         self.count_crashes(slot, now);
         self.release_all(slot, now);
-        // It may come back under its id before all that was ordered has arrived.
+        // The worker may come back under the same id while orders to the former incarnation are still in flight.
         self.fence = self.fence.raised();
         if let Some(worker) = self.workers.remove(&slot) {
             self.slots.remove(&worker.registration.id);
@@ -74,7 +74,7 @@
         self.index(slot);
     }
 
-    /// Tells which runs are given up with a worker.
+    /// Logs the runs that are lost with a worker.
     pub(super) fn note_losses(&mut self, slot: Slot, why: &'static str, now: Timestamp) {
         let Some(worker) = self.workers.get(&slot) else {
             return;
@@ -108,25 +108,26 @@
         runs.map(|(key, _)| *key).collect()
     }
 
-    /// Notes that the runs of a worker that is given up on may have failed there.
-    fn doubt_runs(&mut self, slot: Slot, now: Timestamp) {
+    /// Notes that the runs of a worker that is declared lost may have failed there.
+    fn note_possible_failures(&mut self, slot: Slot, now: Timestamp) {
         for (task, run) in self.runs_on(slot, |_| true) {
             let stage = self.jobs.get_mut(&task.step.job);
             let stage = stage.and_then(|job| job.stage_mut(task.step));
             if let Some(own) = stage.and_then(|stage| stage.task_mut(task.index)) {
-                own.lost.push((run, now + COMES_BACK));
+                own.lost.push((run, now + LATE_RETURN_PERIOD));
             }
         }
     }
 
+    /// Releases all runs of a worker.
     fn release_all(&mut self, slot: Slot, now: Timestamp) {
         for (task, run) in self.runs_on(slot, |_| true) {
             self.release(slot, task, run, now);
         }
     }
 
-    /// Gives up what ran on workers whose leases have certainly lapsed, and forgets workers that answer, but that
-    /// nobody lists and that run nothing.
+    /// Declares the runs lost on workers whose leases have certainly lapsed, and forgets workers that have been
+    /// unlisted for a while and run nothing.
     pub(super) fn expire_workers(&mut self, now: Timestamp) {
         for slot in self.expiries.take_due(now) {
             self.expire_worker(slot, now);
@@ -145,7 +146,7 @@
             }
             return;
         }
-        self.doubt_runs(slot, now);
+        self.note_possible_failures(slot, now);
         if is_listed {
             self.note_worker(slot, "lapsed", now);
             self.note_losses(slot, "lapsed", now);
--- a/crates/cell/src/engine/mod.rs
+++ b/crates/cell/src/engine/mod.rs
@@ -1,27 +1,28 @@
-//! The scheduler of a whole cell: events and the time go in, effects come out.
+//! The scheduler of a whole cell as a deterministic state machine: it takes events and the current time and returns
+//! effects.
 //!
 //! | module | what it does |
 //! |---|---|
-//! | `announce` | prepares jobs whose acceptance is on its way |
-//! | `shrink` | workers that have less room than they had |
-//! | `limit` | what workspaces have running, against their limits |
-//! | `submit` | takes jobs and cancellations, opens steps whose turn has come |
-//! | `schedule` | goes through the open steps in order of urgency |
+//! | `announce` | prepares jobs whose acceptance is not yet on record |
+//! | `shrink` | handles workers whose capacity has decreased |
+//! | `limit` | enforces the resource limits of workspaces |
+//! | `submit` | accepts jobs and cancellations, opens steps that are ready |
+//! | `schedule` | tries to place the open steps in order of urgency |
 //! | `place` | finds workers for single tasks and gangs |
-//! | `reserve` | makes room for a gang or an urgent task by preemption |
+//! | `reserve` | reserves workers and preempts tasks for a gang or an urgent task |
 //! | `ask` | asks which workers may run a step |
-//! | `order` | answers to orders, and stops until they are settled |
-//! | `wait` | tells why steps wait, and sets aside those that no worker can run |
-//! | `pace` | slows filling tasks that disturb serving ones |
-//! | `contact` | workers that come, their leases and their inventories |
-//! | `evacuate` | data centres in which nothing new is started |
-//! | `crash` | tasks under which workers go down: run alone, and given up |
-//! | `restart` | workers that come back under their ids |
-//! | `loss` | workers that are lost, and what becomes of their runs |
-//! | `end` | ends of runs, tries, and ends of jobs |
-//! | `forget` | shrinks what is on record of jobs that are over |
-//! | `keep` | what is put on record, and what that allows |
-//! | `view` | what callers and operators see |
+//! | `order` | handles answers to orders, and repeats stops until they are settled |
+//! | `wait` | reports why steps wait, and sets aside those that no worker can run |
+//! | `pace` | throttles best-effort tasks that disturb latency-sensitive ones |
+//! | `contact` | handles newly listed workers, leases and inventories |
+//! | `evacuate` | tracks data centres in which nothing new is started |
+//! | `crash` | isolates, and finally fails, tasks that crash their workers |
+//! | `restart` | handles new incarnations of known workers |
+//! | `loss` | handles lost workers and their runs |
+//! | `end` | handles ends of runs, attempts, and ends of jobs |
+//! | `forget` | compacts the records of jobs that are over |
+//! | `keep` | writes records, and continues what waited for them |
+//! | `view` | provides what callers and operators see |
 
 mod agenda;
 mod announce;
@@ -66,9 +67,9 @@
     agenda::Agenda,
     job::Job,
     keep::Ledger,
-    room::Rooms,
+    room::FreeCapacity,
     schedule::Rank,
-    shrink::Reports,
+    shrink::ReportValidity,
     timer::Timers, //
 };
 pub use self::{
@@ -123,20 +124,20 @@
     workspace::WorkspaceName,
 };
 
-/// A worker's place in the engine's tables; never used for another worker.
+/// A worker's index in the engine's tables. An index is never reused for another worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Slot(u32);
 
 impl Slot {
     const FIRST: Self = Self(0);
 
-    /// Returns its place in a list by slot.
+    /// Returns the position in a list that is indexed by slot.
     const fn index(self) -> usize {
         self.0 as usize
     }
 }
 
-/// What an order to start carries, apart from what is decided when it leaves.
+/// The contents of a start order that are known before it is sent.
 #[derive(Clone, Debug)]
 struct Order {
     text: Arc<str>,
@@ -144,20 +145,20 @@
     ticket: Option<Ticket>,
 }
 
-/// What a new owner has read from the store.
+/// The state that a new owner has read from the store.
 #[derive(Clone, Debug, Default)]
 pub struct Inheritance {
-    /// The jobs that were accepted.
+    /// The accepted jobs.
     pub accepted: Vec<Accepted>,
-    /// The jobs that were cancelled.
+    /// The cancelled jobs.
     pub cancelled: Vec<Cancelled>,
-    /// How far jobs have come.
+    /// The recorded progress of jobs.
     pub progress: Vec<(JobId, Progress)>,
-    /// What workers may run by order of former owners.
+    /// What workers may be running on orders of former owners.
     pub workers: Vec<(WorkerId, Usage)>,
 }
 
-/// What is remembered of a job of which nothing has to run any more.
+/// What remains in memory of a job that is over.
 #[derive(Clone, Debug)]
 struct Ended {
     outcome: Outcome,
@@ -168,81 +169,81 @@
 #[derive(Debug)]
 pub struct Engine {
     epoch: Epoch,
-    /// The highest fence that any worker's orders carry.
+    /// The highest fence carried by orders to any worker.
     fence: Fence,
     bounds: Bounds,
     config: Config,
     jobs: HashMap<JobId, Job>,
-    /// All cancellations by the workspace of who cancelled, also of jobs that may turn up later.
+    /// All cancellations, keyed by job and by the canceller's workspace; includes jobs that are not known yet.
     cancelled: BTreeMap<(JobId, Option<WorkspaceName>), Cancellation>,
-    /// How jobs ended of which nothing else is remembered.
+    /// The outcomes of jobs of which nothing else is kept in memory.
     ended: HashMap<JobId, Ended>,
-    /// What workspaces have running, and their limits.
+    /// The resources in use by each workspace, and its limit.
     quotas: quota::Ledger,
-    /// Jobs that are over, by when that was learnt.
+    /// Jobs that are over, with the time at which this became known.
     over: Vec<(Timestamp, JobId)>,
-    /// Jobs that are forgotten and whose memory is given back bit by bit.
+    /// Forgotten jobs whose memory is freed incrementally.
     dropped: Vec<Job>,
-    /// Acceptances that are to be taken off the record, with their partitions.
+    /// Acceptances to be deleted from the record, with their partitions.
     forgotten: Vec<Forgotten>,
-    /// When jobs that are over are looked at next.
+    /// When the jobs that are over are checked next.
     next_sweep: Timestamp,
     workers: BTreeMap<Slot, Worker>,
     slots: HashMap<WorkerId, Slot>,
-    /// Which reports of workers say how much room there is.
-    reports: Reports,
+    /// Which worker reports are recent enough to trust their capacity.
+    reports: ReportValidity,
     next_slot: u32,
-    /// Steps whose turn has come and that have tasks to start.
+    /// Open steps that have tasks to start.
     agenda: Agenda,
-    /// Steps whose turn has come and that no known worker could run.
+    /// Open steps that no known worker could run.
     aside: BTreeSet<StepId>,
-    /// The workers by what they have left.
-    rooms: Rooms,
-    /// Which data centres are evacuated; nothing is started before that is known.
+    /// The workers, indexed by their free resources.
+    rooms: FreeCapacity,
+    /// Which data centres are evacuated. Nothing is started until this is known.
     evacuation: Option<evacuate::Reading>,
-    /// When workers are called next.
+    /// When each worker is called next.
     calls: Timers<Slot>,
-    /// When workers that are silent or not listed may have to be given up or forgotten.
+    /// When workers that are silent or unlisted may have to be declared lost or be forgotten.
     expiries: Timers<Slot>,
-    /// When runs that have to end are told so next.
+    /// When the next stop order is sent for each run that has to end.
     stops: Timers<(Slot, TaskId, Run)>,
-    /// When occurrences of jobs are due.
+    /// When occurrences of scheduled jobs are due.
     due: BTreeSet<(Timestamp, JobId, u32)>,
-    /// The tasks that are suspected since a worker seems to have gone down, in case it answers again.
+    /// The tasks suspected of crashing a worker, by worker. The suspicion is withdrawn if the worker answers again.
     crashed: HashMap<WorkerId, Vec<TaskId>>,
     desk: Desk,
     experience: Experience,
     ledger: Ledger,
-    /// Jobs whose acceptance is not on record yet, and until when that is waited for.
+    /// Jobs whose acceptance is not on record yet, and how long to wait for it.
     announced: BTreeMap<JobId, Timestamp>,
-    /// Runs of jobs that are not known: a former owner had heard of them before they were on record.
+    /// Runs of unknown jobs, which a former owner learned of before their acceptance was on record.
     strangers: HashMap<JobId, Vec<(Slot, TaskId, Run)>>,
-    /// Starts that are on record and wait for the acceptance of their job.
+    /// Recorded starts that wait until the acceptance of their job is on record too.
     held: Vec<(Slot, TaskId, Run)>,
-    /// Orders that wait for their record.
+    /// Start orders by run, kept until the worker has answered.
     orders: HashMap<(Slot, TaskId, Run), Order>,
-    /// How many gangs of each queue have started.
+    /// The number of gangs started in each queue.
     gangs_started: HashMap<QueueName, u64>,
-    /// The late gang of each queue that is ranked with those in time.
+    /// The late gang of each queue that is ranked as if it were in time, so that it can't be overtaken forever.
     promoted: HashMap<QueueName, StepId>,
-    /// The worker that is being emptied for each step with tasks that have to run alone.
+    /// For each step with tasks that have to run alone, the worker that is being drained for it.
     emptying: BTreeMap<StepId, Slot>,
-    /// Whether something has changed that may let a task start.
+    /// Whether a change may allow a waiting task to start, so that a scheduling pass is needed.
     is_stirred: bool,
-    /// Where among the steps that were passed over the last pass has left off.
-    turn: Option<Rank>,
-    /// When the steps that were passed over are looked at again, if nothing happens before.
-    look_again: Option<Timestamp>,
-    /// Before this the open steps are not gone through again.
+    /// The last step examined by the previous pass beyond its main budget, from where the next pass continues.
+    resume_after: Option<Rank>,
+    /// When the skipped steps are retried, if no event triggers a pass before.
+    retry_skipped_at: Option<Timestamp>,
+    /// The earliest time of the next scheduling pass.
     next_pass: Timestamp,
     outbox: Vec<Effect>,
 }
 
 impl Engine {
-    /// Makes the engine of a new ownership from what the store keeps.
+    /// Creates the engine of a new owner from the stored state.
     ///
-    /// A task that a worker may still run by order of a former owner starts again only once that
-    /// worker was heard of, or has let its leases lapse.
+    /// A task that a worker may still be running on an order of a former owner is restarted only after that worker has
+    /// answered or all its leases have lapsed.
     pub fn new(epoch: Epoch, bounds: Bounds, inheritance: Inheritance, now: Timestamp) -> Self {
         let mut engine = Self {
             epoch,
@@ -259,11 +260,11 @@
             next_sweep: now,
             workers: BTreeMap::new(),
             slots: HashMap::default(),
-            reports: Reports::default(),
+            reports: ReportValidity::default(),
             next_slot: 0,
             agenda: Agenda::default(),
             aside: BTreeSet::new(),
-            rooms: Rooms::default(),
+            rooms: FreeCapacity::default(),
             evacuation: None,
             calls: Timers::default(),
             expiries: Timers::default(),
@@ -281,8 +282,8 @@
             promoted: HashMap::default(),
             emptying: BTreeMap::new(),
             is_stirred: true,
-            turn: None,
-            look_again: None,
+            resume_after: None,
+            retry_skipped_at: None,
             next_pass: now,
             outbox: Vec::new(),
         };
@@ -291,7 +292,7 @@
         }
         let mut progress: HashMap<JobId, Progress> = inheritance.progress.into_iter().collect();
         for accepted in inheritance.accepted {
-            engine.inherit(accepted, &mut progress, now);
+            engine.restore_job(accepted, &mut progress, now);
         }
         let over = progress.into_iter();
         let over = over.filter_map(|(job, progress)| {
@@ -311,17 +312,17 @@
         engine
     }
 
-    /// Returns the ownership that the engine acts under.
+    /// Returns the epoch of the ownership that the engine acts under.
     pub const fn epoch(&self) -> Epoch {
         self.epoch
     }
 
-    /// Returns how many workers are known.
+    /// Returns the number of known workers.
     pub fn worker_count(&self) -> usize {
         self.workers.len()
     }
 
-    /// Puts a configuration in force; an older one than the present changes nothing.
+    /// Applies a configuration, unless it is older than the current one.
     pub fn configure(&mut self, config: Config) {
         if config.version >= self.config.version {
             self.config = config;
@@ -332,7 +333,7 @@
         }
     }
 
-    /// Says which nodes can ask for advice.
+    /// Sets the nodes that can ask for advice.
     pub fn set_hands(&mut self, nodes: &[NodeName], now: Timestamp) {
         for call in self.desk.set_hands(nodes) {
             self.unask(&call, now);
@@ -340,16 +341,16 @@
         self.is_stirred = true;
     }
 
-    /// Does what is due and hands out what has to be done; nothing of it may be dropped.
+    /// Handles everything that is due and returns the effects to carry out. The caller must not drop any of them.
     pub fn advance(&mut self, now: Timestamp) -> Vec<Effect> {
-        self.reports.weigh(now);
+        self.reports.update(now);
         self.is_stirred |= self.desk.wake(now);
-        self.open_due(now);
+        self.begin_due_occurrences(now);
         self.expire_workers(now);
         self.expire_announced(now);
         self.send_stops(now);
-        if self.look_again.is_some_and(|at| at <= now) {
-            self.look_again = None;
+        if self.retry_skipped_at.is_some_and(|at| at <= now) {
+            self.retry_skipped_at = None;
             self.is_stirred = true;
         }
         if self.is_stirred && now >= self.next_pass {
@@ -362,12 +363,13 @@
         std::mem::take(&mut self.outbox)
     }
 
-    /// Returns when [`Self::advance`] has something to decide or to record, if it has.
+    /// Returns when [`Self::advance`] next has a scheduling pass or a record to make, if any.
     pub fn next_pass(&self) -> Option<Timestamp> {
         let pass = self.is_stirred.then_some(self.next_pass);
         [pass, self.ledger.due()].into_iter().flatten().min()
     }
 
+    /// Emits a log record.
     fn note(&mut self, note: Note) {
         self.outbox.push(Effect::Note(note));
     }
--- a/crates/cell/src/engine/order.rs
+++ b/crates/cell/src/engine/order.rs
@@ -1,4 +1,4 @@
-//! What comes of orders, and stops that are repeated until they are settled.
+//! Answers to orders, and stop orders that are repeated until the worker confirms them.
 
 use std::{
     collections::{
@@ -38,19 +38,19 @@
     },
 };
 
-/// How long a worker that turned a start away gets no other.
-const REST: Duration = Duration::from_millis(500);
-/// How many orders to start a run may go unanswered; a twentieth of them does on bad days, and a worker
-/// that answers none is silent for its inventory too.
-const MOST_COPIES: u8 = 3;
-/// How long to wait before a stop is sent again.
-const STOP_AGAIN: Duration = Duration::from_millis(100);
+/// How long a worker gets no new tasks after it rejected a start order.
+const REJECTION_BACKOFF: Duration = Duration::from_millis(500);
+/// After this many unanswered start orders a run is stopped. On bad days a twentieth of all orders goes unanswered; a
+/// worker that answers none of several doesn't answer inventory calls either.
+const MAX_UNANSWERED_STARTS: u8 = 3;
+/// How long to wait before a stop order is sent again.
+const STOP_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// The wait between a confirmed stop and the look at whether the run was there at all.
-const PEEK_AFTER: Duration = Duration::from_millis(1);
+/// The delay between a confirmed stop and the inventory call that shows whether the run was there at all.
+const STOP_VERIFICATION_DELAY: Duration = Duration::from_millis(1);
 
 impl Engine {
-    /// Takes the answer to an order to start.
+    /// Handles the answer to a start order.
     pub fn started(
         &mut self,
         worker: &WorkerId,
@@ -75,10 +75,12 @@
                 self.mark_begun(task.step.job);
                 self.confirm(slot, task, run, now);
             }
-            StartAnswer::Fenced if !self.may_be_outdated(slot) => self.outbox.push(Effect::Deposed),
+            StartAnswer::Fenced if !self.may_have_stale_orders(slot) => {
+                self.outbox.push(Effect::Deposed)
+            }
             StartAnswer::Gone => self.lose_worker(slot, "replaced", now),
-            StartAnswer::Silent => self.start_again(slot, task, run, now),
-            // It has ended there already, or its stop came first: the inventory tells which.
+            StartAnswer::Silent => self.retry_start(slot, task, run, now),
+            // The run has ended there already, or its stop order arrived first. The inventory shows which.
             StartAnswer::Old => self.confirm(slot, task, run, now),
             StartAnswer::Ticket => {
                 let stage = self.jobs.get_mut(&task.step.job);
@@ -95,11 +97,11 @@
             | StartAnswer::Malformed
             | StartAnswer::Unsent => {
                 if let Some(worker) = self.workers.get_mut(&slot) {
-                    worker.rests = worker.rests.max(now + REST);
+                    worker.rests = worker.rests.max(now + REJECTION_BACKOFF);
                 }
                 match self.unanswered(slot, task, run) {
                     0 => self.release(slot, task, run, now),
-                    // An earlier copy may still be carried out.
+                    // An earlier copy of the order may still be carried out.
                     _ => self.stop(slot, task, run, "unanswered", now),
                 }
             }
@@ -110,61 +112,68 @@
     }
 
     /// Returns whether an order that a worker refused for its fence may have been meant for a former incarnation. If it
-    /// was for a later owner's, the next inventory says so.
-    pub(super) fn may_be_outdated(&self, slot: Slot) -> bool {
+    /// was refused because a later owner has taken over, the next inventory shows that.
+    pub(super) fn may_have_stale_orders(&self, slot: Slot) -> bool {
         let worker = self.workers.get(&slot);
         worker.is_some_and(|worker| !worker.fence.is_first())
     }
 
     /// Returns whether a task still has to run.
-    fn is_wanted(&self, task: TaskId) -> bool {
+    fn is_unfinished(&self, task: TaskId) -> bool {
         let job = self.jobs.get(&task.step.job).filter(|job| !job.is_over());
         let stage = job.and_then(|job| job.stage(task.step));
         let own = stage.and_then(|stage| stage.task(task.index));
         own.is_some_and(|own| !own.is_done)
     }
 
-    /// Returns whether a worker gets orders to start again that it may not have had: not one that has said that it leaves,
-    /// since all that runs there is lost with it, nor one in a data centre that is or may be evacuated.
-    fn may_repeat(&self, slot: Slot, now: Timestamp) -> bool {
+    /// Returns whether unanswered start orders are sent to a worker again. They are not sent to a worker that has
+    /// announced that it leaves, because everything that runs there is lost with it, nor to one in a data centre that
+    /// is or may be evacuated.
+    fn may_resend_starts(&self, slot: Slot, now: Timestamp) -> bool {
         self.workers.get(&slot).is_some_and(|worker| {
             worker.registration.leaving.is_none() && self.evacuation_forbids(worker, now).is_none()
         })
     }
 
+    /// Returns how many start orders of a run are unanswered.
     fn unanswered(&self, slot: Slot, task: TaskId, run: Run) -> u8 {
         let claim = self.workers.get(&slot);
         let claim = claim.and_then(|worker| worker.claims.get(&(task, run)));
         claim.map_or(0, |claim| claim.unanswered)
     }
 
-    /// Sends an order again that got no answer: the worker takes it for the same one.
+    /// Retries a start order that got no answer. The worker recognises it as the same order.
     ///
-    /// Its answer tells at once what a stop and an inventory tell only after the time that a worker may
-    /// take to stop.
-    fn start_again(&mut self, slot: Slot, task: TaskId, run: Run, now: Timestamp) {
+    /// The answer shows at once whether the run has started. A stop order and an inventory would show that only after
+    /// the grace period that a worker has to stop a task.
+    fn retry_start(&mut self, slot: Slot, task: TaskId, run: Run, now: Timestamp) {
         let claim = self.workers.get_mut(&slot);
         let claim = claim.and_then(|worker| worker.claims.get_mut(&(task, run)));
         let Some(claim) = claim.filter(|claim| claim.phase == Phase::Starting) else {
             return;
         };
         claim.unanswered += 1;
-        let is_spent = claim.unanswered >= MOST_COPIES;
+        let is_exhausted = claim.unanswered >= MAX_UNANSWERED_STARTS;
         let worker = self.workers.get(&slot);
         let is_overfull = worker.is_some_and(Worker::is_overfull);
-        // One that is silent may come back with less room, or as another kind.
+        // A silent worker may come back with less capacity, or as a worker of another kind.
         let is_silent = worker.is_some_and(|worker| worker.silent.is_some());
         let is_excess = is_overfull || self.is_over_limit(task.step.job);
-        if is_spent || is_excess || !self.may_repeat(slot, now) || !self.is_wanted(task) {
+        if is_exhausted
+            || is_excess
+            || !self.may_resend_starts(slot, now)
+            || !self.is_unfinished(task)
+        {
             self.stop(slot, task, run, "unanswered", now);
         } else if is_silent {
-            self.hold_back(slot, task, run);
+            self.defer_retry(slot, task, run);
         } else {
             self.send_start(slot, task, run, now);
         }
     }
 
-    fn hold_back(&mut self, slot: Slot, task: TaskId, run: Run) {
+    /// Defers the retry of a start order until the silent worker answers.
+    fn defer_retry(&mut self, slot: Slot, task: TaskId, run: Run) {
         let worker = self.workers.get_mut(&slot);
         let claim = worker.and_then(|worker| worker.claims.get_mut(&(task, run)));
         if let Some(claim) = claim {
@@ -172,8 +181,8 @@
         }
     }
 
-    /// Gives the orders again that were held back while a worker was silent, if the same incarnation was heard: the
-    /// next one settles them by its fence.
+    /// Sends the start orders that were deferred while a worker was silent, if the same incarnation has answered. For a
+    /// new incarnation the raised fence makes the old orders void.
     pub(super) fn send_held_back(&mut self, slot: Slot, now: Timestamp) {
         let Some(worker) = self.workers.get_mut(&slot) else {
             return;
@@ -185,17 +194,17 @@
                 held.push(*key);
             }
         }
-        let may_repeat = self.may_repeat(slot, now);
+        let may_resend_starts = self.may_resend_starts(slot, now);
         for (task, run) in held {
             let is_excess = self.is_over_limit(task.step.job);
-            match self.is_wanted(task) && may_repeat && !is_excess {
+            match self.is_unfinished(task) && may_resend_starts && !is_excess {
                 true => self.send_start(slot, task, run, now),
                 false => self.stop(slot, task, run, "unanswered", now),
             }
         }
     }
 
-    /// Orders a start whose decision is on record.
+    /// Sends the start order of a run whose claim is on record.
     pub(super) fn send_start(&mut self, slot: Slot, task: TaskId, run: Run, now: Timestamp) {
         let Some(order) = self.orders.get(&(slot, task, run)).cloned() else {
             return;
@@ -223,19 +232,19 @@
         })));
     }
 
-    /// Orders the starts whose decisions are on record.
+    /// Sends the start orders of runs whose claims are on record, unless something has changed in the meantime.
     ///
-    /// A ticket may have run out while the record waited for the store; its worker would turn the order
-    /// away, and the members of a gang that did start would wait for the others in vain. Nor is it known by then how much
-    /// room a worker has that shrinks, one may have said that it leaves, and a data centre may be evacuated.
+    /// While the record waited for the store, a ticket may have expired: the worker would reject the order, and the
+    /// members of a gang that did start would wait for the others in vain. Likewise the worker's capacity may have
+    /// become unknown, the worker may have announced that it leaves, or its data centre may have been evacuated.
     pub(super) fn send_starts(&mut self, starts: Vec<(Slot, TaskId, Run)>, now: Timestamp) {
         let starts = self.hold_announced(starts);
-        let late = starts.iter().filter_map(|start| {
+        let obstacles = starts.iter().filter_map(|start| {
             let (_, task, _) = start;
-            Some((*task, self.late(start, now)?))
+            Some((*task, self.start_obstacle(start, now)?))
         });
-        let late: BTreeMap<TaskId, &'static str> = late.collect();
-        let broken: BTreeSet<StepId> = late
+        let obstacles: BTreeMap<TaskId, &'static str> = obstacles.collect();
+        let broken_gangs: BTreeSet<StepId> = obstacles
             .keys()
             .map(|task| task.step)
             .filter(|step| {
@@ -244,24 +253,24 @@
             })
             .collect();
         for (slot, task, run) in starts {
-            let why = late.get(&task).copied();
-            if why.is_none() && !broken.contains(&task.step) {
+            let why = obstacles.get(&task).copied();
+            if why.is_none() && !broken_gangs.contains(&task.step) {
                 self.send_start(slot, task, run, now);
                 continue;
             }
-            self.take_back(slot, task, run, why.unwrap_or("gang-late"), now);
+            self.revoke(slot, task, run, why.unwrap_or("gang-late"), now);
         }
     }
 
-    /// Returns why an order should not leave any more, as one word.
-    fn late(&self, start: &(Slot, TaskId, Run), now: Timestamp) -> Option<&'static str> {
+    /// Returns why a start order must not be sent any more, as one word.
+    fn start_obstacle(&self, start: &(Slot, TaskId, Run), now: Timestamp) -> Option<&'static str> {
         let worker = self.workers.get(&start.0)?;
         let order = self.orders.get(start);
         let ticket = order.and_then(|order| order.ticket.as_ref());
         if ticket.is_some_and(|ticket| !ticket.is_usable(worker, now)) {
             return Some("ticket-aged");
         }
-        // Whoever answers there next may be another incarnation, with less room or of another kind.
+        // The next to answer there may be another incarnation, with less capacity or of another kind.
         let is_uncertain = worker.silent.is_some() || worker.is_superseded;
         if is_uncertain || !worker.is_current() {
             return Some("worker-uncertain");
@@ -275,10 +284,10 @@
         if self.is_over_limit(start.1.step.job) {
             return Some("over-limit");
         }
-        (worker.told < self.reports.from).then_some("room-unknown")
+        (worker.told < self.reports.valid_from).then_some("room-unknown")
     }
 
-    /// Keeps back the starts of jobs whose acceptance is not on record; returns the others that still wait.
+    /// Holds the starts of jobs whose acceptance is not on record yet. Returns the other starts that are still pending.
     fn hold_announced(&mut self, starts: Vec<(Slot, TaskId, Run)>) -> Vec<(Slot, TaskId, Run)> {
         let waiting = starts.into_iter().filter(|(slot, task, run)| {
             let worker = self.workers.get(slot);
@@ -288,7 +297,7 @@
         let (held, ready): (Vec<_>, Vec<_>) =
             waiting.partition(|(_, task, _)| self.announced.contains_key(&task.step.job));
         for start in held {
-            // The record of another change of the worker covers it again.
+            // A start can be here already: each later record of the same worker lists it again.
             if !self.held.contains(&start) {
                 self.held.push(start);
             }
@@ -296,6 +305,7 @@
         ready
     }
 
+    /// Notes that the worker has a run.
     fn confirm(&mut self, slot: Slot, task: TaskId, run: Run, now: Timestamp) {
         let worker = self.workers.get_mut(&slot);
         let claim = worker.and_then(|worker| worker.claims.get_mut(&(task, run)));
@@ -304,7 +314,7 @@
         }
     }
 
-    /// Has a run end, or never begin.
+    /// Stops a run, or prevents it from starting.
     pub(super) fn stop(
         &mut self,
         slot: Slot,
@@ -323,7 +333,7 @@
             return;
         }
         if claim.phase == Phase::Recording {
-            // Its order has not left and never will.
+            // Its start order has not been sent and never will be.
             self.release(slot, task, run, now);
             return;
         }
@@ -338,7 +348,7 @@
         });
     }
 
-    /// Sends the stops that are due.
+    /// Sends the stop orders that are due.
     pub(super) fn send_stops(&mut self, now: Timestamp) {
         for (slot, task, run) in self.stops.take_due(now) {
             let Some(worker) = self.workers.get(&slot) else {
@@ -349,7 +359,7 @@
         }
     }
 
-    /// Takes the answer to an order to stop.
+    /// Handles the answer to a stop order.
     pub fn stopped(
         &mut self,
         worker: &WorkerId,
@@ -376,16 +386,17 @@
                 if let Some(worker) = self.workers.get_mut(&slot)
                     && worker.peek.is_none()
                 {
-                    // Due a moment later, so that the call is certainly made after this answer.
-                    worker.peek = Some(Contact::Due(now + PEEK_AFTER));
+                    // The short delay ensures that the call is made after this answer.
+                    worker.peek = Some(Contact::Due(now + STOP_VERIFICATION_DELAY));
                     self.index(slot);
                 }
             }
-            StopAnswer::Fenced if !self.may_be_outdated(slot) => {
+            StopAnswer::Fenced if !self.may_have_stale_orders(slot) => {
                 self.outbox.push(Effect::Deposed);
             }
             StopAnswer::Silent | StopAnswer::Fenced => {
-                self.stops.set((slot, task, run), Some(now + STOP_AGAIN));
+                self.stops
+                    .set((slot, task, run), Some(now + STOP_RETRY_DELAY));
             }
             StopAnswer::Gone => self.lose_worker(slot, "replaced", now),
         }
--- a/crates/cell/src/engine/pace.rs
+++ b/crates/cell/src/engine/pace.rs
@@ -1,8 +1,8 @@
-//! Pacing of tasks that fill, beside tasks that serve their own users.
+//! Throttling of best-effort tasks that share a worker with latency-sensitive tasks.
 //!
-//! What fills takes the processor time that others leave, and disturbs those that serve by an amount that
-//! nobody can foresee. Workers tell how close the serving ones are to their target; filling ones work at a
-//! share that is cut at once and given back bit by bit.
+//! Best-effort tasks (steps with `fills`) use the CPU that others leave. They slow latency-sensitive tasks (steps with
+//! a `target`) down by an amount that can't be predicted. Workers report how close the latency-sensitive tasks are to
+//! their target, and the CPU share of the best-effort tasks is reduced at once and raised again in small increments.
 
 use std::{
     collections::BTreeMap,
@@ -33,108 +33,122 @@
     worker::Worker,
 };
 
-/// The full share.
-const FULL: u8 = 100;
-/// The time until a change shows: it holds after 0.1 s, and a worker's figure covers half a second.
-const SETTLES: Duration = Duration::from_millis(700);
-/// From this part of its target on a serving task is too close to it, and the share is halved.
-const CLOSE: f64 = 0.85;
-/// Below this part of all targets the share is raised.
-const CALM: f64 = 0.6;
-/// By so much the share is raised; from nothing to the whole it takes 7 s.
-const RAISE: u8 = 10;
-/// A smaller share is none.
-const LEAST: u8 = 10;
+/// The share without throttling.
+const FULL_SHARE_PERCENT: u8 = 100;
+/// The time until the effect of a change is visible: the change takes 0.1 s, and a worker's load figure covers half a
+/// second.
+const SETTLING_TIME: Duration = Duration::from_millis(700);
+/// At this fraction of the target of any latency-sensitive task the share is halved.
+const REDUCE_AT_LOAD_RATIO: f64 = 0.85;
+/// At this fraction of all targets and below the share is raised.
+const RAISE_AT_LOAD_RATIO: f64 = 0.6;
+/// The increment by which the share is raised. It takes 7 s from zero to the full share.
+const SHARE_INCREMENT_PERCENT: u8 = 10;
+/// A smaller share is rounded down to zero.
+const MIN_SHARE_PERCENT: u8 = 10;
 
-/// The share at which the filling tasks of a worker work.
+/// The CPU share of the best-effort tasks on a worker.
 #[derive(Clone, Debug)]
 pub struct Pacing {
     share: u8,
-    /// When it was changed last.
-    changed: Timestamp,
-    /// Whether filling and serving tasks run side by side.
+    /// When the share was last changed.
+    last_change: Timestamp,
+    /// Whether best-effort and latency-sensitive tasks share the worker.
     pub is_mixed: bool,
-    /// What the worker has confirmed, where that isn't the whole.
-    told: BTreeMap<(TaskId, Run), u8>,
+    /// The share that the worker has confirmed for each run; a run without an entry has the full share.
+    confirmed_shares: BTreeMap<(TaskId, Run), u8>,
 }
 
 impl Default for Pacing {
     fn default() -> Self {
         Self {
-            share: FULL,
-            changed: Timestamp::ZERO,
+            share: FULL_SHARE_PERCENT,
+            last_change: Timestamp::ZERO,
             is_mixed: false,
-            told: BTreeMap::new(),
+            confirmed_shares: BTreeMap::new(),
         }
     }
 }
 
 impl Pacing {
-    /// Takes in how close the serving tasks are to their target: one is on it; `None` without any.
-    fn adjust(&mut self, strain: Option<f64>, now: Timestamp) {
-        let Some(strain) = strain else {
-            self.share = FULL;
+    /// Adjusts the share to the highest ratio of load to target among the latency-sensitive tasks; `None` if there are
+    /// no such tasks. A ratio of 1 means that the target is reached.
+    fn adjust(&mut self, load_ratio: Option<f64>, now: Timestamp) {
+        let Some(load_ratio) = load_ratio else {
+            self.share = FULL_SHARE_PERCENT;
             return;
         };
-        if now.since(self.changed) < SETTLES {
+        if now.since(self.last_change) < SETTLING_TIME {
             return;
         }
-        let share = match strain {
-            strain if strain >= 1.0 => 0,
-            strain if strain >= CLOSE => self.share / 2,
-            strain if strain <= CALM => (self.share + RAISE).min(FULL),
+        let share = match load_ratio {
+            load_ratio if load_ratio >= 1.0 => 0,
+            load_ratio if load_ratio >= REDUCE_AT_LOAD_RATIO => self.share / 2,
+            load_ratio if load_ratio <= RAISE_AT_LOAD_RATIO => {
+                (self.share + SHARE_INCREMENT_PERCENT).min(FULL_SHARE_PERCENT)
+            }
             _ => self.share,
         };
-        let share = if share < LEAST { 0 } else { share };
+        let share = if share < MIN_SHARE_PERCENT { 0 } else { share };
         if share != self.share {
             self.share = share;
-            self.changed = now;
+            self.last_change = now;
         }
     }
 }
 
 impl Engine {
-    /// Sets the pace of a worker's filling tasks by its inventory.
+    /// Sets the share of a worker's best-effort tasks according to its inventory.
     pub(super) fn pace(&mut self, slot: Slot, running: &[Running], now: Timestamp) {
-        let mut strain: Option<f64> = None;
-        let mut fillers = Vec::new();
+        let mut load_ratio: Option<f64> = None;
+        let mut best_effort_runs = Vec::new();
         for run in running {
             let job = self.jobs.get(&run.task.step.job);
             let Some(step) = job.and_then(|job| job.step(run.task.step)) else {
                 continue;
             };
             if step.fills {
-                fillers.push((run.task, run.run));
+                best_effort_runs.push((run.task, run.run));
             }
             if let Some(target) = step.target.filter(|target| !target.is_zero()) {
-                let close = f64::from(run.load) / (target.as_secs_f64() * 1_000.0);
-                strain = Some(strain.map_or(close, |most| most.max(close)));
+                let ratio = f64::from(run.load) / (target.as_secs_f64() * 1_000.0);
+                load_ratio = Some(load_ratio.map_or(ratio, |highest| highest.max(ratio)));
             }
         }
         let Some(worker) = self.workers.get_mut(&slot) else {
             return;
         };
         let pacing = &mut worker.pacing;
-        pacing.is_mixed = strain.is_some() && !fillers.is_empty();
-        pacing.told.retain(|run, _| fillers.contains(run));
-        pacing.adjust(strain, now);
+        pacing.is_mixed = load_ratio.is_some() && !best_effort_runs.is_empty();
+        pacing
+            .confirmed_shares
+            .retain(|run, _| best_effort_runs.contains(run));
+        pacing.adjust(load_ratio, now);
         let share = pacing.share;
-        fillers.retain(|run| pacing.told.get(run).copied().unwrap_or(FULL) != share);
-        if fillers.is_empty() {
+        best_effort_runs.retain(|run| {
+            pacing
+                .confirmed_shares
+                .get(run)
+                .copied()
+                .unwrap_or(FULL_SHARE_PERCENT)
+                != share
+        });
+        if best_effort_runs.is_empty() {
             return;
         }
         let to = worker.destination();
-        self.outbox.extend(fillers.into_iter().map(|(task, run)| {
-            Effect::Pace(Pace {
-                to: to.clone(),
-                task,
-                run,
-                percent: share,
-            })
-        }));
+        self.outbox
+            .extend(best_effort_runs.into_iter().map(|(task, run)| {
+                Effect::Pace(Pace {
+                    to: to.clone(),
+                    task,
+                    run,
+                    percent: share,
+                })
+            }));
     }
 
-    /// Takes the answer to an order to pace; one without an answer is given again with the next inventory.
+    /// Handles the answer to a pace order. An unanswered order is sent again with the next inventory.
     pub fn paced(
         &mut self,
         worker: &WorkerId,
@@ -150,21 +164,22 @@
         match answer {
             StopAnswer::Confirmed => {
                 if let Some(worker) = self.workers.get_mut(&slot) {
-                    worker.pacing.told.insert((task, run), percent);
+                    worker.pacing.confirmed_shares.insert((task, run), percent);
                 }
             }
             StopAnswer::Silent => {}
-            StopAnswer::Fenced if self.may_be_outdated(slot) => {}
+            StopAnswer::Fenced if self.may_have_stale_orders(slot) => {}
             StopAnswer::Fenced => self.outbox.push(Effect::Deposed),
             StopAnswer::Gone => self.lose_worker(slot, "replaced", now),
         }
     }
 
-    /// Returns how many tasks on a worker a step would disturb or be disturbed by, and how many fill there
-    /// already that it would share with.
-    pub(super) fn clashes(&self, demand: &Demand<'_>, worker: &Worker) -> usize {
-        let (fills, serves) = (demand.step.fills, demand.step.target.is_some());
-        if !fills && !serves {
+    /// Returns the number of tasks on a worker that would interfere with tasks of a step: best-effort tasks and, if the
+    /// step is best-effort itself, latency-sensitive ones.
+    pub(super) fn interference_count(&self, demand: &Demand<'_>, worker: &Worker) -> usize {
+        let (is_best_effort, is_latency_sensitive) =
+            (demand.step.fills, demand.step.target.is_some());
+        if !is_best_effort && !is_latency_sensitive {
             return 0;
         }
         let steps = worker.claims.keys().filter_map(|(task, _)| {
@@ -172,7 +187,7 @@
             job.step(task.step)
         });
         steps
-            .filter(|step| step.fills || (fills && step.target.is_some()))
+            .filter(|step| step.fills || (is_best_effort && step.target.is_some()))
             .count()
     }
 }
--- a/crates/cell/src/engine/place.rs
+++ b/crates/cell/src/engine/place.rs
@@ -33,38 +33,39 @@
     },
 };
 
-/// A gang whose members did not all start is completed on other workers for this part of the time
-/// that the members wait for each other, and after that begun anew.
-const GANG_REPAIR_PART: u32 = 2;
+/// Missing members of a partly started gang are placed on other workers during this fraction (one divided by it) of the
+/// time for which members wait for each other. After that the gang is stopped and started anew.
+const GANG_REPAIR_DIVISOR: u32 = 2;
 
-/// What a step asks of a worker.
+/// The requirements of a step on a worker.
 pub(super) struct Demand<'a> {
     pub(super) id: StepId,
     pub(super) step: &'a Step,
     pub(super) queue: &'a Queue,
     pub(super) size: Resources,
-    /// Reports of workers from before this don't say how much room there is.
-    pub(super) reports_from: Timestamp,
+    /// The capacity in older worker reports is not trusted.
+    pub(super) min_report_time: Timestamp,
 }
 
 impl Demand<'_> {
-    /// Returns whether a worker takes tasks of the step, room and advice aside.
+    /// Returns whether a worker accepts tasks of the step, regardless of free resources and advice.
     pub(super) fn admits(&self, worker: &Worker, now: Timestamp) -> bool {
         let label = self.step.requires.as_deref();
         worker.registration.pool == self.queue.pool
             && worker.is_open(now)
-            && worker.told >= self.reports_from
+            && worker.told >= self.min_report_time
             && label.is_none_or(|label| worker.has_label(label))
     }
 }
 
 impl Engine {
-    /// Returns the queue of a job as it is set now, or as it was when the job was accepted.
+    /// Returns the current configuration of a job's queue, or the one at the job's acceptance if the queue is gone.
     pub(super) fn queue_of<'a>(&'a self, job: &'a Job) -> &'a Queue {
         let accepted = &job.accepted.queue;
         self.config.queues.get(&accepted.name).unwrap_or(accepted)
     }
 
+    /// Returns the requirements of a step on a worker.
     pub(super) fn demand<'a>(&'a self, job: &'a Job, id: StepId) -> Option<Demand<'a>> {
         let step = job.step(id)?;
         Some(Demand {
@@ -72,11 +73,11 @@
             step,
             queue: self.queue_of(job),
             size: worker_share(step),
-            reports_from: self.reports.from,
+            min_report_time: self.reports.valid_from,
         })
     }
 
-    /// Returns whether a worker may run tasks of a step, room aside.
+    /// Returns whether a worker may run tasks of a step, regardless of free resources.
     pub(super) fn suits(
         &self,
         job: &Job,
@@ -94,7 +95,7 @@
             || stage.is_some_and(|stage| stage.advice.ticket(slot, worker, leaves).is_some())
     }
 
-    /// Returns how many more tasks of a step the rule against crowding allows on a worker.
+    /// Returns how many more tasks of a step its anti-affinity limit allows on a worker.
     pub(super) fn spread_left(&self, demand: &Demand<'_>, worker: &Worker) -> usize {
         let Some(most) = demand.step.anti_affinity else {
             return usize::MAX;
@@ -104,7 +105,7 @@
         usize::from(most).saturating_sub(here)
     }
 
-    /// Starts tasks of a step one by one; true where none is left waiting.
+    /// Starts tasks of a step one by one. Returns true if none is left waiting.
     pub(super) fn place_singles(
         &mut self,
         id: StepId,
@@ -134,7 +135,7 @@
         stage.waiting.first().copied()
     }
 
-    /// Returns whether a task has a try left, whatever became of runs that were lost sight of.
+    /// Returns whether a task has an attempt left even if all its lost runs have failed.
     pub(super) fn has_try(&self, id: StepId, index: u16, now: Timestamp) -> bool {
         let Some(job) = self.jobs.get(&id.job) else {
             return false;
@@ -149,7 +150,7 @@
         step.lasting || stage.tries_used(index, step.gang, now) < tries
     }
 
-    /// Returns the first waiting task that has a try left and doesn't have to run alone.
+    /// Returns the first waiting task that has an attempt left and doesn't have to run alone.
     fn first_startable(&self, id: StepId, now: Timestamp) -> Option<u16> {
         let stage = self.jobs.get(&id.job)?.stage(id)?;
         let waiting = stage.waiting.iter().copied();
@@ -157,7 +158,7 @@
         waiting.find(|index| self.has_try(id, *index, now))
     }
 
-    /// Returns the number that the next start of a task gets.
+    /// Returns the number of the next run of a task.
     pub(super) fn next_run(&self, id: StepId, index: u16) -> Run {
         let stage = self.jobs.get(&id.job).and_then(|job| job.stage(id));
         let last = stage.and_then(|stage| stage.task(index));
@@ -165,7 +166,7 @@
         self.epoch.first_run().max(Run(last.0 + 1))
     }
 
-    /// Returns the best worker for one task, whatever else runs there.
+    /// Returns the best worker for one task that may share it with other tasks.
     pub(super) fn find_beside(
         &self,
         id: StepId,
@@ -187,16 +188,16 @@
             (
                 is_avoided,
                 is_remote(&demand, worker),
-                self.clashes(&demand, worker),
-                left(&demand, worker),
+                self.interference_count(&demand, worker),
+                cpu_left_key(&demand, worker),
                 *slot,
             )
         });
         best.map(|(slot, _)| slot)
     }
 
-    /// Returns the workers that may run tasks of a step, whatever their room and the age of their tickets; where nobody
-    /// has to be asked, those that take tasks.
+    /// Returns the workers that may run tasks of a step, regardless of free resources and ticket age. If the queue
+    /// needs no advice, these are all workers of its pool that accept tasks.
     pub(super) fn candidates<'a>(
         &'a self,
         demand: &Demand<'_>,
@@ -206,7 +207,7 @@
         slots.filter_map(|slot| Some((slot, self.workers.get(&slot)?)))
     }
 
-    /// Returns those of them that have room for a task.
+    /// Returns the [candidates](Self::candidates) that have free resources for a task.
     pub(super) fn roomy<'a>(
         &'a self,
         demand: &Demand<'_>,
@@ -218,7 +219,8 @@
         slots.filter_map(|slot| Some((slot, self.workers.get(&slot)?)))
     }
 
-    /// Returns the slots that advice allows a step, or where there is none all with so much processor time left.
+    /// Returns the workers that advice allows for a step or, if the queue needs no advice, all of its pool with at
+    /// least `least` CPU free.
     fn slots_for<'a>(
         &'a self,
         demand: &Demand<'_>,
@@ -233,8 +235,8 @@
         advised.chain(others.into_iter().flatten())
     }
 
-    /// Starts a whole gang, or completes one whose members did not all start; true where none is
-    /// left waiting.
+    /// Starts a whole gang, or the missing members of a partly started one. Returns false if members have to wait for
+    /// free workers.
     pub(super) fn place_gang(
         &mut self,
         id: StepId,
@@ -259,28 +261,28 @@
             self.keep_to_empty(id, reserved, now);
             return false;
         };
-        self.count_gang(id);
+        self.count_started_gang(id);
         let run = waiting.iter().map(|index| self.next_run(id, *index)).max();
         let run = run.unwrap_or_default();
         if let Some(stage) = self.jobs.get_mut(&id.job).and_then(|job| job.stage_mut(id)) {
             stage.gang_since = now;
         }
         for (index, slot) in places {
-            // Room was counted for all of them a moment ago.
+            // `find_gang` has checked the free resources for all members.
             self.start(id, index, slot, run, now);
         }
         self.agenda.remove(id);
         true
     }
 
-    fn count_gang(&mut self, id: StepId) {
+    fn count_started_gang(&mut self, id: StepId) {
         if let Some(job) = self.jobs.get(&id.job) {
             let queue = self.queue_of(job).name.clone();
             *self.gangs_started.entry(queue).or_default() += 1;
         }
     }
 
-    /// Starts missing members of a gang elsewhere, or stops those that wait in vain.
+    /// Starts missing members of a gang on other workers, or stops the members that wait for them in vain.
     fn repair_gang(&mut self, id: StepId, reserved: &Reserved, now: Timestamp) -> bool {
         let Some(stage) = self.jobs.get(&id.job).and_then(|job| job.stage(id)) else {
             return true;
@@ -298,7 +300,7 @@
             let claim = worker.and_then(|worker| worker.claims.get(&(id.task(*index), *run)));
             claim.is_none_or(|claim| matches!(claim.phase, Phase::Stopping { .. }))
         });
-        let until = stage.gang_since + self.bounds.gang_wait / GANG_REPAIR_PART;
+        let until = stage.gang_since + self.bounds.gang_wait / GANG_REPAIR_DIVISOR;
         if !is_ending && now < until {
             while let (Some(run), Some(index)) = (run, self.first_waiting(id)) {
                 let found = self.find_place(id, index, reserved, now);
@@ -317,7 +319,7 @@
         true
     }
 
-    /// Returns a worker for each member of a gang, or `None` where they don't all fit.
+    /// Returns a worker for each member of a gang, or `None` if they don't all fit.
     fn find_gang(
         &self,
         id: StepId,
@@ -337,33 +339,35 @@
                 rooms.push((slot, room, worker));
             }
         }
-        let (apart, others): (Vec<u16>, Vec<u16>) = members
+        let (isolated, others): (Vec<u16>, Vec<u16>) = members
             .iter()
             .partition(|index| self.is_kept_apart(id, **index, now));
         let mut places = Vec::with_capacity(members.len());
-        if !apart.is_empty() {
+        if !isolated.is_empty() {
             let empty = rooms
                 .iter()
                 .filter(|(_, _, worker)| worker.claims.is_empty());
-            let slots = fill(empty.map(|(slot, room, _)| (*slot, *room)), apart.len())?;
+            let slots = assign_slots(empty.map(|(slot, room, _)| (*slot, *room)), isolated.len())?;
             rooms.retain(|(slot, _, _)| !slots.contains(slot));
-            places.extend(apart.into_iter().zip(slots));
+            places.extend(isolated.into_iter().zip(slots));
         }
         let count = others.len();
         let in_one_rack = demand.step.same_rack.then(|| in_one_rack(&rooms, count));
         let slots = in_one_rack.flatten().or_else(|| {
             rooms.sort_by_key(|(slot, _, worker)| {
-                let clashes = self.clashes(&demand, worker);
-                let left = left(&demand, worker);
-                (is_remote(&demand, worker), clashes, left, *slot)
+                let interference_count = self.interference_count(&demand, worker);
+                let left = cpu_left_key(&demand, worker);
+                (is_remote(&demand, worker), interference_count, left, *slot)
             });
-            fill(rooms.iter().map(|(slot, room, _)| (*slot, *room)), count)
+            assign_slots(rooms.iter().map(|(slot, room, _)| (*slot, *room)), count)
         })?;
         places.extend(others.into_iter().zip(slots));
         Some(places)
     }
 
-    /// Takes the room for a run; its order leaves once that is on record.
+    /// Claims the resources for a run. Its start order is sent once the claim is on record.
+    ///
+    /// Returns false, and changes nothing, if the workspace's limit or the worker's free resources don't allow it.
     pub(super) fn start(
         &mut self,
         id: StepId,
@@ -441,7 +445,7 @@
     }
 }
 
-/// Returns what a task of a step takes from a worker; what fills takes only memory.
+/// Returns the resources that a task of a step claims on a worker. Best-effort tasks claim no CPU.
 pub(super) fn worker_share(step: &Step) -> Resources {
     let mut size = step.size;
     if step.fills {
@@ -455,9 +459,9 @@
     rack.is_some_and(|rack| !worker.has_label(rack))
 }
 
-/// Returns the processor time that a worker has left after the task; little is good packing, but for a task
-/// that lives on what is left.
-fn left(demand: &Demand<'_>, worker: &Worker) -> u32 {
+/// Returns a sort key from the CPU that a worker has left after the task: least first for tight packing, but most first
+/// for best-effort tasks, which use only CPU that others leave.
+fn cpu_left_key(demand: &Demand<'_>, worker: &Worker) -> u32 {
     let left = worker.free.cpu.get().saturating_sub(demand.size.cpu.get());
     match demand.step.fills {
         true => u32::MAX - left,
@@ -465,7 +469,7 @@
     }
 }
 
-/// Returns how many tasks of a size fit into some room.
+/// Returns how many tasks of a size fit into the free resources.
 pub(super) fn room_for(free: &Resources, size: &Resources) -> usize {
     let of = |free: u64, size: u64| free.checked_div(size).unwrap_or(u64::MAX);
     let count = of(free.cpu.get().into(), size.cpu.get().into())
@@ -474,7 +478,8 @@
     u16::try_from(count).unwrap_or(u16::MAX).into()
 }
 
-fn fill(rooms: impl Iterator<Item = (Slot, usize)>, count: usize) -> Option<Vec<Slot>> {
+/// Assigns `count` tasks to workers in order, as many as fit on each, or returns `None` if they don't all fit.
+fn assign_slots(rooms: impl Iterator<Item = (Slot, usize)>, count: usize) -> Option<Vec<Slot>> {
     let mut places = Vec::with_capacity(count);
     for (slot, room) in rooms {
         let take = room.min(count - places.len());
@@ -486,11 +491,11 @@
     None
 }
 
-/// Returns places for all members in the one rack with the least room that holds them.
+/// Places all members in one rack: the one with the least free capacity among those that hold them.
 fn in_one_rack(rooms: &[(Slot, usize, &Worker)], count: usize) -> Option<Vec<Slot>> {
     let mut racks: BTreeMap<&str, Vec<(Slot, usize)>> = BTreeMap::new();
     for (slot, room, worker) in rooms {
-        // A worker's labels are its kind and its rack.
+        // A worker's labels are its kind and its rack, in this order.
         if let Some(rack) = worker.registration.labels.last() {
             racks.entry(rack).or_default().push((*slot, *room));
         }
@@ -498,5 +503,5 @@
     let total = |rooms: &[(Slot, usize)]| rooms.iter().map(|(_, room)| *room).sum::<usize>();
     let fitting = racks.into_values().filter(|rooms| total(rooms) >= count);
     let rooms = fitting.min_by_key(|rooms| total(rooms))?;
-    fill(rooms.into_iter(), count)
+    assign_slots(rooms.into_iter(), count)
 }
--- a/crates/cell/src/engine/reserve.rs
+++ b/crates/cell/src/engine/reserve.rs
@@ -1,4 +1,4 @@
-//! Making room: preemption, and workers that are kept for a gang until it fits.
+//! Preemption, and reservation of workers for a gang until it fits.
 
 use std::{
     collections::BTreeSet,
@@ -34,99 +34,103 @@
     },
 };
 
-/// For how many gangs workers are made free at a time; each makes others wait. With a quarter of 540 workers kept for
-/// more gangs twice as many runs were stopped, and urgent jobs were late.
-const MOST_GANGS: usize = 4;
+/// For how many gangs workers are reserved at a time, since each reservation makes other steps wait. With a quarter of
+/// 540 workers reserved for more gangs, twice as many runs were stopped and urgent jobs were late.
+const MAX_GANGS_WITH_RESERVATIONS: usize = 4;
 
-/// How long it takes, about, until what runs on a kept worker has ended by itself; most tasks that
-/// are neither a gang's nor urgent run 2.2 s.
-const ENDS_BY_ITSELF: Duration = Duration::from_millis(1_000);
+/// The assumed remaining run time of tasks on a reserved worker. Most tasks that are neither urgent nor part of a gang
+/// run for 2.2 s.
+const EXPECTED_REMAINING_TIME: Duration = Duration::from_millis(1_000);
 
-/// What is kept for steps in one pass: workers, and what is left of the limits of workspaces.
+/// The workers, and the shares of workspace limits, that are reserved for steps during one scheduling pass.
 #[derive(Debug, Default)]
 pub(super) struct Reserved {
+    /// The step that each reserved worker is reserved for.
     holders: HashMap<Slot, StepId>,
+    /// The gangs with reserved workers.
     gangs: BTreeSet<StepId>,
-    /// How many workers are kept until they are empty.
+    /// The number of workers that are reserved until they are empty.
     emptied: usize,
-    /// What is kept of the limits of workspaces, and for which steps.
+    /// The shares of each workspace's limit that are reserved, with their steps.
     limits: HashMap<quota::Slot, Vec<(StepId, Resources)>>,
 }
 
 impl Reserved {
-    /// Returns whether a worker is kept for another step.
+    /// Returns whether a worker is reserved for another step.
     pub(super) fn holds(&self, slot: Slot, id: StepId) -> bool {
         self.holders.get(&slot).is_some_and(|holder| *holder != id)
     }
 
-    /// Returns whether workers may be made free for one more gang.
-    fn may_keep(&self) -> bool {
-        self.gangs.len() < MOST_GANGS
+    /// Returns whether workers may be reserved for one more gang.
+    fn may_reserve_for_gang(&self) -> bool {
+        self.gangs.len() < MAX_GANGS_WITH_RESERVATIONS
     }
 
-    /// Returns whether workers are kept for a gang.
-    pub(super) fn keeps(&self, id: StepId) -> bool {
+    /// Returns whether workers are reserved for a gang.
+    pub(super) fn has_gang(&self, id: StepId) -> bool {
         self.gangs.contains(&id)
     }
 
-    /// Keeps so much of a workspace's limit for a step.
-    pub(super) fn keep_of_limit(&mut self, account: quota::Slot, id: StepId, size: Resources) {
-        let kept = self.limits.entry(account).or_default();
-        kept.retain(|(holder, _)| *holder != id);
-        kept.push((id, size));
+    /// Reserves a share of a workspace's limit for a step.
+    pub(super) fn reserve_quota(&mut self, account: quota::Slot, id: StepId, size: Resources) {
+        let reservations = self.limits.entry(account).or_default();
+        reservations.retain(|(holder, _)| *holder != id);
+        reservations.push((id, size));
     }
 
-    /// Returns how much of a workspace's limit is kept for steps that come before one; `None` where that can't be counted.
-    pub(super) fn of_limit(&self, account: quota::Slot, id: StepId) -> Option<Resources> {
-        let kept = self.limits.get(&account).into_iter().flatten();
-        let mut others = kept.filter(|(holder, _)| *holder != id);
+    /// Returns how much of a workspace's limit is reserved for other steps, all of which rank before this one; `None`
+    /// on overflow.
+    pub(super) fn reserved_quota(&self, account: quota::Slot, id: StepId) -> Option<Resources> {
+        let reservations = self.limits.get(&account).into_iter().flatten();
+        let mut others = reservations.filter(|(holder, _)| *holder != id);
         others.try_fold(Resources::ZERO, |sum, (_, size)| sum.checked_add(*size))
     }
 
-    /// Keeps the workers on which a gang fits, or will.
+    /// Reserves the workers on which a gang fits, or will fit.
     pub(super) fn keep_for_gang(&mut self, slots: impl Iterator<Item = Slot>, id: StepId) {
         self.gangs.insert(id);
-        self.keep(slots, id);
+        self.reserve(slots, id);
     }
 
-    /// Keeps a worker until it is empty.
+    /// Reserves a worker until it is empty.
     pub(super) fn keep_to_empty(&mut self, slot: Slot, id: StepId) {
         self.emptied += 1;
-        self.keep([slot].into_iter(), id);
+        self.reserve([slot].into_iter(), id);
     }
 
-    /// Returns how many workers are kept until they are empty.
+    /// Returns the number of workers that are reserved until they are empty.
     pub(super) const fn emptied(&self) -> usize {
         self.emptied
     }
 
-    fn keep(&mut self, slots: impl Iterator<Item = Slot>, id: StepId) {
+    fn reserve(&mut self, slots: impl Iterator<Item = Slot>, id: StepId) {
         for slot in slots {
             self.holders.entry(slot).or_insert(id);
         }
     }
 }
 
-/// What a worker could offer a step.
+/// How many tasks of a step a worker could run, now and after other tasks have ended or been preempted.
 struct Offer {
     slot: Slot,
-    /// How many tasks fit once those that end already have ended.
-    soon: usize,
-    /// How many tasks fit once all that is short or makes way has ended.
-    most: usize,
-    /// The processor time that is free already.
-    idle: u64,
-    /// What makes way, that with the least to lose first.
+    /// How many tasks fit once the runs that are being stopped have ended.
+    fits_soon: usize,
+    /// How many tasks fit once all short and preemptible tasks have ended too.
+    fits_eventually: usize,
+    /// The CPU that is free already, in millicores.
+    idle_cpu: u64,
+    /// The preemptible runs, in the order of preemption: those that lose the least work first.
     victims: Vec<(TaskId, Run, Resources)>,
 }
 
 impl Engine {
-    /// Makes room for a step that finds none.
+    /// Reserves workers for a step that fits nowhere, and preempts tasks there if that pays. Returns whether it has
+    /// evaluated the workers, which is what takes time.
     ///
-    /// Workers on which it will fit are kept from all that is less urgent; without that, smaller
-    /// tasks take each piece of room before it is large enough. What runs there ends by itself or,
-    /// once that is cheaper than to let the kept room lie idle, makes way; urgent tasks have others
-    /// make way at once. Only work of a lower priority that saves itself makes way.
+    /// The reserved workers are closed to all less urgent steps. Otherwise smaller tasks would take each piece of free
+    /// resources before it is large enough. Tasks that run on a reserved worker end by themselves, or are preempted
+    /// once that is cheaper than leaving the reserved resources idle. Urgent tasks preempt others at once. Only tasks
+    /// of a lower priority that write checkpoints are preempted.
     pub(super) fn make_room(
         &mut self,
         id: StepId,
@@ -140,7 +144,7 @@
             return false;
         };
         let is_gang = demand.step.gang;
-        if is_gang && !reserved.may_keep() {
+        if is_gang && !reserved.may_reserve_for_gang() {
             return false;
         }
         if !is_gang && demand.queue.priority > 0 {
@@ -149,7 +153,7 @@
         let Some(stage) = job.stage(id) else {
             return false;
         };
-        let is_pressing = !is_gang || now >= job.latest_start(id);
+        let must_preempt = !is_gang || now >= job.latest_start(id);
         let Some((rank, _)) = self.rank(id, now) else {
             return false;
         };
@@ -167,23 +171,23 @@
             .map(|(slot, worker)| self.offer(&demand, slot, worker, rank, now))
             .collect();
         offers.sort_by_key(|offer| {
-            let missing = offer.most - offer.soon;
+            let missing = offer.fits_eventually - offer.fits_soon;
             (
-                std::cmp::Reverse(offer.soon),
+                std::cmp::Reverse(offer.fits_soon),
                 missing,
-                std::cmp::Reverse(offer.idle),
+                std::cmp::Reverse(offer.idle_cpu),
                 offer.slot,
             )
         });
-        let Some(chosen) = choose(offers, count, is_gang) else {
+        let Some(chosen) = choose_workers(offers, count, is_gang) else {
             return true;
         };
         let slots = chosen.iter().map(|(offer, _)| offer.slot);
         match is_gang {
             true => reserved.keep_for_gang(slots, id),
-            false => reserved.keep(slots, id),
+            false => reserved.reserve(slots, id),
         }
-        if is_pressing || self.is_idling_dearer(&chosen) {
+        if must_preempt || self.is_preemption_worthwhile(&chosen) {
             for (offer, wanted) in chosen {
                 self.preempt(id, &offer, wanted, size, now);
             }
@@ -191,17 +195,18 @@
         true
     }
 
-    /// Returns whether the room that is kept idle until the rest ends by itself is worth more than
-    /// what is lost if the rest makes way now.
-    fn is_idling_dearer(&self, chosen: &[(Offer, usize)]) -> bool {
-        let idle: u64 = chosen.iter().map(|(offer, _)| offer.idle).sum();
+    /// Returns whether leaving the reserved CPU idle until the other tasks end by themselves would cost at least as
+    /// much as the work that is lost if they are preempted now.
+    fn is_preemption_worthwhile(&self, chosen: &[(Offer, usize)]) -> bool {
+        let idle_cpu: u64 = chosen.iter().map(|(offer, _)| offer.idle_cpu).sum();
         let victims = chosen.iter().flat_map(|(offer, _)| &offer.victims);
-        let making_way: u64 = victims.map(|(_, _, size)| u64::from(size.cpu.get())).sum();
+        let preempted_cpu: u64 = victims.map(|(_, _, size)| u64::from(size.cpu.get())).sum();
         let loss = self.bounds.preemption_loss().as_secs_f64();
-        idle as f64 * ENDS_BY_ITSELF.as_secs_f64() >= making_way as f64 * loss
+        idle_cpu as f64 * EXPECTED_REMAINING_TIME.as_secs_f64() >= preempted_cpu as f64 * loss
     }
 
-    /// Returns what a worker could offer a step; one that has waited for long also waits for gangs to end there.
+    /// Returns how many tasks of a step a worker could run. A step that was promoted because it had waited for long
+    /// counts on gangs to end there as well.
     fn offer(
         &self,
         demand: &Demand<'_>,
@@ -210,35 +215,37 @@
         rank: Rank,
         now: Timestamp,
     ) -> Offer {
-        let has_waited = self.promoted.get(&demand.queue.name) == Some(&demand.id);
-        let mut soon = worker.free;
-        let mut later = Resources::ZERO;
+        let is_promoted = self.promoted.get(&demand.queue.name) == Some(&demand.id);
+        let mut free_soon = worker.free;
+        let mut free_later = Resources::ZERO;
         let mut victims = Vec::new();
         for ((task, run), claim) in &worker.claims {
             if claim.alone {
                 continue;
             }
             if matches!(claim.phase, Phase::Stopping { .. }) {
-                soon = soon.checked_add(claim.size).unwrap_or(soon);
+                free_soon = free_soon.checked_add(claim.size).unwrap_or(free_soon);
             } else if matches!(claim.phase, Phase::Running { .. })
-                && self.yields(*task, demand, rank, now)
+                && self.is_preemptible_by(*task, demand, rank, now)
             {
                 victims.push((*task, *run, claim.size, claim.since));
-            } else if self.ends(*task, has_waited) {
-                later = later.checked_add(claim.size).unwrap_or(later);
+            } else if self.ends(*task, is_promoted) {
+                free_later = free_later.checked_add(claim.size).unwrap_or(free_later);
             }
         }
-        // The youngest have the least to lose.
+        // The runs that started last lose the least work.
         victims.sort_by_key(|(_, _, _, since)| std::cmp::Reverse(*since));
-        let most = victims.iter().fold(soon, |room, (_, _, size, _)| {
+        let free_eventually = victims.iter().fold(free_soon, |room, (_, _, size, _)| {
             room.checked_add(*size).unwrap_or(room)
         });
-        let most = most.checked_add(later).unwrap_or(most);
+        let free_eventually = free_eventually
+            .checked_add(free_later)
+            .unwrap_or(free_eventually);
         Offer {
             slot,
-            soon: room_for(&soon, &demand.size),
-            most: room_for(&most, &demand.size),
-            idle: u64::from(worker.free.cpu.get()),
+            fits_soon: room_for(&free_soon, &demand.size),
+            fits_eventually: room_for(&free_eventually, &demand.size),
+            idle_cpu: u64::from(worker.free.cpu.get()),
             victims: victims
                 .into_iter()
                 .map(|(task, run, size, _)| (task, run, size))
@@ -246,19 +253,25 @@
         }
     }
 
-    /// Returns whether a running task will soon end by itself: neither a gang's, unless that is waited for as well, nor
-    /// one that lasts.
+    /// Returns whether a running task can be expected to end soon by itself: long-running services are excluded, and
+    /// members of gangs are too unless `with_gangs` is set.
     pub(super) fn ends(&self, task: TaskId, with_gangs: bool) -> bool {
         let job = self.jobs.get(&task.step.job);
         let step = job.and_then(|job| job.step(task.step));
         step.is_some_and(|step| (with_gangs || !step.gang) && !step.lasting)
     }
 
-    /// Returns whether a running task makes way for a step.
+    /// Returns whether a running task may be preempted for a step.
     ///
-    /// It waits again at once, so it has to come after the step: before it, it would take back the room that was made, and
-    /// make way again, without end.
-    fn yields(&self, task: TaskId, demand: &Demand<'_>, rank: Rank, now: Timestamp) -> bool {
+    /// A preempted task waits again at once, so it has to rank after the step. If it ranked before, it would take the
+    /// freed resources back and be preempted again, in an endless cycle.
+    fn is_preemptible_by(
+        &self,
+        task: TaskId,
+        demand: &Demand<'_>,
+        rank: Rank,
+        now: Timestamp,
+    ) -> bool {
         let Some(job) = self.jobs.get(&task.step.job) else {
             return false;
         };
@@ -269,7 +282,7 @@
             && own.is_some_and(|(own, _)| own > rank)
     }
 
-    /// Has tasks make way on a worker until so many of a step fit there.
+    /// Preempts tasks on a worker until the wanted number of tasks of a step fits there.
     fn preempt(
         &mut self,
         id: StepId,
@@ -317,7 +330,7 @@
             step: id,
             worker: worker.registration.id.clone(),
             wanted,
-            fits: offer.soon,
+            fits: offer.fits_soon,
             victims,
             ticket: ticket.map(|ticket| now.until(ticket.until)),
         };
@@ -325,18 +338,19 @@
     }
 }
 
-/// Chooses workers that offer room for all tasks, with how many each takes; a gang needs all of them.
-fn choose(offers: Vec<Offer>, count: usize, is_gang: bool) -> Option<Vec<(Offer, usize)>> {
+/// Chooses workers in the order of `offers`, with the number of tasks that each takes. Returns `None` if a gang doesn't
+/// fit as a whole.
+fn choose_workers(offers: Vec<Offer>, count: usize, is_gang: bool) -> Option<Vec<(Offer, usize)>> {
     let mut left = count;
     let mut chosen = Vec::new();
     for offer in offers {
         if left == 0 {
             break;
         }
-        if offer.most == 0 {
+        if offer.fits_eventually == 0 {
             continue;
         }
-        let wanted = left.min(offer.most);
+        let wanted = left.min(offer.fits_eventually);
         left -= wanted;
         chosen.push((offer, wanted));
     }
--- a/crates/cell/src/engine/room.rs
+++ b/crates/cell/src/engine/room.rs
@@ -1,4 +1,4 @@
-//! Workers by what they have left.
+//! Index of workers by their free resources.
 
 use std::collections::BTreeSet;
 
@@ -14,37 +14,37 @@
     worker::Worker, //
 };
 
-/// The workers of each pool, and those of them that take tasks, ordered by their free processor time.
+/// The number of workers in each pool, and those that accept tasks, ordered by free CPU.
 ///
-/// A change of a worker costs the logarithm of their count. While none takes tasks, as when a new owner has heard of
-/// none yet, a step finds that out at once; going through 540 of them for each of 1,800 steps that waited kept a new
-/// owner from everything else for up to 15 s.
+/// Updating a worker takes logarithmic time. If no worker accepts tasks, as when none has answered a new owner yet, a
+/// step finds that out at once. Without the index, checking 540 workers for each of 1,800 waiting steps blocked a new
+/// owner for up to 15 s.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Rooms {
+pub(super) struct FreeCapacity {
     pools: HashMap<PoolName, Pool>,
-    places: HashMap<Slot, Place>,
-    /// What each worker that takes tasks has left, by its slot; a step's look reads little else.
+    entries: HashMap<Slot, Entry>,
+    /// The free resources of each worker that accepts tasks, by slot. Placing a step reads little else.
     free: Vec<Option<Resources>>,
 }
 
 #[derive(Clone, Debug, Default)]
 struct Pool {
     members: usize,
-    takers: BTreeSet<(Millicores, Slot)>,
+    accepting: BTreeSet<(Millicores, Slot)>,
 }
 
-/// Where a worker stands.
+/// The position of a worker in the index.
 #[derive(Clone, Debug, PartialEq, Eq)]
-struct Place {
+struct Entry {
     pool: PoolName,
-    /// What it has left, where it takes tasks.
+    /// Its free CPU, if it accepts tasks.
     free: Option<Millicores>,
 }
 
-impl Rooms {
-    /// Notes what is known of a worker now; `None` where it is gone.
+impl FreeCapacity {
+    /// Updates the entry of a worker, or removes it for `None`.
     pub(super) fn set(&mut self, slot: Slot, worker: Option<&Worker>) {
-        let place = worker.map(|worker| Place {
+        let entry = worker.map(|worker| Entry {
             pool: worker.registration.pool.clone(),
             free: worker.is_taking().then_some(worker.free.cpu),
         });
@@ -53,48 +53,49 @@
         }
         let taking = worker.filter(|worker| worker.is_taking());
         self.free[slot.index()] = taking.map(|worker| worker.free);
-        if self.places.get(&slot) == place.as_ref() {
+        if self.entries.get(&slot) == entry.as_ref() {
             return;
         }
-        if let Some(before) = self.places.remove(&slot)
+        if let Some(before) = self.entries.remove(&slot)
             && let Some(pool) = self.pools.get_mut(&before.pool)
         {
             pool.members -= 1;
             if let Some(free) = before.free {
-                pool.takers.remove(&(free, slot));
+                pool.accepting.remove(&(free, slot));
             }
         }
-        let Some(place) = place else {
+        let Some(entry) = entry else {
             return;
         };
-        let pool = self.pools.entry(place.pool.clone()).or_default();
+        let pool = self.pools.entry(entry.pool.clone()).or_default();
         pool.members += 1;
-        if let Some(free) = place.free {
-            pool.takers.insert((free, slot));
+        if let Some(free) = entry.free {
+            pool.accepting.insert((free, slot));
         }
-        self.places.insert(slot, place);
+        self.entries.insert(slot, entry);
     }
 
-    /// Returns whether a worker takes tasks, unless it rests, and has room for one of a size.
+    /// Returns whether a worker accepts tasks and has the free resources for one of a size. Doesn't check for backoff
+    /// after a rejection.
     pub(super) fn fits(&self, slot: Slot, size: &Resources) -> bool {
         let free = self.free.get(slot.index()).and_then(Option::as_ref);
         free.is_some_and(|free| size.fits(free))
     }
 
-    /// Returns how many workers of a pool are known, whether they take tasks or not.
+    /// Returns how many workers of a pool are known, whether they accept tasks or not.
     pub(super) fn members(&self, pool: &PoolName) -> usize {
         self.pools.get(pool).map_or(0, |pool| pool.members)
     }
 
-    /// Returns the workers of a pool that take tasks, unless they rest, and have so much processor time left; those with
-    /// the least come first.
+    /// Returns the workers of a pool that accept tasks and have at least so much CPU free, those with the least first.
+    /// Doesn't check for backoff after a rejection.
     pub(super) fn from(
         &self,
         pool: &PoolName,
         least: Millicores,
     ) -> impl DoubleEndedIterator<Item = Slot> + use<'_> {
         let pool = self.pools.get(pool).into_iter();
-        pool.flat_map(move |pool| pool.takers.range((least, Slot::FIRST)..))
+        pool.flat_map(move |pool| pool.accepting.range((least, Slot::FIRST)..))
             .map(|(_, slot)| *slot)
     }
 }
--- a/crates/cell/src/engine/schedule.rs
+++ b/crates/cell/src/engine/schedule.rs
@@ -1,4 +1,4 @@
-//! The order in which open steps get their turn.
+//! The scheduling pass: the order in which open steps are placed, and its cost limits.
 
 use std::time::Duration;
 
@@ -11,64 +11,65 @@
 };
 use crate::id::StepId;
 
-/// How many looks at workers a pass takes before it leaves the less urgent steps to later passes: events wait behind it,
-/// for 2 ms of a whole core at most (`examples/fleet`, 540 workers, 150% of the work that fits). While they waited up to
-/// 9 ms, five times as many urgent jobs were late in a burst on half a core.
-const PASS_LOOKS: usize = 8_000;
-/// How many looks it takes beyond that, at steps that come after and at others in each pass, so that steps which find
-/// no room for a long time don't hide one that would.
-const TURN_LOOKS: usize = 2_000;
-/// What a step takes by itself, in looks at a worker.
-const STEP_LOOKS: usize = 4;
-/// What it takes to see what a worker could offer if some of its tasks made way, in looks.
-const OFFER_LOOKS: usize = 10;
-/// The least time between two passes over the open steps: a busy second has some 1,000 events.
-const PASS_GAP: Duration = Duration::from_millis(4);
-/// What each look adds to it, so that passes leave most of the processor to events whatever waits: the engine took 84 ms
-/// of a second on that fleet.
-const LOOK_GAP: Duration = Duration::from_nanos(800);
-/// The time to the next pass while steps were passed over, if nothing happens before.
-const TURN_GAP: Duration = Duration::from_millis(50);
-
-/// The least span of time: a step is in time up to a moment, and late from the next one on.
-const INSTANT: Duration = Duration::from_micros(1);
-/// A gang that is late is ranked with those in time, one of a queue at a time, once so many others of its queue have
-/// started while it waited: some 7 s of the arrivals of a busy fleet of 540. Else each gang that comes later, and fits
-/// where a wide one doesn't, goes before it for as long as any come.
-const MOST_OVERTAKEN: u64 = 64;
-
-/// The priority of urgent queues, which may preempt the others.
-const URGENT: u8 = 0;
-
-/// How urgent a step is; the least comes first.
+/// The cost limit of a pass, in worker checks, before it leaves the less urgent steps to later passes. Events wait
+/// while a pass runs, with this limit for 2 ms of a whole core at most (`examples/fleet`, 540 workers, 150% of the work
+/// that fits). When they waited up to 9 ms, five times as many urgent jobs were late in a burst on half a core.
+const PASS_BUDGET: usize = 8_000;
+/// The additional cost limit, in worker checks, for less urgent steps. Each pass continues where the previous one
+/// stopped, so that steps which fit nowhere for a long time don't starve a later one that would fit.
+const RESUMED_BUDGET: usize = 2_000;
+/// The fixed cost of a step, in worker checks.
+const STEP_COST: usize = 4;
+/// The cost of evaluating preemption on a worker, in worker checks.
+const PREEMPTION_CHECK_COST: usize = 10;
+/// The minimum time between two passes. A busy second has some 1,000 events.
+const MIN_PASS_INTERVAL: Duration = Duration::from_millis(4);
+/// The delay that each worker check adds before the next pass, so that passes leave most of the CPU to events however
+/// many steps wait. The engine used 84 ms of each second on the fleet that [`PASS_BUDGET`] describes.
+const PASS_DELAY_PER_CHECK: Duration = Duration::from_nanos(800);
+/// The time until skipped steps are retried if no event triggers a pass before.
+const SKIPPED_RETRY_DELAY: Duration = Duration::from_millis(50);
+
+/// The resolution of timestamps. A step is in time up to its latest start, and late from the next instant on.
+const TIME_RESOLUTION: Duration = Duration::from_micros(1);
+/// A late gang is ranked as if it were in time once this many other gangs of its queue have started while it waited;
+/// this applies to one gang per queue at a time. On a busy fleet of 540 workers, as many gangs arrive in some 7 s.
+/// Without it, later gangs that fit where a wide one doesn't would overtake that one for as long as new ones arrive.
+const MAX_OVERTAKING_GANGS: u64 = 64;
+
+/// The priority value of urgent queues, which may preempt the others.
+const URGENT_PRIORITY: u8 = 0;
+
+/// The position of a step in the scheduling order; the smallest rank comes first.
 ///
-/// It answers the backlog after an outage or a change of owners, when quick urgent jobs are late and the room
-/// is taken by large ones that are not: late urgent steps go before the others' steps that are in time. They
-/// take little of the room, and their callers get an answer instead of none. On 48 workers 2.3% of the jobs
-/// came to nothing so instead of 2.9%, worth 0.699 instead of 0.684 (25 plays of days with trouble).
+/// Late urgent steps rank before steps of other queues that are in time. This helps with the backlog after an outage or
+/// a change of owners, when short urgent jobs are late and larger jobs that are not late hold the resources: urgent
+/// steps need few resources, and their callers get a result instead of none. On 48 workers this order reduced the jobs
+/// without a result from 2.9% to 2.3% and raised the value of the results from 0.684 to 0.699 (25 simulations of days
+/// with faults).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Rank {
-    standing: Standing,
+    class: Class,
     priority: u8,
     lateness: Lateness,
     latest_start: Timestamp,
     pub(super) step: StepId,
 }
 
-/// Which steps go before which, whatever their priority.
+/// The class of a step, which is compared before its priority.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Standing {
-    /// An urgent step that is worth something yet.
+enum Class {
+    /// An urgent step whose result still has a value.
     Urgent,
-    /// One of the others that can be in time.
+    /// A step of another queue that can still be in time.
     InTime,
-    /// One of the others that is late.
+    /// A step of another queue that is late.
     Late,
-    /// One that is worth nothing any more.
+    /// A step whose result has no value any more.
     Worthless,
 }
 
-/// How late a step is.
+/// How late a step is against its latency objective.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Lateness {
     InTime,
@@ -76,11 +77,11 @@
     Worthless,
 }
 
-impl Standing {
+impl Class {
     const fn new(priority: u8, lateness: Lateness) -> Self {
         match lateness {
             Lateness::Worthless => Self::Worthless,
-            _ if priority == URGENT => Self::Urgent,
+            _ if priority == URGENT_PRIORITY => Self::Urgent,
             Lateness::InTime => Self::InTime,
             Lateness::Late => Self::Late,
         }
@@ -88,7 +89,7 @@
 }
 
 impl Engine {
-    /// Goes through the open steps in order of urgency and starts what fits.
+    /// Runs a scheduling pass: examines the open steps in order of urgency and starts the tasks that fit.
     pub(super) fn schedule(&mut self, now: Timestamp) {
         for id in self.agenda.take_unranked(now) {
             if let Some((rank, change)) = self.rank(id, now) {
@@ -97,15 +98,15 @@
         }
         let mut reserved = Reserved::default();
         self.keep_emptying(&mut reserved, now);
-        let (last, looks) = self.serve_from(None, PASS_LOOKS, &mut reserved, now);
-        let more = self.serve_in_turn(last, &mut reserved, now);
-        let looks = u32::try_from(looks + more).unwrap_or(u32::MAX);
-        self.next_pass = now + PASS_GAP.max(LOOK_GAP * looks);
+        let (last, cost) = self.schedule_from(None, PASS_BUDGET, &mut reserved, now);
+        let more_cost = self.schedule_skipped(last, &mut reserved, now);
+        let cost = u32::try_from(cost + more_cost).unwrap_or(u32::MAX);
+        self.next_pass = now + MIN_PASS_INTERVAL.max(PASS_DELAY_PER_CHECK * cost);
     }
 
-    /// Goes through the steps that come after one, until that has taken so many looks; returns the last one, if any
-    /// comes after it, and how many looks it took.
-    fn serve_from(
+    /// Schedules the steps that rank after `from` until the cost reaches `budget`. Returns the cost and, if steps are
+    /// left, the rank of the last step that was examined.
+    fn schedule_from(
         &mut self,
         from: Option<Rank>,
         budget: usize,
@@ -113,39 +114,40 @@
         now: Timestamp,
     ) -> (Option<Rank>, usize) {
         let mut last = from;
-        let mut looks = 0;
+        let mut cost = 0;
         while let Some(rank) = self.agenda.after(last) {
-            if looks >= budget {
-                return (last, looks);
+            if cost >= budget {
+                return (last, cost);
             }
             last = Some(rank);
-            if rank.standing == Standing::Late {
+            if rank.class == Class::Late {
                 self.promote(rank.step);
             }
-            looks += self.look(rank.step, reserved, now);
+            cost += self.schedule_step(rank.step, reserved, now);
         }
-        (None, looks)
+        (None, cost)
     }
 
-    /// Goes on with the steps that were passed over, where the pass before this one has left off.
-    fn serve_in_turn(
+    /// Schedules some of the steps after `last`, continuing where the previous pass stopped. Returns the cost.
+    fn schedule_skipped(
         &mut self,
         last: Option<Rank>,
         reserved: &mut Reserved,
         now: Timestamp,
     ) -> usize {
         let Some(last) = last else {
-            self.turn = None;
+            self.resume_after = None;
             return 0;
         };
-        let from = self.turn.map_or(last, |turn| turn.max(last));
-        let (turn, looks) = self.serve_from(Some(from), TURN_LOOKS, reserved, now);
-        self.turn = turn;
-        self.look_again = Some(now + TURN_GAP);
-        looks
+        let from = self.resume_after.map_or(last, |rank| rank.max(last));
+        let (resume_after, cost) = self.schedule_from(Some(from), RESUMED_BUDGET, reserved, now);
+        self.resume_after = resume_after;
+        self.retry_skipped_at = Some(now + SKIPPED_RETRY_DELAY);
+        cost
     }
 
-    /// Ranks a late gang with those in time where too many others were started before it, and none is ranked so already.
+    /// Promotes a late gang to the rank of those in time if too many other gangs have overtaken it and no gang of its
+    /// queue is promoted already.
     fn promote(&mut self, id: StepId) {
         let Some(job) = self.jobs.get(&id.job) else {
             return;
@@ -160,51 +162,57 @@
         let promoted = promoted.and_then(|promoted| self.agenda.rank_of(*promoted));
         let is_free = promoted.is_none_or(|rank| rank.lateness == Lateness::Worthless);
         let others = started.saturating_sub(stage.started_before);
-        if is_free && others >= MOST_OVERTAKEN {
+        if is_free && others >= MAX_OVERTAKING_GANGS {
             self.promoted.insert(queue.clone(), id);
             self.agenda.unrank_one(id);
         }
     }
 
-    /// Starts what fits of a step, or makes room for it; returns how many looks that took.
-    fn look(&mut self, id: StepId, reserved: &mut Reserved, now: Timestamp) -> usize {
+    /// Starts the tasks of a step that fit, or reserves workers for it. Returns the cost in worker checks.
+    fn schedule_step(&mut self, id: StepId, reserved: &mut Reserved, now: Timestamp) -> usize {
         if !self.knows_evacuation(now) {
             self.explain(id, Wait::Evacuation, now);
-            return STEP_LOOKS;
+            return STEP_COST;
         }
         let advice = self.jobs.get(&id.job).and_then(|job| job.stage(id));
         let advice = advice.map(|stage| &stage.advice);
-        // Nothing can be known of it before the answer.
+        // No worker can be chosen before the answer.
         if advice.is_some_and(|advice| advice.is_awaited()) {
-            self.keep_of_limit(id, reserved);
-            return STEP_LOOKS;
+            self.reserve_quota(id, reserved);
+            return STEP_COST;
         }
         let allowed = advice.map_or(0, |advice| advice.allowed.len());
         if self.is_limited(id, reserved) {
             self.explain(id, Wait::Limit, now);
-            return STEP_LOOKS;
+            return STEP_COST;
         }
-        if self.serve(id, reserved, now) || self.set_aside(id, now) {
-            return STEP_LOOKS + allowed;
+        if self.start_fitting(id, reserved, now) || self.set_aside(id, now) {
+            return STEP_COST + allowed;
         }
-        // Nobody makes way for what its own limit holds back.
+        // Nothing is preempted for a step that its own workspace's limit holds back.
         if self.is_limited(id, reserved) {
             self.explain(id, Wait::Limit, now);
-            return STEP_LOOKS + allowed;
+            return STEP_COST + allowed;
         }
-        self.keep_of_limit(id, reserved);
+        self.reserve_quota(id, reserved);
         self.explain_wait(id, now);
-        let is_made = !reserved.keeps(id) && self.make_room(id, reserved, now);
-        STEP_LOOKS + allowed * if is_made { OFFER_LOOKS } else { 1 }
+        let has_evaluated = !reserved.has_gang(id) && self.make_room(id, reserved, now);
+        STEP_COST
+            + allowed
+                * if has_evaluated {
+                    PREEMPTION_CHECK_COST
+                } else {
+                    1
+                }
     }
 
-    /// Returns the rank of a step, and when it changes.
+    /// Returns the rank of a step and, if it changes over time, when it changes next.
     pub(super) fn rank(&self, id: StepId, now: Timestamp) -> Option<(Rank, Option<Timestamp>)> {
         let job = self.jobs.get(&id.job)?;
         let latest_start = job.latest_start(id);
         let worthless = job.worthless(id.occurrence);
         let (lateness, until) = match () {
-            // It earns for as long as it runs, from whenever on.
+            // A long-running service has a value for as long as it runs, whenever it starts.
             () if job.step(id).is_some_and(|step| step.lasting) => (Lateness::InTime, None),
             () if now <= latest_start => (Lateness::InTime, Some(latest_start)),
             () if now <= worthless => (Lateness::Late, Some(worthless)),
@@ -218,17 +226,17 @@
             lateness => lateness,
         };
         let rank = Rank {
-            standing: Standing::new(priority, lateness),
+            class: Class::new(priority, lateness),
             priority,
             lateness,
             latest_start,
             step: id,
         };
-        Some((rank, until.map(|until| until + INSTANT)))
+        Some((rank, until.map(|until| until + TIME_RESOLUTION)))
     }
 
-    /// Starts what fits of one step; false where something of it has to wait.
-    fn serve(&mut self, id: StepId, reserved: &mut Reserved, now: Timestamp) -> bool {
+    /// Asks for advice if needed and starts the tasks of a step that fit. Returns false if some have to wait.
+    fn start_fitting(&mut self, id: StepId, reserved: &mut Reserved, now: Timestamp) -> bool {
         if !self.has_advice(id) {
             self.ask(id, now);
             return false;
--- a/crates/cell/src/engine/shrink.rs
+++ b/crates/cell/src/engine/shrink.rs
@@ -1,7 +1,7 @@
-//! Workers that have less room than they had.
+//! Workers whose capacity has decreased.
 //!
-//! A worker's room may shrink and grow while it runs, and only its own report tells. What was decided before the report came
-//! in must not fill it over.
+//! A worker's capacity may shrink and grow while it runs, and only its own reports show that. Starts that were decided
+//! before such a report arrived must not overcommit the worker.
 
 use std::time::Duration;
 
@@ -24,48 +24,51 @@
     },
 };
 
-/// For how long a worker's report says how much room there is. Workers report themselves each 1.5 s, and starts that go beyond
-/// a room that has shrunk are borne for 3 s more; the rest is for an order's way.
-const REPORT_HOLDS: Duration = Duration::from_secs(4);
-/// A record that took longer has waited for a store that was away; others take 10 to 20 ms, and some 0.4 s while it is slow.
-const LONG_RECORD: Duration = Duration::from_millis(500);
-/// By then after an outage of the store each worker that is there has reported itself.
-const REPORTS_AFTER: Duration = Duration::from_secs(2);
+/// How long the capacity in a worker's report is trusted. Workers report every 1.5 s, and starts that exceed a
+/// decreased capacity are tolerated for 3 s more; the difference to this value is for the transit of an order.
+const REPORT_VALIDITY: Duration = Duration::from_secs(4);
+/// A record that takes longer has waited for an unavailable store. Other records take 10 to 20 ms, and some 0.4 s while
+/// the store is slow.
+const SLOW_RECORD_THRESHOLD: Duration = Duration::from_millis(500);
+/// The time after an outage of the store within which every worker that is up has reported again.
+const REPORT_RECOVERY_TIME: Duration = Duration::from_secs(2);
 
-/// Which reports of workers say how much room there is.
+/// From which time on worker reports are recent enough to trust their capacity.
 ///
-/// While the store is away no worker can tell that it has shrunk, so right after an outage old reports are not believed. At
-/// other times they are, until the first room shrinks: the list of workers may be away alone, and where no room ever shrinks
-/// nothing would be started then for nothing.
+/// While the store is unavailable, no worker can report a decreased capacity, so old reports are distrusted right after
+/// an outage. At other times they are trusted until the capacity of any worker decreases for the first time: the list
+/// of workers alone may be unavailable, and where capacities never decrease, distrust would block all starts
+/// needlessly.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Reports {
-    /// Those from before this don't.
-    pub(super) from: Timestamp,
+pub(super) struct ReportValidity {
+    /// Older reports are not trusted.
+    pub(super) valid_from: Timestamp,
     has_shrunk: bool,
-    doubted_until: Timestamp,
+    distrusted_until: Timestamp,
 }
 
-impl Reports {
-    /// Notes how long a record was on its way.
+impl ReportValidity {
+    /// Notes how long a record took to be written.
     pub(super) fn note_record(&mut self, took: Duration, now: Timestamp) {
-        if took > LONG_RECORD {
-            self.doubted_until = now + REPORTS_AFTER;
+        if took > SLOW_RECORD_THRESHOLD {
+            self.distrusted_until = now + REPORT_RECOVERY_TIME;
         }
-        self.weigh(now);
+        self.update(now);
     }
 
-    pub(super) fn weigh(&mut self, now: Timestamp) {
-        self.from = match self.has_shrunk || now < self.doubted_until {
-            true => now.saturating_sub(REPORT_HOLDS),
+    /// Updates the time from which reports are trusted.
+    pub(super) fn update(&mut self, now: Timestamp) {
+        self.valid_from = match self.has_shrunk || now < self.distrusted_until {
+            true => now.saturating_sub(REPORT_VALIDITY),
             false => Timestamp::ZERO,
         };
     }
 }
 
 impl Engine {
-    /// Takes back what a worker that has shrunk has no room for any more, as far as it has not begun.
+    /// Revokes starts that exceed the decreased capacity of a worker, if their orders are unsent or unanswered.
     ///
-    /// What runs there goes on: it was there first, and ends by itself.
+    /// Tasks that run there already go on until they end by themselves.
     pub(super) fn shrink(&mut self, slot: Slot, now: Timestamp) {
         self.reports.has_shrunk = true;
         self.note_worker(slot, "shrunk", now);
@@ -73,9 +76,9 @@
             if !self.workers.get(&slot).is_some_and(Worker::is_overfull) {
                 return;
             }
-            self.take_back(slot, task, run, "shrunk", now);
+            self.revoke(slot, task, run, "shrunk", now);
         }
-        // An order without an answer may be carried out yet.
+        // An unanswered order may still be carried out, so the run has to be stopped.
         let is_unanswered = |claim: &Claim| claim.phase == Phase::Starting && claim.unanswered > 0;
         for (task, run) in self.runs_on(slot, is_unanswered) {
             if self.workers.get(&slot).is_some_and(Worker::is_overfull) {
@@ -84,15 +87,15 @@
         }
     }
 
-    /// Takes back all runs of a worker whose orders have not left.
-    pub(super) fn take_back_unsent(&mut self, slot: Slot, why: &'static str, now: Timestamp) {
+    /// Revokes all runs of a worker whose start orders have not been sent.
+    pub(super) fn revoke_unsent(&mut self, slot: Slot, why: &'static str, now: Timestamp) {
         for (task, run) in self.unsent(slot) {
-            self.take_back(slot, task, run, why, now);
+            self.revoke(slot, task, run, why, now);
         }
     }
 
-    /// Takes back a run whose order has not left, and never will.
-    pub(super) fn take_back(
+    /// Revokes a run whose start order has not been sent and never will be.
+    pub(super) fn revoke(
         &mut self,
         slot: Slot,
         task: TaskId,
@@ -104,7 +107,7 @@
         self.release(slot, task, run, now);
     }
 
-    /// Returns the runs of a worker whose orders have not left, the latest first.
+    /// Returns the runs of a worker whose start orders have not been sent, the latest first.
     fn unsent(&self, slot: Slot) -> Vec<(TaskId, Run)> {
         let claims = self.workers.get(&slot).map(|worker| &worker.claims);
         let claims = claims.into_iter().flatten();
@@ -114,7 +117,7 @@
         unsent.into_iter().map(|(_, key)| key).collect()
     }
 
-    /// Tells that an order never leaves.
+    /// Logs that a run is not started.
     fn note_not_started(&mut self, slot: Slot, task: TaskId, run: Run, why: &'static str) {
         let Some(worker) = self.workers.get(&slot) else {
             return;
--- a/crates/cell/src/engine/submit.rs
+++ b/crates/cell/src/engine/submit.rs
@@ -1,4 +1,4 @@
-//! Jobs and cancellations that come in, and steps whose turn comes.
+//! Acceptance and cancellation of jobs, and opening of steps that are ready.
 
 use fulmarpier_state::{
     alias::HashMap,
@@ -24,23 +24,24 @@
 };
 
 impl Engine {
-    /// Takes a job whose acceptance is on record; false where it is known already.
+    /// Adds a job whose acceptance is on record. Returns false if the job is known already.
     pub fn submit(&mut self, accepted: Accepted, now: Timestamp) -> bool {
         let known = self.jobs.get(&accepted.job);
         if known.is_some_and(|job| job.workspace() == accepted.workspace_name()) {
             return self.confirm_announced(accepted.job, now);
         }
         if known.is_some() || self.ended.contains_key(&accepted.job) {
-            // It was handed in again after its end and stands on record again, or its id is that of another workspace's job.
-            self.turn_down(&accepted);
+            // The job was submitted again after its end, which put it on record again, or its id belongs to a job of
+            // another workspace.
+            self.reject(&accepted);
             return false;
         }
         self.insert(Job::new(accepted, &Progress::default()), now);
         true
     }
 
-    /// Has the acceptance of a job that isn't to run taken off the record.
-    fn turn_down(&mut self, accepted: &Accepted) {
+    /// Schedules the deletion of a recorded acceptance whose job must not run.
+    fn reject(&mut self, accepted: &Accepted) {
         self.forgotten.push(Forgotten {
             job: accepted.job,
             workspace: accepted.workspace_name().cloned(),
@@ -49,11 +50,11 @@
         });
     }
 
-    /// Takes a job that a former owner may have begun.
+    /// Restores a job that a former owner may have started.
     ///
-    /// A job that was handed in at two nodes is on record twice; it is one job. The id of one workspace's job is no other
-    /// one's: whose has come some way has it, else whose is known first.
-    pub(super) fn inherit(
+    /// A job that was submitted at two nodes is on record twice but is one job. If jobs of two workspaces have the same
+    /// id, the one that has recorded progress keeps it, otherwise the one that is restored first.
+    pub(super) fn restore_job(
         &mut self,
         accepted: Accepted,
         progress: &mut HashMap<JobId, Progress>,
@@ -61,9 +62,11 @@
     ) {
         let id = accepted.job;
         let known = self.jobs.get(&id).map(Job::workspace);
-        let come = progress.get(&id).map(|come| come.workspace.as_ref());
-        match known.or(come) {
-            Some(holder) if holder != accepted.workspace_name() => self.turn_down(&accepted),
+        let recorded_holder = progress
+            .get(&id)
+            .map(|progress| progress.workspace.as_ref());
+        match known.or(recorded_holder) {
+            Some(holder) if holder != accepted.workspace_name() => self.reject(&accepted),
             _ if known.is_some() => {}
             _ => {
                 let progress = progress.remove(&id).unwrap_or_default();
@@ -73,6 +76,7 @@
         }
     }
 
+    /// Adds a job and begins its occurrences that are due.
     pub(super) fn insert(&mut self, mut job: Job, now: Timestamp) {
         let id = job.accepted.job;
         job.is_cancelled = self.is_cancelled(&job);
@@ -89,7 +93,7 @@
                 for occurrence in 0..schedule.times {
                     let at = Timestamp::ZERO + schedule.first + schedule.period * occurrence;
                     match at <= now {
-                        // A worker may run it by order of a former owner.
+                        // A worker may be running it on an order of a former owner.
                         true => self.begin_occurrence(id, occurrence, now),
                         false => drop(self.due.insert((at, id, occurrence))),
                     }
@@ -99,8 +103,8 @@
         }
     }
 
-    /// Begins the occurrences whose time has come.
-    pub(super) fn open_due(&mut self, now: Timestamp) {
+    /// Begins the occurrences of scheduled jobs that are due.
+    pub(super) fn begin_due_occurrences(&mut self, now: Timestamp) {
         while let Some((at, job, occurrence)) = self.due.first().copied() {
             if at > now {
                 return;
@@ -119,7 +123,7 @@
         self.open_steps(id, now);
     }
 
-    /// Opens the steps of a job that wait for nothing, by what is on record.
+    /// Opens the steps of a job whose preceding steps are all done according to the record.
     pub(super) fn open_steps(&mut self, id: JobId, now: Timestamp) {
         let Some(job) = self.jobs.get_mut(&id).filter(|job| !job.is_over()) else {
             return;
@@ -151,9 +155,10 @@
         }
     }
 
-    /// Cancels a job, whose cancellation is on record; returns whether the job is known.
+    /// Cancels a job whose cancellation is on record. Returns whether the job is known.
     ///
-    /// One that is not known yet is cancelled once it is: its acceptance may be on record already, or on its way.
+    /// A job that is not known yet is cancelled when it becomes known: its acceptance may be on record already, or may
+    /// still be on its way there.
     pub fn cancel(&mut self, cancelled: &Cancelled, now: Timestamp) -> bool {
         self.note_cancelled(cancelled);
         let id = cancelled.job;
@@ -171,20 +176,20 @@
         true
     }
 
-    /// Notes a cancellation; that a job was on record stays known.
+    /// Notes a cancellation. Of several for the same job, the one that implies that the job was on record is kept.
     pub(super) fn note_cancelled(&mut self, cancelled: &Cancelled) {
         let key = (cancelled.job, cancelled.workspace.clone());
         let noted = self.cancelled.entry(key).or_insert(cancelled.cancellation);
         *noted = cancelled.cancellation.max(*noted);
     }
 
-    /// Returns whether a job was cancelled by somebody who may.
+    /// Returns whether a job was cancelled by a caller who is allowed to see it.
     fn is_cancelled(&self, job: &Job) -> bool {
         let mut cancelled = self.cancellations(job.accepted.job);
         cancelled.any(|(by, _)| is_seen_by(by, job.workspace()))
     }
 
-    /// Takes a job that is over out of all queues and stops what runs of it.
+    /// Removes a job that is over from the open steps and stops its runs.
     pub(super) fn close(&mut self, id: JobId, why: &'static str, now: Timestamp) {
         self.agenda.remove_job(id);
         self.aside.retain(|step| step.job != id);
@@ -209,9 +214,9 @@
         }
     }
 
-    /// Notes that a task of a job was seen on a worker.
+    /// Marks a job as begun because a worker has confirmed or listed one of its tasks.
     ///
-    /// A decision to start one is not enough: its order may come to nothing.
+    /// The decision to start a task doesn't count, since its order may fail.
     pub(super) fn mark_begun(&mut self, id: JobId) {
         if let Some(job) = self.jobs.get_mut(&id) {
             job.has_begun = true;
--- a/crates/cell/src/engine/timer.rs
+++ b/crates/cell/src/engine/timer.rs
@@ -1,4 +1,4 @@
-//! When what is due, found without a look at the rest.
+//! Timers by key, with the due ones found without a scan of the others.
 
 use std::{
     collections::BTreeSet,
@@ -12,8 +12,9 @@
 
 /// When each key is due.
 ///
-/// An event of a cell concerns a worker or two. Where each event went through all workers and all stops for what is
-/// due, the engine took 65 ms of a second at 540 workers and takes 33 so (`examples/fleet`, the same 1,141 starts).
+/// An event of a cell concerns a worker or two. With 540 workers, a scan of all workers and all stops at each event
+/// cost the engine 65 ms of each second; with these timers it uses 33 ms (`examples/fleet`, 1,141 starts in both
+/// cases).
 #[derive(Clone, Debug)]
 pub(super) struct Timers<K> {
     due: BTreeSet<(Timestamp, K)>,
@@ -30,7 +31,7 @@
 }
 
 impl<K: Copy + Hash + Ord> Timers<K> {
-    /// Says when a key is due, in the place of what was said before; `None` where it is not.
+    /// Sets the time at which a key is due, replacing any earlier time; `None` removes the key.
     pub(super) fn set(&mut self, key: K, at: Option<Timestamp>) {
         let before = match at {
             Some(at) => self.times.insert(key, at),
@@ -47,7 +48,7 @@
         }
     }
 
-    /// Takes out what is due, in the order of the keys.
+    /// Removes and returns the keys that are due, in key order.
     pub(super) fn take_due(&mut self, now: Timestamp) -> Vec<K> {
         let mut taken = Vec::new();
         while let Some((at, key)) = self.due.first().copied() {
--- a/crates/cell/src/engine/view.rs
+++ b/crates/cell/src/engine/view.rs
@@ -1,4 +1,4 @@
-//! What callers and operators see.
+//! Job states for callers, and counts for metrics.
 
 use super::{
     Engine,
@@ -30,14 +30,14 @@
     Running,
     /// All tasks are done, and that is on record.
     Completed,
-    /// A task or a gang has used its tries, and that is on record.
+    /// A task or a gang has failed in all its attempts, and that is on record.
     Failed,
     /// It was cancelled.
     Cancelled,
 }
 
 impl State {
-    /// Returns whether the job has come to its end.
+    /// Returns whether the job is over.
     pub const fn is_final(self) -> bool {
         matches!(self, Self::Completed | Self::Failed | Self::Cancelled)
     }
@@ -57,38 +57,39 @@
 pub struct Counts {
     /// Jobs, ended ones included.
     pub jobs: usize,
-    /// Jobs that have begun nothing.
+    /// Pending jobs, of which no task has started.
     pub waiting: usize,
-    /// Steps with tasks that wait for a start.
+    /// Open steps with tasks that wait to be started.
     pub open_steps: usize,
-    /// Those of them that no known worker could run.
+    /// Open steps that no known worker could run.
     pub steps_aside: usize,
-    /// Runs that may use room.
+    /// Runs that may use resources of a worker.
     pub claims: usize,
-    /// Runs that workers listed when they were last heard.
+    /// Runs that workers have listed in their last inventories.
     pub listed: usize,
-    /// Workers that take tasks, or would if they had room.
+    /// Listed workers that answer.
     pub workers_heard: usize,
     /// Workers that don't answer.
     pub workers_silent: usize,
-    /// Workers that may run tasks of former owners and were not heard of yet.
+    /// Workers that may run tasks started by former owners and have not answered this owner yet.
     pub workers_unheard: usize,
     /// Workers in data centres that are evacuated.
     pub workers_evacuated: usize,
 }
 
 impl Engine {
-    /// Returns the state of a job, or `None` where it is not known.
+    /// Returns the state of a job, or `None` if it is not known.
     pub fn state(&self, id: JobId) -> Option<State> {
         self.state_if(id, |_| true)
     }
 
-    /// Returns the state of a job as callers of a workspace see it: they don't learn whether another one's exists.
+    /// Returns the state of a job as callers of a workspace see it. They can't tell whether a job of another workspace
+    /// exists.
     pub fn state_for(&self, id: JobId, viewer: Option<&WorkspaceName>) -> Option<State> {
         self.state_if(id, |holder| is_seen_by(viewer, holder))
     }
 
-    /// Returns the state of a job where it belongs to a workspace that meets a condition.
+    /// Returns the state of a job if its workspace meets a condition.
     fn state_if(
         &self,
         id: JobId,
@@ -117,7 +118,7 @@
         })
     }
 
-    /// Returns the cancellations of a job, by the workspaces of who cancelled.
+    /// Returns the cancellations of a job, with the workspaces of the callers who cancelled it.
     pub(super) fn cancellations(
         &self,
         id: JobId,
@@ -127,12 +128,12 @@
         own.map(|((_, by), noted)| (by.as_ref(), *noted))
     }
 
-    /// Returns how many jobs of a queue wait.
+    /// Returns how many jobs of a queue are pending.
     pub fn pending(&self, queue: &QueueName) -> u32 {
         self.pending_if(queue, |_| true)
     }
 
-    /// Returns how many jobs of a queue wait that callers of a workspace see.
+    /// Returns how many pending jobs of a queue are visible to callers of a workspace.
     pub fn pending_for(&self, queue: &QueueName, viewer: Option<&WorkspaceName>) -> u32 {
         self.pending_if(queue, |holder| is_seen_by(viewer, holder))
     }
@@ -148,10 +149,10 @@
         u32::try_from(waiting.count()).unwrap_or(u32::MAX)
     }
 
-    /// Returns the jobs that wait: they are on record, are not over, and nothing of them was seen on a worker.
+    /// Returns the pending jobs: those that are on record, are not over, and of which no task was seen on a worker.
     ///
-    /// They are counted when somebody asks. A count that was kept beside the jobs would have to be taken down for
-    /// just those that it was put up for, on each of the ways in which a job comes in, begins or is over.
+    /// They are counted on request. A separate counter would have to be decremented for exactly the jobs that it was
+    /// incremented for, on every path by which a job is added, begins or ends.
     fn waiting(&self) -> impl Iterator<Item = &Job> {
         let jobs = self.jobs.iter();
         let jobs = jobs.filter(|(id, _)| !self.announced.contains_key(id));
@@ -159,7 +160,7 @@
             .filter(|job| !job.has_begun && !job.is_over())
     }
 
-    /// Returns what asking about a step takes, where its queue asks.
+    /// Returns the cost of advice calls for a step and the validity of their tickets, if its queue needs advice.
     pub fn advice_terms(&self, step: StepId) -> Option<AdviceTerms> {
         let job = self.jobs.get(&step.job)?;
         self.queue_of(job).advice
