--- a/crates/cell/src/engine/limit.rs
+++ b/crates/cell/src/engine/limit.rs
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Returns what a run of a step is charged against the limit of its workspace.
+    /// Returns the charge for a run of a step, if its job belongs to a workspace.
     pub(super) fn charge(&self, id: StepId) -> Option<Charge> {
         let job = self.jobs.get(&id.job)?;
         Some(Charge {
--- a/crates/cell/src/engine/loss.rs
+++ b/crates/cell/src/engine/loss.rs
@@ -82,7 +82,7 @@
         let silent = worker.silent.unwrap_or(now);
         let sent = worker.claims.iter();
         let sent = sent.filter(|(_, claim)| claim.phase != Phase::Recording);
-        let beside = sent.clone().count().saturating_sub(1);
+        let others = sent.clone().count().saturating_sub(1);
         let notes: Vec<Note> = sent
             .map(|((task, run), claim)| Note::Lost {
                 task: *task,
@@ -90,13 +90,13 @@
                 worker: worker.registration.id.clone(),
                 why,
                 age: silent.since(claim.since),
-                beside,
+                beside: others,
             })
             .collect();
         notes.into_iter().for_each(|note| self.note(note));
     }
 
-    /// Returns the runs of a worker whose claims meet a condition.
+    /// Returns the runs of a worker whose resource allocations meet a condition.
     pub(super) fn runs_on(
         &self,
         slot: Slot,
--- a/crates/cell/src/engine/mod.rs
+++ b/crates/cell/src/engine/mod.rs
@@ -211,8 +211,11 @@
     due: BTreeSet<(Timestamp, JobId, u32)>,
     /// The tasks suspected of crashing a worker, by worker. The suspicion is withdrawn if the worker answers again.
     crashed: HashMap<WorkerId, Vec<TaskId>>,
+    /// The nodes that can ask for advice, and their calls in progress.
     desk: Desk,
+    /// The share of workers that advice has allowed, by queue.
     experience: Experience,
+    /// What has to be put on record, and what waits for that.
     ledger: Ledger,
     /// Jobs whose acceptance is not on record yet, and how long to wait for it.
     announced: BTreeMap<JobId, Timestamp>,
@@ -230,12 +233,14 @@
     emptying: BTreeMap<StepId, Slot>,
     /// Whether a change may allow a waiting task to start, so that a scheduling pass is needed.
     is_stirred: bool,
-    /// The last step examined by the previous pass beyond its main budget, from where the next pass continues.
+    /// The last step that the previous pass examined in addition to the most urgent ones. The next pass continues
+    /// after it.
     resume_after: Option<Rank>,
     /// When the skipped steps are retried, if no event triggers a pass before.
     retry_skipped_at: Option<Timestamp>,
     /// The earliest time of the next scheduling pass.
     next_pass: Timestamp,
+    /// The effects to be returned by the next call of [`Self::advance`].
     outbox: Vec<Effect>,
 }
 
--- a/crates/cell/src/engine/order.rs
+++ b/crates/cell/src/engine/order.rs
@@ -204,7 +204,7 @@
         }
     }
 
-    /// Sends the start order of a run whose claim is on record.
+    /// Sends the start order of a run whose resource allocation is on record.
     pub(super) fn send_start(&mut self, slot: Slot, task: TaskId, run: Run, now: Timestamp) {
         let Some(order) = self.orders.get(&(slot, task, run)).cloned() else {
             return;
@@ -232,7 +232,8 @@
         })));
     }
 
-    /// Sends the start orders of runs whose claims are on record, unless something has changed in the meantime.
+    /// Sends the start orders of runs whose resource allocations are on record, unless something has changed in the
+    /// meantime.
     ///
     /// While the record waited for the store, a ticket may have expired: the worker would reject the order, and the
     /// members of a gang that did start would wait for the others in vain. Likewise the worker's capacity may have
--- a/crates/cell/src/engine/pace.rs
+++ b/crates/cell/src/engine/pace.rs
@@ -148,7 +148,7 @@
             }));
     }
 
-    /// Handles the answer to a pace order. An unanswered order is sent again with the next inventory.
+    /// Handles the answer to an order that sets a share. An unanswered order is sent again with the next inventory.
     pub fn paced(
         &mut self,
         worker: &WorkerId,
--- a/crates/cell/src/engine/place.rs
+++ b/crates/cell/src/engine/place.rs
@@ -33,8 +33,8 @@
     },
 };
 
-/// Missing members of a partly started gang are placed on other workers during this fraction (one divided by it) of the
-/// time for which members wait for each other. After that the gang is stopped and started anew.
+/// The time for which the members of a gang wait for each other, divided by this, is the time during which missing
+/// members of a partly started gang are placed on other workers. After that the gang is stopped and started anew.
 const GANG_REPAIR_DIVISOR: u32 = 2;
 
 /// The requirements of a step on a worker.
@@ -43,7 +43,7 @@
     pub(super) step: &'a Step,
     pub(super) queue: &'a Queue,
     pub(super) size: Resources,
-    /// The capacity in older worker reports is not trusted.
+    /// The oldest worker report whose capacity is trusted.
     pub(super) min_report_time: Timestamp,
 }
 
@@ -97,12 +97,12 @@
 
     /// Returns how many more tasks of a step its anti-affinity limit allows on a worker.
     pub(super) fn spread_left(&self, demand: &Demand<'_>, worker: &Worker) -> usize {
-        let Some(most) = demand.step.anti_affinity else {
+        let Some(max_per_worker) = demand.step.anti_affinity else {
             return usize::MAX;
         };
         let here = worker.claims.keys();
         let here = here.filter(|(task, _)| task.step == demand.id).count();
-        usize::from(most).saturating_sub(here)
+        usize::from(max_per_worker).saturating_sub(here)
     }
 
     /// Starts tasks of a step one by one. Returns true if none is left waiting.
@@ -130,6 +130,7 @@
         }
     }
 
+    /// Returns the first task of a step that waits to be started.
     fn first_waiting(&self, id: StepId) -> Option<u16> {
         let stage = self.jobs.get(&id.job)?.stage(id)?;
         stage.waiting.first().copied()
@@ -275,6 +276,7 @@
         true
     }
 
+    /// Counts the start of a gang for its queue.
     fn count_started_gang(&mut self, id: StepId) {
         if let Some(job) = self.jobs.get(&id.job) {
             let queue = self.queue_of(job).name.clone();
@@ -365,7 +367,7 @@
         Some(places)
     }
 
-    /// Claims the resources for a run. Its start order is sent once the claim is on record.
+    /// Allocates the resources for a run. Its start order is sent once the allocation is on record.
     ///
     /// Returns false, and changes nothing, if the workspace's limit or the worker's free resources don't allow it.
     pub(super) fn start(
@@ -445,7 +447,7 @@
     }
 }
 
-/// Returns the resources that a task of a step claims on a worker. Best-effort tasks claim no CPU.
+/// Returns the resources that a task of a step takes on a worker. Best-effort tasks take no CPU.
 pub(super) fn worker_share(step: &Step) -> Resources {
     let mut size = step.size;
     if step.fills {
@@ -454,6 +456,7 @@
     size
 }
 
+/// Returns whether a worker is outside the rack that the step prefers.
 fn is_remote(demand: &Demand<'_>, worker: &Worker) -> bool {
     let rack = demand.step.affinity.as_deref();
     rack.is_some_and(|rack| !worker.has_label(rack))
--- a/crates/cell/src/engine/reserve.rs
+++ b/crates/cell/src/engine/reserve.rs
@@ -103,6 +103,7 @@
         self.emptied
     }
 
+    /// Reserves workers, except those that are reserved already.
     fn reserve(&mut self, slots: impl Iterator<Item = Slot>, id: StepId) {
         for slot in slots {
             self.holders.entry(slot).or_insert(id);
@@ -110,7 +111,7 @@
     }
 }
 
-/// How many tasks of a step a worker could run, now and after other tasks have ended or been preempted.
+/// What a worker could offer a step, now and after other tasks have ended or been preempted.
 struct Offer {
     slot: Slot,
     /// How many tasks fit once the runs that are being stopped have ended.
@@ -131,7 +132,7 @@
     /// resources before it is large enough. Tasks that run on a reserved worker end by themselves, or are preempted
     /// once that is cheaper than leaving the reserved resources idle. Urgent tasks preempt others at once. Only tasks
     /// of a lower priority that write checkpoints are preempted.
-    pub(super) fn make_room(
+    pub(super) fn reserve_workers(
         &mut self,
         id: StepId,
         reserved: &mut Reserved,
@@ -205,7 +206,7 @@
         idle_cpu as f64 * EXPECTED_REMAINING_TIME.as_secs_f64() >= preempted_cpu as f64 * loss
     }
 
-    /// Returns how many tasks of a step a worker could run. A step that was promoted because it had waited for long
+    /// Returns what a worker could offer a step. A step that was promoted because it had waited for long
     /// counts on gangs to end there as well.
     fn offer(
         &self,
@@ -313,6 +314,7 @@
         }
     }
 
+    /// Logs that tasks on a worker are preempted for a step.
     fn note_preempting(
         &mut self,
         id: StepId,
--- a/crates/cell/src/engine/schedule.rs
+++ b/crates/cell/src/engine/schedule.rs
@@ -14,18 +14,18 @@
 /// The cost limit of a pass, in worker checks, before it leaves the less urgent steps to later passes. Events wait
 /// while a pass runs, with this limit for 2 ms of a whole core at most (`examples/fleet`, 540 workers, 150% of the work
 /// that fits). When they waited up to 9 ms, five times as many urgent jobs were late in a burst on half a core.
-const PASS_BUDGET: usize = 8_000;
+const MAX_PASS_CHECKS: usize = 8_000;
 /// The additional cost limit, in worker checks, for less urgent steps. Each pass continues where the previous one
 /// stopped, so that steps which fit nowhere for a long time don't starve a later one that would fit.
-const RESUMED_BUDGET: usize = 2_000;
+const MAX_SKIPPED_CHECKS: usize = 2_000;
 /// The fixed cost of a step, in worker checks.
-const STEP_COST: usize = 4;
+const STEP_CHECKS: usize = 4;
 /// The cost of evaluating preemption on a worker, in worker checks.
-const PREEMPTION_CHECK_COST: usize = 10;
+const PREEMPTION_CHECKS: usize = 10;
 /// The minimum time between two passes. A busy second has some 1,000 events.
 const MIN_PASS_INTERVAL: Duration = Duration::from_millis(4);
 /// The delay that each worker check adds before the next pass, so that passes leave most of the CPU to events however
-/// many steps wait. The engine used 84 ms of each second on the fleet that [`PASS_BUDGET`] describes.
+/// many steps wait. The engine used 84 ms of each second on the fleet that [`MAX_PASS_CHECKS`] describes.
 const PASS_DELAY_PER_CHECK: Duration = Duration::from_nanos(800);
 /// The time until skipped steps are retried if no event triggers a pass before.
 const SKIPPED_RETRY_DELAY: Duration = Duration::from_millis(50);
@@ -98,7 +98,7 @@
         }
         let mut reserved = Reserved::default();
         self.keep_emptying(&mut reserved, now);
-        let (last, cost) = self.schedule_from(None, PASS_BUDGET, &mut reserved, now);
+        let (last, cost) = self.schedule_from(None, MAX_PASS_CHECKS, &mut reserved, now);
         let more_cost = self.schedule_skipped(last, &mut reserved, now);
         let cost = u32::try_from(cost + more_cost).unwrap_or(u32::MAX);
         self.next_pass = now + MIN_PASS_INTERVAL.max(PASS_DELAY_PER_CHECK * cost);
@@ -140,7 +140,8 @@
             return 0;
         };
         let from = self.resume_after.map_or(last, |rank| rank.max(last));
-        let (resume_after, cost) = self.schedule_from(Some(from), RESUMED_BUDGET, reserved, now);
+        let (resume_after, cost) =
+            self.schedule_from(Some(from), MAX_SKIPPED_CHECKS, reserved, now);
         self.resume_after = resume_after;
         self.retry_skipped_at = Some(now + SKIPPED_RETRY_DELAY);
         cost
@@ -172,38 +173,32 @@
     fn schedule_step(&mut self, id: StepId, reserved: &mut Reserved, now: Timestamp) -> usize {
         if !self.knows_evacuation(now) {
             self.explain(id, Wait::Evacuation, now);
-            return STEP_COST;
+            return STEP_CHECKS;
         }
         let advice = self.jobs.get(&id.job).and_then(|job| job.stage(id));
         let advice = advice.map(|stage| &stage.advice);
         // No worker can be chosen before the answer.
         if advice.is_some_and(|advice| advice.is_awaited()) {
             self.reserve_quota(id, reserved);
-            return STEP_COST;
+            return STEP_CHECKS;
         }
         let allowed = advice.map_or(0, |advice| advice.allowed.len());
         if self.is_limited(id, reserved) {
             self.explain(id, Wait::Limit, now);
-            return STEP_COST;
+            return STEP_CHECKS;
         }
         if self.start_fitting(id, reserved, now) || self.set_aside(id, now) {
-            return STEP_COST + allowed;
+            return STEP_CHECKS + allowed;
         }
         // Nothing is preempted for a step that its own workspace's limit holds back.
         if self.is_limited(id, reserved) {
             self.explain(id, Wait::Limit, now);
-            return STEP_COST + allowed;
+            return STEP_CHECKS + allowed;
         }
         self.reserve_quota(id, reserved);
         self.explain_wait(id, now);
-        let has_evaluated = !reserved.has_gang(id) && self.make_room(id, reserved, now);
-        STEP_COST
-            + allowed
-                * if has_evaluated {
-                    PREEMPTION_CHECK_COST
-                } else {
-                    1
-                }
+        let has_evaluated = !reserved.has_gang(id) && self.reserve_workers(id, reserved, now);
+        STEP_CHECKS + allowed * if has_evaluated { PREEMPTION_CHECKS } else { 1 }
     }
 
     /// Returns the rank of a step and, if it changes over time, when it changes next.
