--- a/crates/cell/src/engine/reserve.rs
+++ b/crates/cell/src/engine/reserve.rs
@@ -50,7 +50,7 @@
     /// The gangs with reserved workers.
     gangs: BTreeSet<StepId>,
     /// The number of workers that are reserved until they are empty.
-    emptied: usize,
+    draining_count: usize,
     /// The shares of each workspace's limit that are reserved, with their steps.
     limits: HashMap<quota::Slot, Vec<(StepId, Resources)>>,
 }
@@ -94,13 +94,13 @@
 
     /// Reserves a worker until it is empty.
     pub(super) fn keep_to_empty(&mut self, slot: Slot, id: StepId) {
-        self.emptied += 1;
+        self.draining_count += 1;
         self.reserve([slot].into_iter(), id);
     }
 
     /// Returns the number of workers that are reserved until they are empty.
     pub(super) const fn emptied(&self) -> usize {
-        self.emptied
+        self.draining_count
     }
 
     /// Reserves workers, except those that are reserved already.
