--- a/crates/cell/src/bounds.rs
+++ b/crates/cell/src/bounds.rs
@@ -1,23 +1,23 @@
-//! The platform's figures that decisions depend on.
+//! The platform's time limits and cost figures that scheduling decisions depend on.
 
 use std::time::Duration;
 
-/// What the platform promises of its workers, from the settings.
+/// The platform's guarantees and cost figures, as given in the settings.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bounds {
     /// The longest lease that a worker grants.
     pub lease: Duration,
-    /// How long a worker may take to stop a task.
+    /// The longest time that a worker takes to stop a task.
     pub stop_grace: Duration,
     /// How long the members of a gang wait for the others before they end.
     pub gang_wait: Duration,
-    /// How many times as long a task takes away from its data, or a gang over several racks.
+    /// The factor by which a task runs longer away from its data, or a gang across several racks.
     pub remote_penalty: f64,
     /// How long a task takes to resume from a checkpoint.
     pub restore: Duration,
-    /// How much work lies between two checkpoints of a task.
+    /// How much processor time a task uses between two checkpoints.
     pub checkpoint: Duration,
-    /// How long after a data centre was evacuated a task may be started there; `None` bounds that by nothing.
+    /// For how long after the evacuation of a data centre a task may still be started there; `None` sets no limit.
     pub evacuate: Option<Duration>,
 }
 
@@ -35,41 +35,47 @@
     }
 }
 
-/// A worker's clock may be this much slower than the owner's, in thousandths.
-const DRIFT: u32 = 20;
+/// The most by which a worker's clock runs slower than the owner's, in thousandths.
+const MAX_CLOCK_DRIFT_PERMILLE: u32 = 20;
 /// Allowance for rounding to milliseconds and for timers that fire late.
-const SLACK: Duration = Duration::from_millis(200);
+const TIMER_SLACK: Duration = Duration::from_millis(200);
 
-/// For this long an owner that is cut off may go on extending leases after another has taken over: it stops
-/// 1.2 s after it last reached the store or a node, and notices that within 0.6 s.
+/// For how long an owner that is cut off may go on extending leases after another node has taken over. It stops 1.2 s
+/// after it last reached the store or a node, and detects that within 0.6 s.
 pub const FORMER_OWNER: Duration = Duration::from_millis(1_800);
 
-/// How long an order to start may be on its way to its worker, by another node too.
-const ON_THE_WAY: Duration = Duration::from_secs(1);
-/// A reading of the operator's records is as old as this before the next one: it waits 1 s for a change.
-const LEAST_AGE: Duration = Duration::from_secs(2);
+/// The longest time that an order to start takes to reach its worker, including when another node forwards it.
+const MAX_START_DELIVERY: Duration = Duration::from_secs(1);
+/// The age that a reading of the operator's records reaches before the next one replaces it: each read waits up to 1 s
+/// for a change.
+const MIN_EVACUATION_AGE: Duration = Duration::from_secs(2);
 
 impl Bounds {
-    /// Returns how old a reading of which data centres are evacuated may be when an order to start leaves; `None` where any
-    /// will do.
+    /// Returns the greatest age that the list of evacuated data centres may have when an order to start is sent; `None`
+    /// if any age is allowed.
     pub fn evacuation_age(&self) -> Option<Duration> {
         let evacuate = self.evacuate?;
-        Some(evacuate.saturating_sub(ON_THE_WAY).max(LEAST_AGE))
+        Some(
+            evacuate
+                .saturating_sub(MAX_START_DELIVERY)
+                .max(MIN_EVACUATION_AGE),
+        )
     }
 
-    /// Returns how long after a stop was confirmed a run that was there has certainly been listed as
-    /// ended.
+    /// Returns how long after a confirmed stop every run that was on the worker is listed as ended.
     pub fn stopped(&self) -> Duration {
-        self.stop_grace + SLACK
+        self.stop_grace + TIMER_SLACK
     }
 
-    /// Returns how much of its processor time a task that makes way loses on average.
+    /// Returns the average processor time that a preempted task loses.
     pub fn preemption_loss(&self) -> Duration {
         self.checkpoint / 2 + self.restore
     }
 
-    /// Returns how long after an order a lease that it granted has certainly lapsed.
+    /// Returns how long after an order was sent the lease that it granted has expired for certain.
     pub fn lapse(&self) -> Duration {
-        self.lease + self.lease * DRIFT / (1_000 - DRIFT) + SLACK
+        self.lease
+            + self.lease * MAX_CLOCK_DRIFT_PERMILLE / (1_000 - MAX_CLOCK_DRIFT_PERMILLE)
+            + TIMER_SLACK
     }
 }
--- a/crates/cell/src/config.rs
+++ b/crates/cell/src/config.rs
@@ -1,4 +1,4 @@
-//! Queues and pools as the operator has set them.
+//! Queues, pools and ingresses as the operator has configured them.
 
 use std::{
     collections::BTreeMap,
@@ -23,26 +23,26 @@
     },
 };
 
-/// What asking the advice service takes, and how long its answer may be used.
+/// The cost of a call to the advice service, and the validity of its answer.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct AdviceTerms {
-    /// The fixed part of a call.
+    /// The fixed duration of a call.
     pub base: Duration,
-    /// The part of a call for each worker named.
+    /// The additional duration of a call for each worker asked about.
     pub each: Duration,
-    /// How long a ticket may be used.
+    /// How long a ticket is valid.
     pub validity: Duration,
 }
 
 impl AdviceTerms {
-    /// Returns how many workers a call names at least, so that the fixed part is not the larger one.
+    /// Returns the smallest number of workers per call at which the fixed duration is not the larger part.
     pub fn worthwhile(&self) -> usize {
         let each = self.each.max(Duration::from_micros(1));
         let count = self.base.as_micros() / each.as_micros();
         usize::try_from(count).unwrap_or(usize::MAX)
     }
 
-    /// Returns how long a call for some workers takes.
+    /// Returns how long a call about this many workers takes.
     pub fn duration(&self, workers: usize) -> Duration {
         self.base + self.each * u32::try_from(workers).unwrap_or(u32::MAX)
     }
@@ -51,19 +51,19 @@
 /// A queue of jobs.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Queue {
-    /// Its name, the same over all versions.
+    /// Its name, the same in all versions of the configuration.
     pub name: QueueName,
     /// The pool whose workers run its tasks.
     pub pool: PoolName,
-    /// Zero comes first and may preempt the others.
+    /// Its priority: zero is the highest and may preempt the others.
     pub priority: u8,
-    /// How often a task or a gang may fail.
+    /// The maximum number of attempts for a task or a gang.
     pub tries: u32,
-    /// The latency objective, in multiples of the job's longest chain of work.
+    /// The latency objective as a multiple of the job's critical path.
     pub stretch: f64,
-    /// What is added to the latency objective.
+    /// The constant part of the latency objective, added to the multiple.
     pub objective: Duration,
-    /// Whether only some workers may run a step, and what asking for them takes.
+    /// The cost of asking for advice; `None` if any worker of the pool may run a step.
     pub advice: Option<AdviceTerms>,
 }
 
@@ -72,26 +72,26 @@
 pub struct Pool {
     /// Its name.
     pub name: PoolName,
-    /// Whether its workers refuse what would overfill them.
+    /// Whether its workers refuse tasks that exceed their capacity.
     pub enforces_capacity: bool,
-    /// Whether its machines are off and serve as a reserve.
+    /// Whether its machines are powered off and serve as a reserve.
     pub is_standby: bool,
 }
 
-/// Where callers reach a queue.
+/// The host and path under which callers reach a queue.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Ingress {
-    /// The host that they name.
+    /// The host in the request.
     pub host: String,
-    /// What the path begins with.
+    /// The prefix of the request path.
     pub prefix: String,
     /// The queue.
     pub queue: QueueName,
-    /// Whether calls need no key of a workspace.
+    /// Whether calls are accepted without a workspace's API key.
     pub is_public: bool,
 }
 
-/// A call shows no key of a workspace where it has to.
+/// The error for a call without a valid workspace API key where one is required.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the call shows no key of a workspace")]
 pub struct Unauthorized;
@@ -99,21 +99,20 @@
 /// One version of the configuration.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Config {
-    /// Which version; later ones are higher.
+    /// The version number; later versions have higher numbers.
     pub version: u64,
     /// All queues.
     pub queues: BTreeMap<QueueName, Arc<Queue>>,
     /// All pools.
     pub pools: BTreeMap<PoolName, Pool>,
-    /// Where callers reach the queues.
+    /// The ingresses of the queues.
     pub ingresses: Vec<Ingress>,
-    /// The workspaces; `None` where there are none on the platform, and nobody needs a key.
+    /// The workspaces; `None` if the platform has none and calls need no key.
     pub directory: Option<Directory>,
 }
 
 impl Config {
-    /// Returns the ingress that a host and a path lead to, by the longest prefix, with the rest of the
-    /// path.
+    /// Returns the ingress for a host and a path, and the rest of the path. The longest matching prefix wins.
     pub fn ingress_at<'a>(&self, host: &str, path: &'a str) -> Option<(&Ingress, &'a str)> {
         let matching = self.ingresses.iter().filter_map(|ingress| {
             let rest = path.strip_prefix(ingress.prefix.as_str())?;
@@ -125,11 +124,11 @@
         matching.min_by_key(|(_, rest)| rest.len())
     }
 
-    /// Returns the workspace whose key a call shows; `None` where it shows none and needs none.
+    /// Returns the workspace that an API key belongs to; `None` if the call has no valid key and needs none.
     ///
     /// # Errors
     ///
-    /// Fails where it needs one.
+    /// Fails if the ingress requires a key and the call has no valid one.
     pub fn authenticate(
         &self,
         ingress: &Ingress,
--- a/crates/cell/src/evacuation.rs
+++ b/crates/cell/src/evacuation.rs
@@ -1,15 +1,15 @@
-//! Data centres that the operator has evacuated: nothing new is started there.
+//! Data centres that the operator has evacuated: no new tasks are started there.
 
 use std::collections::BTreeSet;
 
 use crate::id::DataCentre;
 
-/// What the operator says of one data centre.
+/// A change of one data centre's evacuation by the operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Change {
     /// The data centre.
     pub data_centre: DataCentre,
-    /// Whether it is evacuated from now on, or taken back.
+    /// Whether it is evacuated; `false` lifts the evacuation.
     pub is_evacuated: bool,
 }
 
@@ -20,7 +20,7 @@
 }
 
 impl Evacuation {
-    /// Takes a change in; returns whether it is news.
+    /// Applies a change; returns whether it had an effect.
     pub fn apply(&mut self, change: Change) -> bool {
         match change.is_evacuated {
             true => self.data_centres.insert(change.data_centre),
@@ -28,7 +28,8 @@
         }
     }
 
-    /// Returns whether workers in a data centre get nothing new; one that says of none may stand in any.
+    /// Returns whether workers in a data centre get no new tasks. A worker without a known data centre may be in any of
+    /// them.
     pub fn covers(&self, data_centre: Option<&DataCentre>) -> bool {
         match data_centre {
             Some(data_centre) => self.data_centres.contains(data_centre),
@@ -36,7 +37,7 @@
         }
     }
 
-    /// Returns the data centres, in order.
+    /// Returns the data centres in order.
     pub fn data_centres(&self) -> impl Iterator<Item = &DataCentre> {
         self.data_centres.iter()
     }
--- a/crates/cell/src/id.rs
+++ b/crates/cell/src/id.rs
@@ -1,4 +1,4 @@
-//! Names of jobs, steps, tasks, runs and workers.
+//! Identifiers of jobs, steps, tasks, runs and workers.
 
 use std::{
     fmt,
@@ -12,21 +12,21 @@
     Serialize, //
 };
 
-/// The text is no id of the wanted kind.
+/// The error for a text that is not a valid identifier.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("`{found}` is no {wanted}")]
+#[error("`{found}` is not a {expected}")]
 pub struct ParseError {
-    /// The text as given.
+    /// The rejected text.
     pub found: String,
-    /// What it should be.
-    pub wanted: &'static str,
+    /// The kind of identifier that was expected.
+    pub expected: &'static str,
 }
 
 impl ParseError {
-    fn new(found: &str, wanted: &'static str) -> Self {
+    fn new(found: &str, expected: &'static str) -> Self {
         Self {
             found: found.to_owned(),
-            wanted,
+            expected,
         }
     }
 }
@@ -46,16 +46,16 @@
 impl FromStr for JobId {
     type Err = ParseError;
 
-    /// Reads 16 digits in lower case, the only form that `Display` gives back unchanged.
+    /// Parses 16 digits in lower case, the only form that `Display` reproduces unchanged.
     fn from_str(text: &str) -> Result<Self, Self::Err> {
-        const WANTED: &str = "job id of 16 hexadecimal digits in lower case";
+        const EXPECTED: &str = "job id of 16 hexadecimal digits in lower case";
         let is_digit = |byte: u8| byte.is_ascii_digit() || (b'a'..=b'f').contains(&byte);
         if text.len() != 16 || !text.bytes().all(is_digit) {
-            return Err(ParseError::new(text, WANTED));
+            return Err(ParseError::new(text, EXPECTED));
         }
         u64::from_str_radix(text, 16)
             .map(Self)
-            .map_err(|_| ParseError::new(text, WANTED))
+            .map_err(|_| ParseError::new(text, EXPECTED))
     }
 }
 
@@ -64,14 +64,14 @@
 pub struct StepId {
     /// The job.
     pub job: JobId,
-    /// Which of the job's occurrences, from zero.
+    /// The index of the job's occurrence, from zero.
     pub occurrence: u32,
-    /// Which of the job's steps, from zero.
+    /// The index of the job's step, from zero.
     pub step: u16,
 }
 
 impl StepId {
-    /// Spans all steps that a job may have.
+    /// Returns the range of all steps that a job may have.
     pub const fn all_of(job: JobId) -> RangeInclusive<Self> {
         let first = Self {
             job,
@@ -86,7 +86,7 @@
         RangeInclusive::new(first, last)
     }
 
-    /// Names a task of the step.
+    /// Returns the id of a task of the step.
     pub const fn task(self, index: u16) -> TaskId {
         TaskId { step: self, index }
     }
@@ -103,7 +103,7 @@
 pub struct TaskId {
     /// The step that it belongs to.
     pub step: StepId,
-    /// Which of the step's tasks, from zero.
+    /// The index of the task in its step, from zero.
     pub index: u16,
 }
 
@@ -117,15 +117,15 @@
     type Err = ParseError;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
-        let wrong = || ParseError::new(text, "task id");
+        let error = || ParseError::new(text, "task id");
         let mut parts = text.split('.');
-        let mut next = || parts.next().ok_or_else(wrong);
+        let mut next = || parts.next().ok_or_else(error);
         let job = next()?.parse()?;
-        let occurrence = next()?.parse().map_err(|_| wrong())?;
-        let step = next()?.parse().map_err(|_| wrong())?;
-        let index = next()?.parse().map_err(|_| wrong())?;
+        let occurrence = next()?.parse().map_err(|_| error())?;
+        let step = next()?.parse().map_err(|_| error())?;
+        let index = next()?.parse().map_err(|_| error())?;
         if parts.next().is_some() {
-            return Err(wrong());
+            return Err(error());
         }
         let step = StepId {
             job,
@@ -136,7 +136,7 @@
     }
 }
 
-/// Which start of a task; it rises with each start, also over owners.
+/// The number of one start of a task; it rises with each start, across owners too.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -148,22 +148,26 @@
     }
 }
 
-/// The ordinal of an ownership; workers refuse orders with a lower one than they have seen.
+/// The number of an ownership of the cell; workers refuse orders with a lower epoch than they have seen.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Epoch(pub u32);
 
 impl Epoch {
-    /// How many runs of one task an owner can number; far above what the tries of a day need.
-    const RUNS: u32 = 10_000;
+    /// The number of runs that an owner can number for one task; far above the number of attempts in a day.
+    const RUNS_PER_EPOCH: u32 = 10_000;
 
-    /// Returns the first run that this owner may give a task; above those of all former owners.
+    /// Returns the first run that an owner of this epoch may give a task; it is above those of all former owners.
     pub const fn first_run(self) -> Run {
-        Run(self.0.saturating_sub(1).saturating_mul(Self::RUNS) + 1)
+        Run(self
+            .0
+            .saturating_sub(1)
+            .saturating_mul(Self::RUNS_PER_EPOCH)
+            + 1)
     }
 
-    /// Returns the ownership after this one.
+    /// Returns the next epoch.
     #[must_use]
     pub const fn next(self) -> Self {
         Self(self.0 + 1)
@@ -176,32 +180,33 @@
     }
 }
 
-/// What orders to a worker are compared by: it refuses those with a lower fence than it has seen.
+/// The number by which workers reject outdated orders: a worker refuses a lower fence than it has seen.
 ///
-/// It rises with the ownership, and within one with each incarnation of a worker that begins or is lost. An incarnation has
-/// seen no fence: without a rise it would carry out what was meant for the one before, which may have been given up.
+/// A fence rises with the epoch, and within an epoch whenever an incarnation of a worker begins or is lost. A new
+/// incarnation has seen no fence. If the fence did not rise, the incarnation would carry out orders for the former one,
+/// whose runs may already be considered lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Fence(u64);
 
 impl Fence {
-    /// How many fences there are within an ownership; with all of them used, all epochs fit into 53 bits.
-    const STEPS: u64 = 1_000_000;
+    /// The number of fences in an epoch. Even if all of them are used, every epoch fits into 53 bits.
+    const FENCES_PER_EPOCH: u64 = 1_000_000;
 
-    /// Returns the lowest fence of an ownership.
+    /// Returns the lowest fence of an epoch.
     pub const fn first(epoch: Epoch) -> Self {
-        Self(epoch.0 as u64 * Self::STEPS)
+        Self(epoch.0 as u64 * Self::FENCES_PER_EPOCH)
     }
 
-    /// Returns the next higher one; the last one of an ownership stays.
+    /// Returns the next higher fence; the last fence of an epoch returns itself.
     #[must_use]
     pub const fn raised(self) -> Self {
-        let is_last = self.0 % Self::STEPS == Self::STEPS - 1;
+        let is_last = self.0 % Self::FENCES_PER_EPOCH == Self::FENCES_PER_EPOCH - 1;
         Self(self.0 + if is_last { 0 } else { 1 })
     }
 
-    /// Returns whether it is the lowest one of its ownership.
+    /// Returns whether this is the lowest fence of its epoch.
     pub const fn is_first(self) -> bool {
-        self.0.is_multiple_of(Self::STEPS)
+        self.0.is_multiple_of(Self::FENCES_PER_EPOCH)
     }
 
     /// Returns the number that orders carry.
@@ -210,7 +215,7 @@
     }
 }
 
-/// Tells the incarnations of a worker under one id apart: when each began, in milliseconds since 1970 by its own clock.
+/// One lifetime of a worker under its id: the time when it began, in milliseconds since 1970 by the worker's own clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Incarnation(pub u64);
 
@@ -220,7 +225,7 @@
     }
 }
 
-/// Defines a shared text id.
+/// Defines an identifier that is a shared text.
 macro_rules! text_id {
     ($(#[$doc:meta])* $name:ident) => {
         $(#[$doc])*
@@ -262,11 +267,11 @@
 }
 
 text_id!(
-    /// A worker. After a crash it comes back under another id, or under the same one as another [`Incarnation`].
+    /// A worker. After a crash it returns under another id, or under the same id as another [`Incarnation`].
     WorkerId
 );
 text_id!(
-    /// A queue: what callers submit jobs to.
+    /// A queue to which callers submit jobs.
     QueueName
 );
 text_id!(
@@ -278,6 +283,6 @@
     NodeName
 );
 text_id!(
-    /// A data centre, where workers stand.
+    /// A data centre that holds workers.
     DataCentre
 );
--- a/crates/cell/src/job.rs
+++ b/crates/cell/src/job.rs
@@ -1,4 +1,4 @@
-//! What a caller submits: steps of tasks.
+//! The description of a job that a caller submits: steps of tasks.
 
 use std::{
     sync::Arc,
@@ -14,113 +14,113 @@
     Serialize, //
 };
 
-/// The most tasks of a job; a bound on what one submission can take.
-const MOST_TASKS: u32 = 5_000;
-/// The most steps of a job.
-const MOST_STEPS: usize = 100;
+/// The maximum number of tasks of a job; it limits the cost of one submission.
+const MAX_TASKS: u32 = 5_000;
+/// The maximum number of steps of a job.
+const MAX_STEPS: usize = 100;
 
-/// A step: tasks of one size that may run side by side.
+/// A step: tasks of one size that may run in parallel.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Step {
-    /// How many tasks it has.
+    /// The number of tasks.
     pub count: u16,
-    /// What each of them takes.
+    /// The resources that each task takes.
     pub size: Resources,
-    /// How long each of them runs, roughly.
+    /// The estimated duration of each task.
     pub estimate: Duration,
-    /// Earlier steps that must be done first.
+    /// The indices of earlier steps that must complete first.
     pub after: Vec<u16>,
-    /// Its tasks save their work as they go.
+    /// Whether the tasks save their progress in checkpoints.
     pub checkpointing: bool,
-    /// Its tasks work only together and end together.
+    /// Whether the tasks form a gang: they run only together and end together.
     pub gang: bool,
-    /// A gang that is slower on more than one rack.
+    /// Whether the gang is slower when it spans several racks.
     pub same_rack: bool,
     /// A label that the worker must have.
     pub requires: Option<Arc<str>>,
-    /// The rack where its data is; elsewhere it is slower.
+    /// The rack that holds the step's data; the tasks are slower elsewhere.
     pub affinity: Option<Arc<str>>,
-    /// At most this many of its tasks on one worker.
+    /// The maximum number of its tasks on one worker.
     pub anti_affinity: Option<u16>,
-    /// Copies of a task may run in parallel.
+    /// Whether copies of a task may run in parallel.
     pub speculative: bool,
-    /// Its tasks run until the job is cancelled.
+    /// Whether the tasks run until the job is cancelled.
     pub lasting: bool,
-    /// What the tasks run; tasks of one image behave alike.
+    /// The image that the tasks run; tasks with the same image behave alike.
     pub image: Option<Arc<str>>,
-    /// Below this the tail of the response times of its tasks must stay.
+    /// The limit that the tail latency of its tasks must stay below.
     pub target: Option<Duration>,
-    /// It takes the processor time that other tasks leave.
+    /// Whether the tasks are best-effort: they use only the processor time that other tasks leave idle.
     pub fills: bool,
-    /// How many of its tasks the system may take away at the same time.
+    /// The maximum number of its tasks that the system may interrupt at the same time.
     pub may_miss: u16,
 }
 
-/// When the steps run again.
+/// The times at which the steps are repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Schedule {
-    /// How many times they run.
+    /// The number of occurrences.
     pub times: u32,
-    /// When they run first, since the Unix epoch.
+    /// The start of the first occurrence, since the Unix epoch.
     pub first: Duration,
-    /// The time between two of them.
+    /// The time between the starts of two occurrences.
     pub period: Duration,
 }
 
-/// A job as it was submitted.
+/// A job as submitted.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Spec {
-    /// What its tasks are told; opaque here.
+    /// The payload that the tasks receive; opaque to the engine.
     pub text: Arc<str>,
     /// Its steps.
     pub steps: Vec<Step>,
-    /// When the steps run, where that isn't at once.
+    /// The schedule of the steps; `None` runs them once, at once.
     pub schedule: Option<Schedule>,
 }
 
-/// Why a job can't be taken at all.
+/// The reason why a job is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Invalid {
-    /// It has nothing to run.
+    /// The job has no steps.
     #[error("the job has no steps")]
     NoSteps,
-    /// It has more steps than a job may have.
-    #[error("the job has more than {MOST_STEPS} steps")]
+    /// The job has too many steps.
+    #[error("the job has more than {MAX_STEPS} steps")]
     TooManySteps,
-    /// A step has nothing to run.
+    /// A step has no tasks.
     #[error("step {0} has no tasks")]
     NoTasks(usize),
-    /// It has more tasks than a job may have.
-    #[error("the job has more than {MOST_TASKS} tasks")]
+    /// The job has too many tasks.
+    #[error("the job has more than {MAX_TASKS} tasks")]
     TooManyTasks,
-    /// A step waits for itself or a later one.
+    /// A step depends on itself or on a later step.
     #[error("step {0} comes after a step that is not earlier")]
     Order(usize),
-    /// What a step needs at once is more than its workspace may have running.
+    /// What a step needs at once exceeds the limit of its workspace.
     #[error("step {0} needs more at once than its workspace may have running")]
     Limit(usize),
-    /// A repeated job needs a time between its occurrences.
+    /// The job repeats but has no period.
     #[error("a job that repeats needs a period")]
     NoPeriod,
 }
 
 impl Step {
-    /// Returns what has to start at once: one task, or all members of a gang; `None` where that can't be counted.
-    fn needed(&self) -> Option<Resources> {
+    /// Returns what has to start at once: one task, or all members of a gang; `None` if the sum overflows.
+    fn min_resources(&self) -> Option<Resources> {
         let count = if self.gang { self.count } else { 1 };
         self.size.checked_mul(count.into())
     }
 }
 
 impl Spec {
-    /// Checks whether each step could run within the limit of a workspace that runs nothing else.
+    /// Checks that each step can run within the limit of a workspace that runs nothing else.
     ///
     /// # Errors
     ///
-    /// Fails with the first step that could not.
+    /// Fails with the first step that can't.
     pub fn check_limit(&self, limit: &Limit) -> Result<(), Invalid> {
         let fits = |step: &Step| {
-            let needed = step.needed();
+            let needed = step.min_resources();
             needed.is_some_and(|needed| limit.admits(Resources::ZERO, needed))
         };
         match self.steps.iter().position(|step| !fits(step)) {
@@ -129,16 +129,16 @@
         }
     }
 
-    /// Checks what the parts of a job can't be checked for alone.
+    /// Checks the rules that concern several parts of the job.
     ///
     /// # Errors
     ///
-    /// Fails with the first mistake.
+    /// Fails with the first violation.
     pub fn check(&self) -> Result<(), Invalid> {
         if self.steps.is_empty() {
             return Err(Invalid::NoSteps);
         }
-        if self.steps.len() > MOST_STEPS {
+        if self.steps.len() > MAX_STEPS {
             return Err(Invalid::TooManySteps);
         }
         for (index, step) in self.steps.iter().enumerate() {
@@ -150,7 +150,7 @@
             }
         }
         let tasks: u32 = self.steps.iter().map(|step| u32::from(step.count)).sum();
-        if tasks > MOST_TASKS {
+        if tasks > MAX_TASKS {
             return Err(Invalid::TooManyTasks);
         }
         let repeats = self.schedule.filter(|schedule| schedule.times > 1);
@@ -160,7 +160,7 @@
         Ok(())
     }
 
-    /// Returns the longest chain of work from each step on, by the estimates; the step included.
+    /// Returns for each step the estimated length of the longest chain of steps that begins with it.
     pub fn chains(&self) -> Vec<Duration> {
         let mut longest = vec![Duration::ZERO; self.steps.len()];
         for (index, step) in self.steps.iter().enumerate().rev() {
--- a/crates/cell/src/lib.rs
+++ b/crates/cell/src/lib.rs
@@ -1,12 +1,12 @@
-//! The decisions of a cell whose workers all have one owner.
+//! The scheduling decisions of a cell whose workers all have one owner.
 //!
-//! One node at a time owns the cell; the others are its hands. The owner's [`engine::Engine`] holds
-//! the jobs, their steps and the workers. Events and the time go in, [`effect::Effect`]s come out;
-//! nothing here does I/O or reads a clock.
+//! One node at a time owns the cell; the other nodes make calls on its behalf. The owner's [`engine::Engine`] holds the
+//! jobs, their steps and the workers. It takes events and the current time and returns [`effect::Effect`]s; this crate
+//! does no I/O and reads no clock.
 //!
-//! What must outlast a node is in two kinds of records, [`record::Accepted`] and
-//! [`record::Progress`], each kept under a key of its own where the newest replaces the older.
-//! Starts are not recorded: a new owner takes every worker at its epoch and adopts what runs.
+//! State that must survive a node is kept in two kinds of records, [`record::Accepted`] and [`record::Progress`]. Each
+//! record has its own key, under which the newest version replaces the older one. Starts are not recorded: a new owner
+//! takes over every worker at its epoch and adopts the runs that it finds there.
 
 pub mod advice;
 pub mod bounds;
--- a/crates/cell/src/workspace.rs
+++ b/crates/cell/src/workspace.rs
@@ -1,4 +1,4 @@
-//! Workspaces: the keys that their callers show, and what they may have running.
+//! Workspaces: their API keys and their limits on running tasks.
 
 use std::{
     collections::BTreeMap,
@@ -26,22 +26,22 @@
 /// A workspace.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Workspace {
-    /// Its name, the same over all versions of the configuration.
+    /// Its name, the same in all versions of the configuration.
     pub name: WorkspaceName,
-    /// What its tasks may hold together over all workers, and its weight beside other workspaces.
+    /// The limit on what its tasks use together across all workers, and its weight relative to other workspaces.
     pub limit: Limit,
 }
 
 /// The SHA-256 digest of an API key.
 ///
-/// Keys are looked up by it and kept nowhere: neither a record nor a log gives one away, and how long a look-up takes
-/// says nothing of how much of a key was guessed.
+/// Keys are looked up by their digest and never stored, so that no record or log discloses one. The duration of a
+/// look-up does not reveal how much of a guessed key is correct.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 pub struct KeyDigest([u8; 32]);
 
 impl KeyDigest {
-    /// How many bytes of it logs show.
-    const SHOWN: usize = 4;
+    /// The number of bytes that logs show.
+    const LOGGED_BYTES: usize = 4;
 
     /// Returns the digest of a key.
     pub fn of(key: &str) -> Self {
@@ -50,9 +50,9 @@
 }
 
 impl fmt::Display for KeyDigest {
-    /// Writes its beginning, by which an operator who has the key finds it in a log.
+    /// Writes the beginning of the digest, by which an operator who has the key finds it in a log.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let mut shown = self.0.iter().take(Self::SHOWN);
+        let mut shown = self.0.iter().take(Self::LOGGED_BYTES);
         shown.try_for_each(|byte| write!(f, "{byte:02x}"))
     }
 }
@@ -71,7 +71,7 @@
 }
 
 impl Directory {
-    /// Adds a workspace with its keys; a key that another workspace has already stays that one's.
+    /// Adds a workspace with its keys; a key that already belongs to another workspace stays with that one.
     pub fn add(&mut self, workspace: Workspace, keys: impl IntoIterator<Item = KeyDigest>) {
         for key in keys {
             let name = || workspace.name.clone();
@@ -86,13 +86,14 @@
         self.workspaces.get(self.keys.get(key)?)
     }
 
-    /// Iterates over all workspaces.
+    /// Returns all workspaces.
     pub fn workspaces(&self) -> impl Iterator<Item = &Arc<Workspace>> {
         self.workspaces.values()
     }
 }
 
-/// Returns whether callers of a workspace see what belongs to some workspace, or to none.
+/// Returns whether callers of the workspace `viewer` may see what belongs to `holder`; everyone sees what belongs to no
+/// workspace.
 pub fn is_seen_by(viewer: Option<&WorkspaceName>, holder: Option<&WorkspaceName>) -> bool {
     holder.is_none() || holder == viewer
 }
