--- a/crates/cell/src/effect.rs
+++ b/crates/cell/src/effect.rs
@@ -35,265 +35,265 @@
     workspace::WorkspaceName,
 };
 
-/// A job whose acceptance is not needed on record any more.
+/// A job whose acceptance record can be removed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Forgotten {
     /// The job.
     pub job: JobId,
-    /// The workspace that the acceptance is of.
+    /// The workspace of the acceptance.
     pub workspace: Option<WorkspaceName>,
-    /// Which partition of the jobs' records its acceptance stands in.
+    /// The partition of the job records that holds the acceptance.
     pub partition: u16,
-    /// Its cancellation, where that has to be put on record in the same step.
+    /// Its cancellation, if that has to be recorded in the same operation.
     pub cancellation: Option<Cancellation>,
 }
 
-/// Which worker an order is for.
+/// The worker that an order is for.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Destination {
     /// The worker.
     pub worker: WorkerId,
-    /// Where it takes orders.
+    /// The address where it takes orders.
     pub address: SocketAddr,
-    /// What tells the order from those of former owners, and from those to former incarnations.
+    /// Distinguishes the order from those of former owners and from those for former incarnations.
     pub fence: Fence,
 }
 
 /// An order to start a task.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Start {
-    /// Where.
+    /// The worker that the order is for.
     pub to: Destination,
     /// The task.
     pub task: TaskId,
-    /// Which start of it.
+    /// The run of the task.
     pub run: Run,
-    /// What the task is told.
+    /// The payload that the task receives.
     pub text: Arc<str>,
-    /// Until when the worker may run it, on the worker's clock, in milliseconds.
+    /// The end of the lease to run it, on the worker's clock, in milliseconds.
     pub deadline: u64,
-    /// Where it resumes from.
+    /// The checkpoint that it resumes from.
     pub checkpoint: Option<Arc<str>>,
-    /// What allows the step on this worker, where that is asked for.
+    /// The permission for the step on this worker, if the queue requires one.
     pub ticket: Option<Arc<str>>,
 }
 
 /// An order to stop a task.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Stop {
-    /// Where.
+    /// The worker that the order is for.
     pub to: Destination,
     /// The task.
     pub task: TaskId,
-    /// Which start of it.
+    /// The run of the task.
     pub run: Run,
 }
 
-/// An order to let a filling task work at a share.
+/// An order to limit a best-effort task to a share of the processor time.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Pace {
-    /// Where.
+    /// The worker that the order is for.
     pub to: Destination,
     /// The task.
     pub task: TaskId,
-    /// Which start of it.
+    /// The run of the task.
     pub run: Run,
-    /// The share, in hundredths.
+    /// The share, in per cent.
     pub percent: u8,
 }
 
 /// A call that extends a worker's lease and asks for its inventory.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Hold {
-    /// Where.
+    /// The worker that the call is for.
     pub to: Destination,
-    /// Until when the worker may run what it holds, on its clock; absent leaves the lease alone.
+    /// The end of the lease on everything that the worker holds, on its clock; `None` leaves the lease unchanged.
     pub deadline: Option<u64>,
-    /// The last end that the worker may forget.
+    /// The serial number of the last end that the worker may forget.
     pub acknowledged: u64,
     /// How long the worker may wait for an end before it answers.
     pub wait: Duration,
-    /// When the call was made; tells its answer from that of another call to the same worker.
+    /// When the call was made; distinguishes its answer from those of other calls to the same worker.
     pub asked: Timestamp,
 }
 
-/// A decision or a change of belief, for the log.
+/// A decision or a change in the engine's view, for the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Note {
-    /// A run was decided: its task, place, and how old the view of the worker was.
+    /// A run was placed on a worker.
     Placed {
         /// The task.
         task: TaskId,
-        /// Which start of it.
+        /// The run of the task.
         run: Run,
-        /// Where.
+        /// The worker.
         worker: WorkerId,
-        /// How long ago the worker was last heard.
+        /// How long ago the worker last answered.
         heard: Duration,
-        /// How long the step has waited since its turn came.
+        /// How long the step has waited since it became ready.
         waited: Duration,
     },
-    /// A start was not carried out, or nobody knows.
+    /// A start was not carried out, or its result is unknown.
     NotStarted {
         /// The task.
         task: TaskId,
-        /// Which start of it.
+        /// The run of the task.
         run: Run,
-        /// Where.
+        /// The worker.
         worker: WorkerId,
-        /// Why, as one word.
+        /// The reason, as one word.
         why: &'static str,
     },
     /// A run has ended.
     Ended {
         /// The task.
         task: TaskId,
-        /// Which start of it.
+        /// The run of the task.
         run: Run,
-        /// Where.
+        /// The worker.
         worker: WorkerId,
-        /// How.
+        /// How it ended.
         how: How,
     },
-    /// A stop was decided.
+    /// A run is to be stopped.
     Stopping {
         /// The task.
         task: TaskId,
-        /// Which start of it.
+        /// The run of the task.
         run: Run,
-        /// Where.
+        /// The worker.
         worker: WorkerId,
-        /// Why, as one word.
+        /// The reason, as one word.
         why: &'static str,
     },
-    /// Tasks of a worker make way for a step.
+    /// Tasks on a worker are preempted for a step.
     Preempting {
         /// The step.
         step: StepId,
         /// The worker.
         worker: WorkerId,
-        /// How many tasks of the step are to start there.
+        /// The number of tasks of the step that are to start there.
         wanted: usize,
-        /// How many would fit without that, once what ends already has ended.
+        /// The number of them that would fit without preemption, once the runs that are already stopping have ended.
         fits: usize,
-        /// How many make way.
+        /// The number of tasks that are preempted.
         victims: usize,
-        /// How long the step's ticket for the worker is valid yet; `None` where there is none, or none is asked for.
+        /// The remaining validity of the step's ticket for the worker; `None` if there is none or none is required.
         ticket: Option<Duration>,
     },
-    /// What is believed of a worker has changed.
+    /// The engine's view of a worker's state has changed.
     Worker {
         /// The worker.
         worker: WorkerId,
-        /// Which incarnation answers under its id, where that is known.
+        /// The incarnation that answers under the worker's id, if known.
         incarnation: Option<Incarnation>,
-        /// What it is believed to be now, as one word.
+        /// The new state, as one word.
         belief: &'static str,
-        /// How long ago it was last heard, where it ever was.
+        /// How long ago the worker last answered, if it ever has.
         heard: Option<Duration>,
     },
-    /// A worker was given up, and with it a run that it may have held.
+    /// A worker is considered lost, together with a run that it may have held.
     Lost {
         /// The task.
         task: TaskId,
-        /// Which start of it.
+        /// The run of the task.
         run: Run,
-        /// Where.
+        /// The worker.
         worker: WorkerId,
-        /// What is believed of the worker, as one word.
+        /// The state of the worker, as one word.
         why: &'static str,
-        /// How long before the worker fell silent the run was decided or adopted.
+        /// How long before the worker stopped answering the run was placed or adopted.
         age: Duration,
-        /// How many other runs the worker may have held.
+        /// The number of other runs that the worker may have held.
         beside: usize,
     },
-    /// A worker went down when it had just started a task.
+    /// A worker crashed shortly after it started a task.
     Crashed {
         /// The task.
         task: TaskId,
-        /// Which start of it.
+        /// The run of the task.
         run: Run,
         /// The worker.
         worker: WorkerId,
-        /// How many workers have gone down under the task.
+        /// The number of workers that have crashed shortly after they started the task.
         crashes: usize,
-        /// What follows for the task, as one word.
+        /// The consequence for the task, as one word.
         verdict: &'static str,
     },
-    /// A run of a former owner was taken over.
+    /// A run that a former owner started was taken over.
     Adopted {
         /// The task.
         task: TaskId,
-        /// Which start of it.
+        /// The run of the task.
         run: Run,
-        /// Where.
+        /// The worker.
         worker: WorkerId,
     },
-    /// A job has reached its end, and that is on record.
+    /// A job has reached its end, and the end is recorded.
     Finished {
-        /// The job, with its end as one word.
+        /// The job.
         job: crate::id::JobId,
-        /// Its end, as one word.
+        /// How it ended, as one word.
         outcome: &'static str,
-        /// How long after its arrival.
+        /// The time since its arrival.
         after: Duration,
     },
-    /// Tasks of a step wait, for another reason than was told before.
+    /// Tasks of a step wait, for another reason than last reported.
     Waits {
         /// The step.
         step: StepId,
-        /// Why.
+        /// The reason.
         why: Wait,
-        /// The label that it requires.
+        /// The worker label that the step requires.
         label: Option<Arc<str>>,
-        /// How many of its tasks wait.
+        /// The number of its tasks that wait.
         tasks: usize,
-        /// What was found of the workers.
+        /// A summary of the state of the workers.
         survey: Survey,
-        /// How long it has waited since its turn came.
+        /// How long the step has waited since it became ready.
         waited: Duration,
     },
-    /// Advice came in: how many workers were asked about and how many may run the step.
+    /// A call to the advice service has finished.
     Advised {
         /// The step.
         step: StepId,
-        /// The node that asked.
+        /// The node that made the call.
         node: NodeName,
-        /// How many workers were named.
+        /// The number of workers asked about.
         named: usize,
-        /// How many of them may run it; absent where no answer came.
+        /// The number of them that may run the step; `None` if no answer came.
         allowed: Option<usize>,
-        /// How long it took.
+        /// The duration of the call.
         took: Duration,
     },
 }
 
-/// What the engine's node is asked to do.
+/// A request from the engine to its node.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// Give an order to start.
+    /// Send an order to start.
     Start(Box<Start>),
-    /// Give an order to stop.
+    /// Send an order to stop.
     Stop(Stop),
-    /// Give an order to pace.
+    /// Send an order to limit a task's share.
     Pace(Pace),
     /// Extend a lease and ask for an inventory.
     Hold(Hold),
-    /// Have a node ask which workers may run a step.
+    /// Have a node ask the advice service which workers may run a step.
     Advise {
-        /// The node that asks.
+        /// The node that makes the call.
         node: NodeName,
         /// The step.
         step: StepId,
         /// The workers to ask about.
         workers: Vec<WorkerId>,
     },
-    /// Keep records, all or none, and tell [`crate::engine::Engine::recorded`].
+    /// Store all of these records or none, then call [`crate::engine::Engine::recorded`].
     Record(Vec<Entry>),
-    /// Take acceptances off the record; it may be left undone.
+    /// Remove acceptances from the store; the node may skip this.
     Forget(Vec<Forgotten>),
-    /// Write to the log.
+    /// Write a log record.
     Note(Note),
-    /// A worker has seen a higher epoch: another node owns the cell.
+    /// Another node owns the cell, since a worker has seen a higher epoch.
     Deposed,
 }
--- a/crates/cell/src/event.rs
+++ b/crates/cell/src/event.rs
@@ -21,24 +21,24 @@
     WorkerId, //
 };
 
-/// A worker as it reports itself to the store.
+/// A worker as it registers itself in the store.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Registration {
     /// Its id.
     pub id: WorkerId,
-    /// Which incarnation tells this, where the platform says so.
+    /// The incarnation that registered, if the platform reports it.
     pub incarnation: Option<Incarnation>,
-    /// Where it takes orders.
+    /// The address where it takes orders.
     pub address: SocketAddr,
     /// The pool that it belongs to.
     pub pool: PoolName,
-    /// What it can hold.
+    /// Its capacity.
     pub capacity: Resources,
-    /// Its kind and its rack.
+    /// Its labels, which include its kind and its rack.
     pub labels: Vec<Arc<str>>,
-    /// Where it stands, where it says so.
+    /// The data centre that it is in, if it reports one.
     pub data_centre: Option<DataCentre>,
-    /// How long it goes on at least, where it is about to leave.
+    /// The minimum time until it leaves, if it is about to.
     pub leaving: Option<Duration>,
 }
 
@@ -47,20 +47,20 @@
 pub enum How {
     /// It succeeded.
     Done,
-    /// It failed, by its own fault or the worker's.
+    /// It failed, through its own fault or the worker's.
     Failed,
-    /// It was stopped by order.
+    /// It was stopped by an order.
     Stopped,
-    /// Its lease lapsed.
+    /// Its lease expired.
     Lapsed,
     /// Another member of its gang ended.
     Broken,
-    /// The other members of its gang did not come in time.
+    /// The other members of its gang did not arrive in time.
     Alone,
 }
 
 impl How {
-    /// Returns the bare word, for logs.
+    /// Returns the value that is written to logs.
     pub const fn word(self) -> &'static str {
         match self {
             Self::Done => "done",
@@ -78,89 +78,89 @@
 pub struct Running {
     /// The task.
     pub task: TaskId,
-    /// Which start of it.
+    /// The run of the task.
     pub run: Run,
-    /// The newest checkpoint, where there is one.
+    /// The newest checkpoint, if there is one.
     pub checkpoint: Option<Arc<str>>,
-    /// A rough figure of the last half second: for a task with a target for its response times, their tail
-    /// in milliseconds; for any other, the processor time in use in thousandths of a core.
+    /// A rough measurement over the last half second. For a task with a target for its response times, it is their tail
+    /// latency in milliseconds; for any other task, it is the processor time in use in thousandths of a core.
     pub load: u32,
 }
 
-/// A run that has ended and that the worker still tells of.
+/// A run that has ended and that the worker still reports.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ended {
-    /// The place of the end in the worker's list; it only rises.
+    /// The serial number of the end in the worker's list; it only rises.
     pub serial: u64,
     /// The task.
     pub task: TaskId,
-    /// Which start of it.
+    /// The run of the task.
     pub run: Run,
     /// How it ended.
     pub how: How,
-    /// The last checkpoint, where there is one.
+    /// The last checkpoint, if there is one.
     pub checkpoint: Option<Arc<str>>,
 }
 
-/// What a worker holds and what has ended there.
+/// The runs that a worker holds and those that have ended there.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Inventory {
-    /// Which incarnation tells this, where the platform says so.
+    /// The incarnation that reports this, if the platform reports it.
     pub incarnation: Option<Incarnation>,
     /// The worker's clock, in milliseconds.
     pub clock: u64,
-    /// What runs.
+    /// The runs that the worker holds.
     pub running: Vec<Running>,
-    /// What has ended since the last acknowledged end.
+    /// The runs that have ended since the last acknowledged end.
     pub ended: Vec<Ended>,
 }
 
-/// What came of asking a worker for its inventory.
+/// The result of a call for a worker's inventory.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum HoldAnswer {
-    /// It told what it holds.
+    /// The worker answered with its inventory.
     Listed(Inventory),
-    /// It has seen a higher epoch.
+    /// The worker has seen a higher epoch.
     Fenced,
-    /// Another incarnation answers at the address: this one is gone with all that it ran.
+    /// Another incarnation answers at the address: this one is gone, together with all of its runs.
     Gone,
     /// No answer came in time; the lease may have been extended.
     Silent,
-    /// The connection broke or was refused before that time was over; the lease may have been extended.
+    /// The connection broke or was refused before the timeout; the lease may have been extended.
     Broken,
-    /// It refused; nothing was done.
+    /// The worker refused the call and did nothing.
     Refused,
 }
 
-/// What came of an order to start a task.
+/// The result of an order to start a task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StartAnswer {
-    /// It is there.
+    /// The worker holds the run.
     Started,
     /// The worker has seen a higher epoch.
     Fenced,
-    /// A run as high has ended or was stopped there.
+    /// This run or a later one of the task has already ended or been stopped there.
     Old,
-    /// The lease that it asked for had passed.
+    /// The requested lease had already expired.
     Late,
-    /// There is no room.
+    /// The worker has no room for the task.
     Full,
     /// The ticket is not valid.
     Ticket,
-    /// The worker turns work away; nothing was done.
+    /// The worker does not accept new tasks at present and did nothing.
     Unhealthy,
-    /// The order was not understood; nothing was done.
+    /// The worker could not parse the order and did nothing.
     Malformed,
     /// Another incarnation answers at the address.
     Gone,
-    /// The connection was refused: nothing was sent.
+    /// The connection was refused, so nothing was sent.
     Unsent,
-    /// No answer came; it may have started, or may start later.
+    /// No answer came; the task may have started, or may still start later.
     Silent,
 }
 
 impl HoldAnswer {
-    /// Returns the bare word, for logs.
+    /// Returns the value that is written to logs.
     pub const fn word(&self) -> &'static str {
         match self {
             Self::Listed(_) => "listed",
@@ -174,7 +174,7 @@
 }
 
 impl StopAnswer {
-    /// Returns the bare word, for logs.
+    /// Returns the value that is written to logs.
     pub const fn word(self) -> &'static str {
         match self {
             Self::Confirmed => "confirmed",
@@ -186,7 +186,7 @@
 }
 
 impl StartAnswer {
-    /// Returns the bare word, for logs.
+    /// Returns the value that is written to logs.
     pub const fn word(self) -> &'static str {
         match self {
             Self::Started => "started",
@@ -204,24 +204,24 @@
     }
 }
 
-/// What came of an order to stop or to pace a task.
+/// The result of an order to stop a task or to limit its share.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StopAnswer {
-    /// It was taken; a run that is to be stopped ends, or will be refused where it isn't there yet.
+    /// The worker accepted the order. A run that is to be stopped ends, or is refused if it arrives later.
     Confirmed,
     /// The worker has seen a higher epoch.
     Fenced,
     /// Another incarnation answers at the address.
     Gone,
-    /// No answer came, or one that settles nothing.
+    /// No answer came, or one that leaves the result open.
     Silent,
 }
 
-/// A worker that may run a step, with the ticket that its orders carry.
+/// A worker that may run a step, with its ticket.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Advised {
     /// The worker.
     pub worker: WorkerId,
-    /// What starts of the step on it carry.
+    /// The ticket that orders to start the step on this worker carry.
     pub ticket: Arc<str>,
 }
--- a/crates/cell/src/record.rs
+++ b/crates/cell/src/record.rs
@@ -1,4 +1,4 @@
-//! What outlasts a node, each under a key of its own in the platform's store.
+//! The records that survive a node, each under its own key in the platform's store.
 
 use std::{
     net::SocketAddr,
@@ -33,120 +33,121 @@
     },
 };
 
-/// A record can't be read.
+/// The error for a record that can't be read.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// Its bytes are none of such a record.
+    /// The bytes can't be decoded as such a record.
     #[error("a record can't be decoded")]
-    Bytes(#[from] postcard::Error),
-    /// There is more than such a record.
-    #[error("a record is longer than it should be")]
-    Longer,
+    Decode(#[from] postcard::Error),
+    /// Bytes follow the end of the record.
+    #[error("a record has trailing bytes")]
+    TrailingBytes,
 }
 
-/// A job that was accepted; kept before its caller is told so.
+/// A job that was accepted; stored before its caller gets an answer.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Accepted {
     /// The job.
     pub job: JobId,
-    /// Its queue as it was then; jobs outlive queues that are removed.
+    /// Its queue at the time of acceptance, since jobs outlive queues that are removed.
     pub queue: Arc<Queue>,
-    /// Its workspace as it was then, where it belongs to one; jobs outlive workspaces that are removed.
+    /// Its workspace at the time of acceptance, if it belongs to one, since jobs outlive workspaces that are removed.
     pub workspace: Option<Arc<Workspace>>,
-    /// What it runs.
+    /// The description of the job.
     pub spec: Arc<Spec>,
-    /// When the node that took it received it; orders jobs, and nothing more.
+    /// When the accepting node received it; used only to order jobs.
     pub received: Timestamp,
-    /// Which partition of the jobs' records this one stands in.
+    /// The partition of the job records that holds this one.
     pub partition: u16,
 }
 
-/// A job's cancellation; it holds for an acceptance under its id whenever that turns up.
+/// Whether a cancelled job was known. A cancellation also applies to an acceptance with its id that is found later.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Cancellation {
-    /// Nobody knew the job, so it may never have been handed in, and is not shown by this alone.
+    /// No node knew the job. It may never have been submitted, so callers are not shown a job because of this alone.
     Unseen,
-    /// The job is or was on record.
+    /// The job is or was recorded.
     Seen,
 }
 
-/// A cancellation as it stands on record.
+/// A cancellation as recorded.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Cancelled {
     /// The job.
     pub job: JobId,
-    /// The workspace of who cancelled it. That of another workspace has no effect on the job, whenever that turns up.
+    /// The workspace of the caller that cancelled it. A cancellation from another workspace than the job's has no
+    /// effect on the job, even if the job is found only later.
     pub workspace: Option<WorkspaceName>,
     /// Whether the job was known.
     pub cancellation: Cancellation,
 }
 
 impl Accepted {
-    /// Returns the name of its workspace, where it belongs to one.
+    /// Returns the name of its workspace, if it belongs to one.
     pub fn workspace_name(&self) -> Option<&WorkspaceName> {
         self.workspace.as_ref().map(|workspace| &workspace.name)
     }
 }
 
-/// How a job came to its end.
+/// How a job ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
     /// All tasks are done.
     Completed,
-    /// A task or a gang has used its tries.
+    /// A task or a gang has failed in all of its attempts.
     Failed,
 }
 
-/// The runs of a task that have failed.
+/// The failed runs of a task.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Failures {
-    /// The task.
+    /// The index of the task.
     pub index: u16,
-    /// The runs. A worker goes on telling of an end until it is acknowledged, so a new owner hears
-    /// of some of these again, and of others only when a silent worker comes back.
+    /// The runs. A worker reports an end until it is acknowledged, so a new owner receives some of these again, and
+    /// others only when a silent worker answers again.
     pub runs: Vec<Run>,
 }
 
-/// A worker that went down, or may have, when it had just started a task.
+/// A crash, certain or suspected, of a worker that had just started a task.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Crash {
-    /// Which start of the task. A member of a gang may be started again under one number, so that alone doesn't
-    /// tell two crashes apart.
+    /// The run of the task. A member of a gang may be started again under the same run, so this alone does not
+    /// distinguish two crashes.
     pub run: Run,
     /// The worker.
     pub worker: WorkerId,
-    /// Which incarnation of it: only that one takes the crash back by answering again.
+    /// The incarnation of the worker; the crash is withdrawn only if this same incarnation answers again.
     pub incarnation: Option<Incarnation>,
-    /// Whether it is certain that the task was there: the worker had confirmed it, and broke its connections at once.
+    /// Whether the task certainly ran there: the worker had confirmed it, and its connections broke at once.
     pub is_certain: bool,
-    /// Whether the worker may only be cut off: it is silent, but listed.
+    /// Whether the worker may only be cut off from the network: it is silent, but the store lists it.
     pub is_doubted: bool,
 }
 
 impl Crash {
-    /// Returns whether another one tells of the same start.
+    /// Returns whether another crash is of the same start.
     pub fn is_same(&self, other: &Self) -> bool {
         (self.run, &self.worker, self.incarnation) == (other.run, &other.worker, other.incarnation)
     }
 }
 
-/// The workers that went down under a task.
+/// The crashes of workers that had just started a task.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Crashes {
-    /// The task.
+    /// The index of the task.
     pub index: u16,
-    /// The workers, in the order in which that was learnt.
+    /// The crashes, in the order in which the owner learnt of them.
     pub crashes: Vec<Crash>,
 }
 
-/// What is done of one step.
+/// The progress of one step.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StepProgress {
-    /// One bit for each task that is done.
+    /// A bit for each task, set when the task is done.
     pub done: Vec<u8>,
-    /// Which tasks have failed; for a gang under index zero.
+    /// The tasks that have failed; a gang is listed under index zero.
     pub failures: Vec<Failures>,
-    /// Under which tasks workers went down.
+    /// The tasks whose workers crashed at their start.
     pub crashes: Vec<Crashes>,
 }
 
@@ -159,60 +160,61 @@
 
     /// Marks a task as done.
     pub fn set_done(&mut self, index: u16) {
-        let place = usize::from(index / 8);
-        if self.done.len() <= place {
-            self.done.resize(place + 1, 0);
+        let byte = usize::from(index / 8);
+        if self.done.len() <= byte {
+            self.done.resize(byte + 1, 0);
         }
-        self.done[place] |= 1 << (index % 8);
+        self.done[byte] |= 1 << (index % 8);
     }
 }
 
-/// How far a job has come; kept before a worker may forget an end and before a caller sees it.
+/// The progress of a job; stored before a worker may forget an end and before a caller sees it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Progress {
     /// The steps of each occurrence that has begun.
     pub occurrences: Vec<(u32, Vec<StepProgress>)>,
-    /// How it ended, once it has.
+    /// How the job ended, once it has.
     pub outcome: Option<Outcome>,
-    /// The workspace that the job belongs to; this outlives its acceptance.
+    /// The workspace of the job; this record outlives the job's acceptance.
     pub workspace: Option<WorkspaceName>,
 }
 
 impl Progress {
-    /// Returns whether it tells of a task that has begun; a worker may go down before an order reaches it.
+    /// Returns whether a task of the job is known to have begun. Crashes don't count: a worker may crash before an
+    /// order reaches it.
     pub fn has_begun(&self) -> bool {
         let mut steps = self.occurrences.iter().flat_map(|(_, steps)| steps);
         steps.any(|step| !step.done.is_empty() || !step.failures.is_empty())
     }
 }
 
-/// What the owner keeps: each variant under its own key.
+/// A record that the owner keeps; each variant has its own key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Entry {
-    /// How far a job has come.
+    /// The progress of a job.
     Job(JobId, Progress),
-    /// What a worker may run; kept before an order to start leaves.
+    /// The runs that a worker may hold; stored before an order to start is sent.
     ///
-    /// A new owner has to hear from the worker, or wait until its leases have lapsed, before it
-    /// starts one of these elsewhere.
+    /// Before a new owner starts one of these elsewhere, it has to receive the worker's inventory or wait until the
+    /// worker's leases have expired.
     Worker(WorkerId, Usage),
-    /// A worker that is gone for good.
+    /// A worker that is permanently gone; its key is removed.
     Gone(WorkerId),
 }
 
-/// What a worker may run.
+/// The runs that a worker may hold.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Usage {
-    /// Where the worker takes orders.
+    /// The address where the worker takes orders.
     pub address: SocketAddr,
-    /// Which incarnation of it was heard last.
+    /// The incarnation of the worker that answered last.
     pub incarnation: Option<Incarnation>,
     /// The runs.
     pub runs: Vec<(TaskId, Run)>,
 }
 
 impl Entry {
-    /// Returns the key that it is kept under.
+    /// Returns the key under which the record is stored.
     pub fn key(&self) -> String {
         match self {
             Self::Job(job, _) => job.to_string(),
@@ -220,34 +222,34 @@
         }
     }
 
-    /// Returns whether the key is to be removed.
+    /// Returns whether the record removes its key.
     pub const fn is_removal(&self) -> bool {
         matches!(self, Self::Gone(_))
     }
 }
 
-/// Who owns the cell; a later claim names the one that it replaces by its place in the store.
+/// The ownership of the cell. A later claim names the claim that it replaces by its position in the store.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claim {
-    /// The ordinal of the ownership.
+    /// The number of the ownership.
     pub epoch: Epoch,
     /// The owner.
     pub node: NodeName,
-    /// Where the owner answers the other nodes.
+    /// The address where the owner answers other nodes.
     pub address: SocketAddr,
-    /// Tells two lives of one node apart.
+    /// Distinguishes the lifetimes of one node.
     pub incarnation: u64,
-    /// Rises with each renewal.
+    /// The number of the renewal.
     pub renewal: u32,
-    /// The owner has given the cell up; anyone may claim it at once.
+    /// Whether the owner has released the cell; if so, any node may claim it at once.
     pub released: bool,
-    /// How strong the owner is among the nodes.
+    /// The processor capacity by which nodes are ranked as owners.
     pub strength: Millicores,
     /// Over how many partitions the nodes spread jobs.
     pub spread: Spread,
-    /// How many nodes the owner knew, itself included.
+    /// The number of nodes that the owner knew, itself included.
     pub nodes: u32,
-    /// How often in a row owners have let go of the cell since they were slow.
+    /// The number of consecutive owners that released the cell because they were slow.
     pub slow_owners: u8,
 }
 
@@ -255,7 +257,7 @@
 ///
 /// # Errors
 ///
-/// Fails only where a collection is too large to be counted.
+/// Fails only if the length of a collection can't be encoded.
 pub fn encode<T: Serialize>(record: &T) -> Result<Vec<u8>, Error> {
     Ok(postcard::to_stdvec(record)?)
 }
@@ -264,8 +266,10 @@
 ///
 /// # Errors
 ///
-/// Fails where the bytes are not such a record, or more than one.
+/// Fails if the bytes are not such a record, or continue after it.
 pub fn decode<'a, T: Deserialize<'a>>(bytes: &'a [u8]) -> Result<T, Error> {
     let (record, rest) = postcard::take_from_bytes(bytes)?;
-    rest.is_empty().then_some(record).ok_or(Error::Longer)
+    rest.is_empty()
+        .then_some(record)
+        .ok_or(Error::TrailingBytes)
 }
