--- a/crates/cell/src/advice.rs
+++ b/crates/cell/src/advice.rs
@@ -1,4 +1,4 @@
-//! What is known of the workers that may run a step, and the nodes that ask for it.
+//! The workers that may run a step, as told by the advice service, and the nodes that call the service.
 
 use std::collections::{
     BTreeMap,
@@ -24,105 +24,105 @@
     worker::Worker,
 };
 
-/// A ticket is not used any more this long before its end: an order has to arrive first.
+/// How long before its end a ticket is no longer used, since the order that carries it has to arrive in time.
 const TICKET_MARGIN: Duration = Duration::from_millis(150);
 
-/// What allows a step on a worker for a while.
+/// A permission to start a step on a worker, valid for a limited time.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Ticket {
-    /// What orders carry.
+    /// The text that orders carry.
     pub text: Arc<str>,
-    /// When it was asked for.
+    /// When the call for it was made.
     pub asked: Timestamp,
-    /// Until when it is valid, at the earliest.
+    /// The time until which it is valid at least.
     pub until: Timestamp,
 }
 
 impl Ticket {
-    /// Returns whether an order to a worker that is sent now arrives in time, and is for the incarnation that was asked
-    /// about.
+    /// Returns whether an order that is sent now reaches the worker before the ticket expires, and whether the worker
+    /// is still the incarnation that the ticket was issued for.
     pub fn is_usable(&self, worker: &Worker, now: Timestamp) -> bool {
         now + TICKET_MARGIN < self.until && !self.is_for_former(worker)
     }
 
-    /// Returns whether another incarnation of its worker has begun since it was asked for.
+    /// Returns whether another incarnation of the worker has begun since the ticket was requested.
     pub fn is_for_former(&self, worker: &Worker) -> bool {
         worker.raised.is_some_and(|raised| self.asked < raised)
     }
 }
 
-/// Workers that may run a step, with their newest tickets, in their order.
+/// The workers that may run a step with their newest tickets, sorted by slot.
 #[derive(Clone, Debug, Default)]
 pub struct Allowed(Vec<(Slot, Ticket)>);
 
 impl Allowed {
-    /// Returns how many there are.
+    /// Returns the number of workers.
     pub fn len(&self) -> usize {
         self.0.len()
     }
 
-    /// Returns whether there is none.
+    /// Returns whether there are no workers.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// Returns the workers.
+    /// Returns the slots of the workers.
     pub fn slots(&self) -> impl Iterator<Item = Slot> {
         self.0.iter().map(|(slot, _)| *slot)
     }
 
     /// Returns the newest ticket for a worker.
     pub fn get(&self, slot: Slot) -> Option<&Ticket> {
-        let place = self.place(slot).ok()?;
-        Some(&self.0[place].1)
+        let position = self.position(slot).ok()?;
+        Some(&self.0[position].1)
     }
 
-    /// Has the ticket for a worker not be used any more.
+    /// Marks the ticket for a worker as expired.
     pub fn void(&mut self, slot: Slot) {
-        if let Ok(place) = self.place(slot) {
-            self.0[place].1.until = Timestamp::ZERO;
+        if let Ok(position) = self.position(slot) {
+            self.0[position].1.until = Timestamp::ZERO;
         }
     }
 
     fn remove(&mut self, slot: Slot) {
-        if let Ok(place) = self.place(slot) {
-            self.0.remove(place);
+        if let Ok(position) = self.position(slot) {
+            self.0.remove(position);
         }
     }
 
     fn set(&mut self, slot: Slot, ticket: Ticket) {
-        match self.place(slot) {
-            Ok(place) => self.0[place].1 = ticket,
-            Err(place) => self.0.insert(place, (slot, ticket)),
+        match self.position(slot) {
+            Ok(position) => self.0[position].1 = ticket,
+            Err(position) => self.0.insert(position, (slot, ticket)),
         }
     }
 
-    fn place(&self, slot: Slot) -> Result<usize, usize> {
+    fn position(&self, slot: Slot) -> Result<usize, usize> {
         self.0.binary_search_by_key(&slot, |(slot, _)| *slot)
     }
 }
 
-/// What is known of the workers that may run a step.
+/// The answers of the advice service about a step, and the calls that are pending.
 ///
-/// The set doesn't change for as long as the step exists; only the tickets age.
+/// The set of workers that may run the step doesn't change while the step exists; only the tickets expire.
 #[derive(Clone, Debug, Default)]
 pub struct Advice {
     /// The workers that may run the step, with their newest tickets.
     pub allowed: Allowed,
-    /// Whether there was an answer.
+    /// Whether the service has answered at least once.
     pub is_answered: bool,
-    /// The workers that were asked about, answered or not, in their order.
+    /// The workers that were asked about, answered or not, sorted by slot.
     pub named: Vec<Slot>,
-    /// Workers that are to be asked about once nodes are free for it, by call.
+    /// The workers to ask about once nodes are free for the calls, one list per call.
     pub planned: Vec<Vec<Slot>>,
-    /// How many calls are out.
+    /// The number of calls in flight.
     pub asking: usize,
-    /// Before this nothing is asked again.
+    /// The time before which no further call is made.
     pub pause: Timestamp,
 }
 
 impl Advice {
-    /// Notes that workers are asked about.
+    /// Records that a call about these workers has begun.
     pub fn begin(&mut self, named: &[Slot]) {
         self.asking += 1;
         self.named.extend(named);
@@ -130,7 +130,7 @@
         self.named.dedup();
     }
 
-    /// Takes in an answer.
+    /// Records an answer.
     pub fn answer(&mut self, tickets: impl Iterator<Item = (Slot, Ticket)>) {
         self.asking = self.asking.saturating_sub(1);
         self.is_answered = true;
@@ -139,13 +139,12 @@
         }
     }
 
-    /// Notes that a worker may not run the step any more: it is another incarnation than the one that might, and of
-    /// another kind.
+    /// Records that a worker may no longer run the step: it has another incarnation now, which is of another kind.
     pub fn withdraw(&mut self, slot: Slot) {
         self.allowed.remove(slot);
     }
 
-    /// Notes that there was no answer: nothing is known of the workers by that, and nothing is asked for a while.
+    /// Records that a call got no answer: it says nothing about its workers, and no call is made before `pause`.
     pub fn fail(&mut self, named: &[Slot], pause: Timestamp) {
         self.asking = self.asking.saturating_sub(1);
         self.pause = pause;
@@ -154,7 +153,7 @@
             .retain(|slot| allowed.get(*slot).is_some() || !named.contains(slot));
     }
 
-    /// Returns whether the first answer is on its way, and all calls for it are out.
+    /// Returns whether the first answer is pending and all calls that may bring it have been made.
     pub fn is_awaited(&self) -> bool {
         self.asking > 0 && !self.is_answered && self.planned.is_empty()
     }
@@ -164,7 +163,7 @@
         self.named.binary_search(&slot).is_ok()
     }
 
-    /// Returns the ticket for a worker, where there is one that can be used.
+    /// Returns the usable ticket for a worker, if there is one.
     pub fn ticket(&self, slot: Slot, worker: &Worker, now: Timestamp) -> Option<&Ticket> {
         self.allowed
             .get(slot)
@@ -172,97 +171,97 @@
     }
 }
 
-/// A call for advice that is out.
+/// A call to the advice service that is in flight.
 #[derive(Clone, Debug)]
 pub struct Call {
     /// The step.
     pub step: StepId,
-    /// The workers that are asked about.
+    /// The workers asked about.
     pub named: Vec<Slot>,
-    /// Since when.
+    /// When the call began.
     pub since: Timestamp,
-    /// Whether it takes long, so that shorter ones shouldn't have to wait behind it.
+    /// Whether the call takes long, so that shorter calls should not have to wait behind it.
     pub is_long: bool,
 }
 
-/// How much of what the advice service is asked about it allows, by queue.
+/// The share of workers that the advice service allows, by queue.
 #[derive(Clone, Debug, Default)]
 pub struct Experience {
     shares: HashMap<QueueName, f64>,
 }
 
-/// The share that is assumed of a queue that nobody has asked about.
-const FIRST_SHARE: f64 = 0.25;
-/// How much the newest answer counts in a share.
-const NEWEST_PART: f64 = 0.1;
-/// The least share that is reckoned with: four calls of a hundred workers each for four of them.
-const LEAST_SHARE: f64 = 0.01;
+/// The share that is assumed for a queue without any answer yet.
+const DEFAULT_SHARE: f64 = 0.25;
+/// The weight of the newest answer in the moving average of a share.
+const SHARE_SMOOTHING: f64 = 0.1;
+/// The lowest share that is assumed. At this share, four calls about a hundred workers each find four allowed workers.
+const MIN_SHARE: f64 = 0.01;
 
 impl Experience {
-    /// Takes in an answer.
+    /// Adds an answer to the average.
     pub fn learn(&mut self, queue: &QueueName, named: usize, allowed: usize) {
         if named == 0 {
             return;
         }
         let newest = allowed as f64 / named as f64;
         let share = self.shares.entry(queue.clone()).or_insert(newest);
-        *share += (newest - *share) * NEWEST_PART;
+        *share += (newest - *share) * SHARE_SMOOTHING;
     }
 
     /// Returns the share of workers that may run a step of a queue.
     pub fn share(&self, queue: &QueueName) -> f64 {
         let share = self.shares.get(queue).copied();
-        share.unwrap_or(FIRST_SHARE).max(LEAST_SHARE)
+        share.unwrap_or(DEFAULT_SHARE).max(MIN_SHARE)
     }
 }
 
-/// Over which time it is reckoned how many nodes short calls keep busy: bursts of urgent jobs last some seconds.
-const SHORT_SPAN: Duration = Duration::from_secs(3);
-/// So many times as many nodes are left to short calls, which come in bursts.
-const SHORT_TIMES: u32 = 2;
+/// The averaging period for the number of nodes that short calls keep busy: bursts of urgent jobs last some seconds.
+const SHORT_CALL_AVERAGING_PERIOD: Duration = Duration::from_secs(3);
+/// The number of nodes reserved for short calls, as a multiple of those that they keep busy: they come in bursts.
+const SHORT_CALL_NODE_FACTOR: u32 = 2;
 
-/// How long a node gets no call after one that brought no answer, doubled with each that follows: a process that was
-/// stopped is back within some seconds.
-const REST: Duration = Duration::from_millis(250);
-/// The longest of these times.
-const MOST_REST: Duration = Duration::from_secs(1);
+/// The first backoff of a node after a call without an answer; it doubles with each further one. A process that was
+/// paused resumes within some seconds.
+const MIN_BACKOFF: Duration = Duration::from_millis(250);
+/// The longest backoff of a node.
+const MAX_BACKOFF: Duration = Duration::from_secs(1);
 
-/// A node whose calls bring no answer.
+/// The backoff of a node whose calls get no answer.
 #[derive(Clone, Copy, Debug)]
-struct Rest {
-    /// Before this it gets no call.
+struct Backoff {
+    /// The time before which the node gets no call.
     until: Timestamp,
-    /// How long it rested last.
-    span: Duration,
+    /// The length of the last backoff.
+    duration: Duration,
 }
 
-/// The nodes that ask; the service answers each one call at a time.
+/// The nodes that call the advice service, which answers one call at a time for each node.
 ///
-/// A node that is down fails its calls at once, so it would be idle whenever the others are busy, and draw in all of them:
-/// while machines were restarted in turn, half of all calls for advice failed so. It rests instead.
+/// A node that is down fails its calls at once, so without a backoff it would be idle whenever the others are busy and
+/// attract all calls. During a rolling restart of the machines, half of all calls for advice failed in this way.
 #[derive(Clone, Debug, Default)]
 pub struct Desk {
     idle: BTreeSet<NodeName>,
     busy: BTreeMap<NodeName, Call>,
-    /// Nodes whose last call brought no answer; they rest, or try again.
-    failing: BTreeMap<NodeName, Rest>,
-    /// How many of the calls are long.
-    long: usize,
-    /// For how long short calls have kept nodes busy within the span of late.
-    short: Duration,
-    /// Until when that was reckoned.
-    reckoned: Timestamp,
+    /// Nodes whose last call got no answer; they are in a backoff or have been given another call after it.
+    failing: BTreeMap<NodeName, Backoff>,
+    /// The number of long calls in flight.
+    long_calls: usize,
+    /// The decaying sum of the time for which short calls have kept nodes busy.
+    short_call_time: Duration,
+    /// When that sum was last updated.
+    short_call_time_updated: Timestamp,
 }
 
 impl Desk {
-    /// Says which nodes there are; a call of a node that is gone is given back.
+    /// Sets the nodes of the cell; returns the calls of nodes that are gone.
     pub fn set_hands(&mut self, nodes: &[NodeName]) -> Vec<Call> {
         let nodes: BTreeSet<NodeName> = nodes.iter().cloned().collect();
         let gone = self.busy.keys().filter(|node| !nodes.contains(*node));
         let gone: Vec<NodeName> = gone.cloned().collect();
-        let lost = gone.iter().filter_map(|node| self.end(node)).collect();
+        let lost = gone.iter().filter_map(|node| self.end_call(node)).collect();
         self.failing.retain(|node, _| nodes.contains(node));
-        // Whoever rests is idle once its rest is over.
+        // A node in a backoff becomes idle once the backoff is over.
         let idle = nodes.into_iter();
         let idle = idle.filter(|node| {
             !self.busy.contains_key(node)
@@ -272,30 +271,32 @@
         lost
     }
 
-    /// Returns a node for a call, or `None` while all that may take it are busy.
+    /// Returns a node for a call, or `None` while all nodes that may take it are busy.
     ///
-    /// Short calls always find some nodes that no long one keeps: so many times as many as they have kept busy of
-    /// late, and at most half of all. Half of 97 nodes, of which short calls took 5, had the long calls wait.
+    /// Some nodes are reserved for short calls: a multiple of those that short calls have recently kept busy, and at
+    /// most half of all. With a fixed half of 97 nodes reserved, of which short calls used 5, the long calls had to
+    /// wait.
     pub fn idle(&self, is_long: bool) -> Option<&NodeName> {
-        let hands = self.idle.len() + self.busy.len();
-        let for_short = (self.short * SHORT_TIMES).as_micros();
-        let for_short = for_short.div_ceil(SHORT_SPAN.as_micros()) + 1;
+        let nodes = self.idle.len() + self.busy.len();
+        let for_short = (self.short_call_time * SHORT_CALL_NODE_FACTOR).as_micros();
+        let for_short = for_short.div_ceil(SHORT_CALL_AVERAGING_PERIOD.as_micros()) + 1;
         let for_short = usize::try_from(for_short).unwrap_or(usize::MAX);
-        let for_long = hands - for_short.min(hands / 2);
-        if is_long && self.long >= for_long {
+        let for_long = nodes - for_short.min(nodes / 2);
+        if is_long && self.long_calls >= for_long {
             return None;
         }
         self.idle.first()
     }
 
-    /// Notes that a node asks.
+    /// Records that a node has begun a call.
     pub fn begin(&mut self, node: NodeName, call: Call) {
         self.idle.remove(&node);
-        self.long += usize::from(call.is_long);
+        self.long_calls += usize::from(call.is_long);
         self.busy.insert(node, call);
     }
 
-    /// Notes that a node has finished asking about a step, with an answer or without; `None` where it was not asking.
+    /// Records that a node's call about a step has ended, with or without an answer; returns `None` if the node had no
+    /// such call.
     pub fn finish(
         &mut self,
         node: &NodeName,
@@ -310,47 +311,50 @@
             self.failing.remove(node);
             self.idle.insert(node.clone());
         } else {
-            self.rest(node, now);
+            self.back_off(node, now);
         }
-        let call = self.end(node)?;
+        let call = self.end_call(node)?;
         if !call.is_long {
-            self.reckon(now.since(call.since), now);
+            self.add_short_call(now.since(call.since), now);
         }
         Some(call)
     }
 
-    fn rest(&mut self, node: &NodeName, now: Timestamp) {
+    fn back_off(&mut self, node: &NodeName, now: Timestamp) {
         let before = self.failing.get(node);
-        let span = before.map_or(REST, |rest| (rest.span * 2).min(MOST_REST));
-        let until = now + span;
-        self.failing.insert(node.clone(), Rest { until, span });
+        let duration = before.map_or(MIN_BACKOFF, |backoff| {
+            (backoff.duration * 2).min(MAX_BACKOFF)
+        });
+        let until = now + duration;
+        self.failing
+            .insert(node.clone(), Backoff { until, duration });
     }
 
-    /// Lets nodes that have rested be asked again; returns whether there is one.
+    /// Makes nodes available again whose backoff is over; returns whether there is any.
     pub fn wake(&mut self, now: Timestamp) -> bool {
         let failing = self.failing.iter();
-        let rested = failing.filter(|(_, rest)| rest.until <= now);
-        let rested: Vec<NodeName> = rested.map(|(node, _)| node.clone()).collect();
-        let mut is_news = false;
-        for node in rested {
+        let recovered = failing.filter(|(_, backoff)| backoff.until <= now);
+        let recovered: Vec<NodeName> = recovered.map(|(node, _)| node.clone()).collect();
+        let mut is_changed = false;
+        for node in recovered {
             if !self.busy.contains_key(&node) {
-                is_news |= self.idle.insert(node);
+                is_changed |= self.idle.insert(node);
             }
         }
-        is_news
+        is_changed
     }
 
-    /// Takes in how long a short call has kept its node busy.
-    fn reckon(&mut self, took: Duration, now: Timestamp) {
-        let passed = now.since(self.reckoned).as_secs_f64();
-        self.reckoned = now;
-        let left = (-passed / SHORT_SPAN.as_secs_f64()).exp();
-        self.short = self.short.mul_f64(left) + took;
+    /// Adds the duration of a short call to the decaying sum.
+    fn add_short_call(&mut self, took: Duration, now: Timestamp) {
+        let elapsed = now.since(self.short_call_time_updated).as_secs_f64();
+        self.short_call_time_updated = now;
+        let remaining = (-elapsed / SHORT_CALL_AVERAGING_PERIOD.as_secs_f64()).exp();
+        self.short_call_time = self.short_call_time.mul_f64(remaining) + took;
     }
 
-    fn end(&mut self, node: &NodeName) -> Option<Call> {
+    fn end_call(&mut self, node: &NodeName) -> Option<Call> {
         let call = self.busy.remove(node)?;
-        self.long -= usize::from(call.is_long);
+        self.long_calls -= usize::from(call.is_long);
         Some(call)
     }
 }
--- a/crates/cell/src/worker.rs
+++ b/crates/cell/src/worker.rs
@@ -1,4 +1,4 @@
-//! One incarnation of a worker: its room, its lease and what it is believed to hold.
+//! One incarnation of a worker: its free capacity, its lease and the runs that it may hold.
 
 use std::{
     cmp::Ordering,
@@ -29,68 +29,67 @@
     },
 };
 
-/// For this long an inventory may have been overtaken by another: calls wait 1 s for an end and are
-/// given up 0.8 s later.
-const OVERTAKEN: Duration = Duration::from_secs(2);
+/// For how long a newer inventory may have overtaken an older one: calls wait 1 s for an end and time out 0.8 s later.
+const MAX_INVENTORY_DELAY: Duration = Duration::from_secs(2);
 
-/// How long a worker that nobody lists and that runs nothing is remembered.
-const FORGET: Duration = Duration::from_secs(10);
+/// How long the engine remembers a worker that is not listed and runs nothing.
+const UNLISTED_RETENTION: Duration = Duration::from_secs(10);
 
-/// How far a run has come on its worker.
+/// The state of a run on its worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// It was decided; its order waits until the decision is on record.
+    /// The run was placed; its order waits until the placement is recorded.
     Recording,
-    /// Its order is on its way.
+    /// The order to start it is in flight.
     Starting,
     /// The worker has confirmed or listed it.
     Running {
-        /// When it was confirmed; inventories asked for earlier may not list it yet.
+        /// When it was confirmed; inventories requested earlier may not list it yet.
         since: Timestamp,
     },
-    /// It has to end, or must never begin.
+    /// It has to end, or must not begin.
     Stopping {
         /// When the worker confirmed the stop.
         confirmed: Option<Timestamp>,
     },
 }
 
-/// What a run counts for against the limit of its workspace.
+/// What a run counts against the limit of its workspace.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Charge {
     /// The account of the workspace.
     pub account: quota::Slot,
-    /// How much.
+    /// The resources.
     pub size: Resources,
 }
 
-/// A run that may use a worker's room, from the decision to start it to proof that it is gone.
+/// A run that may use a worker's capacity, from its placement to the proof that it is gone.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Claim {
-    /// What it takes.
+    /// The resources that it takes.
     pub size: Resources,
-    /// What it counts for, where its job belongs to a workspace.
+    /// What it counts against a limit, if its job belongs to a workspace.
     pub charge: Option<Charge>,
-    /// How far it has come.
+    /// Its state.
     pub phase: Phase,
-    /// When it was decided or adopted.
+    /// When it was placed or adopted.
     pub since: Timestamp,
-    /// The fence of its last order, or under which the worker listed it.
+    /// The fence of its last order, or the one under which the worker listed it.
     pub fence: Fence,
-    /// How many orders to start it got no answer that is known here; each may still be carried out.
+    /// The number of orders to start it without a known answer; each may still be carried out.
     pub unanswered: u8,
-    /// Whether its order is given again once the worker, which has fallen silent, is heard.
+    /// Whether its order is sent again once the worker, which has stopped answering, answers.
     pub is_held_back: bool,
-    /// Whether only tasks of its own step are started beside it.
+    /// Whether only tasks of the same step may be started on its worker.
     pub alone: bool,
-    /// When the worker was known to have it first; it may have begun it earlier.
+    /// When the worker was first known to have it; the worker may have started it earlier.
     pub begun: Option<Timestamp>,
-    /// Whether the worker is known to have worked on it for longer than a crash at its start takes.
+    /// Whether the worker is known to have run it for longer than a crash at its start takes.
     pub outlasted: bool,
 }
 
 impl Claim {
-    /// Notes that the worker has it.
+    /// Records that the worker has the run.
     pub fn confirm(&mut self, now: Timestamp) {
         self.begun.get_or_insert(now);
         self.is_held_back = false;
@@ -102,116 +101,116 @@
 
 /// A reading of a worker's clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Reading {
+struct ClockReading {
     millis: u64,
     at: Timestamp,
 }
 
-/// The call that renews the lease and asks for the inventory; one at a time.
+/// The state of the call that renews the lease and requests the inventory; at most one is in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Contact {
-    /// The next call is made at this time.
+    /// The next call is due at this time.
     Due(Timestamp),
-    /// A call is on its way since this time.
+    /// A call has been in flight since this time.
     Out(Timestamp),
 }
 
 impl Contact {
-    /// Returns whether the call is on its way.
+    /// Returns whether the call is in flight.
     pub const fn is_out(self) -> bool {
         matches!(self, Self::Out(_))
     }
 
-    /// Returns whether the call should be made now.
+    /// Returns whether the call is due.
     pub fn is_due(self, now: Timestamp) -> bool {
         matches!(self, Self::Due(at) if at <= now)
     }
 }
 
-/// Which incarnation of a worker an answer is from.
+/// The incarnation of a worker that an answer comes from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Teller {
-    /// The one that was heard last, as far as that can be told.
+    /// The last known one, or one that can't be distinguished from it.
     Present,
-    /// One before it.
+    /// An earlier one.
     Former,
-    /// One after it.
+    /// A later one.
     Later,
 }
 
-/// How a worker fell silent.
+/// How a worker stopped answering.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Silence {
-    /// Its connections broke at this time, as when its process goes down.
+    /// Its connections broke at this time, as they do when its process ends.
     Broken(Timestamp),
-    /// No answer came in time: it may have gone down at any moment since it was last heard, or is cut off.
+    /// A call timed out: the worker may have crashed at any time since its last answer, or may be cut off.
     Missed,
 }
 
 /// One incarnation of a worker.
 #[derive(Clone, Debug)]
 pub struct Worker {
-    /// What it reports of itself.
+    /// Its latest registration.
     pub registration: Registration,
-    /// When it last reported itself.
+    /// When it last registered.
     pub told: Timestamp,
-    /// Which incarnation was last heard, where the platform says so.
+    /// The incarnation that answered last, if the platform reports it.
     pub incarnation: Option<Incarnation>,
-    /// Whether its report was changed by an incarnation that was not heard yet.
+    /// Whether its registration was changed by an incarnation that has not answered yet.
     pub is_superseded: bool,
-    /// What its orders carry.
+    /// The fence that its orders carry.
     pub fence: Fence,
-    /// When the fence was raised under this ownership: nothing that was ordered before is carried out once the worker has
-    /// answered a call made from then on.
+    /// When the fence was raised in this epoch. Once the worker has answered a call made after that, no earlier order
+    /// is carried out any more.
     pub raised: Option<Timestamp>,
-    /// How many runs its last inventory listed.
+    /// The number of runs in its last inventory.
     pub listed: usize,
-    /// What no claim takes.
+    /// The capacity that no claim takes.
     pub free: Resources,
-    /// What may use it.
+    /// The runs that may use its capacity.
     pub claims: BTreeMap<(TaskId, Run), Claim>,
     /// The call for its inventory.
     pub contact: Contact,
-    /// A second call, which doesn't wait for an end: whether a start without an answer has come to
-    /// anything should be known at once, not when the first call returns up to a second later.
+    /// A second call, which doesn't wait for an end. It shows at once whether a start without an answer has succeeded;
+    /// the first call may take up to a second longer.
     pub peek: Option<Contact>,
-    /// When an inventory last came in under this ownership.
+    /// When it last sent an inventory in this epoch.
     pub heard: Option<Timestamp>,
-    /// Since when its calls stay unanswered.
+    /// When its calls began to fail.
     pub silent: Option<Timestamp>,
-    /// How it fell silent, where it is.
+    /// How it stopped answering, if it has.
     pub silence: Option<Silence>,
-    /// Since when the store doesn't list it.
+    /// When the store stopped listing it.
     pub unlisted: Option<Timestamp>,
-    /// Since when what the store lists of it names no worker to use.
+    /// When its entry in the store stopped describing a usable worker.
     pub distrusted: Option<Timestamp>,
-    /// Whether it stands in a data centre that is evacuated, as far as that is known.
+    /// Whether it is in a data centre that is evacuated, as far as known.
     pub is_evacuated: bool,
-    /// The last end that was taken in.
+    /// The serial number of the last end that was processed.
     pub seen: u64,
-    /// The last end that is on record and may be forgotten by the worker.
+    /// The serial number of the last end that is recorded, so that the worker may forget it.
     pub kept: u64,
-    /// Runs that are over, by when that was learnt: an inventory that was overtaken still lists them.
-    over: VecDeque<(Timestamp, TaskId, Run)>,
-    /// Until when it gets nothing new, since it turned work away or failed what it started.
+    /// Runs that are over and when the engine learnt that; an older inventory that arrives late still lists them.
+    ended_runs: VecDeque<(Timestamp, TaskId, Run)>,
+    /// The time until which it gets no new tasks, after it refused tasks or failed those that it started.
     pub rests: Timestamp,
-    /// Failures in a row of tasks that it started, without a success between them.
+    /// The number of consecutive failures of tasks that it started.
     pub failures: u32,
-    /// The share at which its filling tasks work.
+    /// The share of the processor time that its best-effort tasks may use.
     pub pacing: Pacing,
-    reading: Option<Reading>,
-    lapses: Timestamp,
+    clock_reading: Option<ClockReading>,
+    leases_end: Timestamp,
 }
 
 impl Worker {
-    /// Makes a worker of which nothing is known but its registration.
+    /// Creates a worker of which only the registration is known.
     ///
-    /// Until `lapses` it may hold tasks under a lease that a former owner granted.
+    /// Until `leases_end` it may hold tasks under a lease that a former owner granted.
     pub fn new(
         registration: Registration,
         fence: Fence,
         now: Timestamp,
-        lapses: Timestamp,
+        leases_end: Timestamp,
     ) -> Self {
         Self {
             free: registration.capacity,
@@ -233,16 +232,16 @@
             is_evacuated: false,
             seen: 0,
             kept: 0,
-            over: VecDeque::new(),
+            ended_runs: VecDeque::new(),
             rests: Timestamp::ZERO,
             failures: 0,
             pacing: Pacing::default(),
-            reading: None,
-            lapses,
+            clock_reading: None,
+            leases_end,
         }
     }
 
-    /// Returns where its orders go.
+    /// Returns the destination for its orders.
     pub fn destination(&self) -> Destination {
         Destination {
             worker: self.registration.id.clone(),
@@ -251,55 +250,56 @@
         }
     }
 
-    /// Notes what the worker's clock showed when it answered.
+    /// Records the worker's clock at the time of its answer.
     pub fn read_clock(&mut self, millis: u64, now: Timestamp) {
-        self.reading = Some(Reading { millis, at: now });
+        self.clock_reading = Some(ClockReading { millis, at: now });
     }
 
-    /// Returns the end of the longest lease on the worker's clock, and notes that it is granted.
+    /// Returns the end of the longest possible lease on the worker's clock, and records that it is granted.
     pub fn extend(&mut self, bounds: &Bounds, now: Timestamp) -> Option<u64> {
-        let reading = self.reading?;
+        let reading = self.clock_reading?;
         let elapsed = now.since(reading.at) + bounds.lease;
-        self.lapses = self.lapses.max(now + bounds.lapse());
+        self.leases_end = self.leases_end.max(now + bounds.lapse());
         let elapsed = u64::try_from(elapsed.as_millis()).unwrap_or(u64::MAX);
         Some(reading.millis.saturating_add(elapsed))
     }
 
-    /// Returns when every lease that was granted has certainly lapsed.
+    /// Returns when all leases that were granted have expired for certain.
     pub const fn lapses(&self) -> Timestamp {
-        self.lapses
+        self.leases_end
     }
 
-    /// Returns whether the store lists it by an entry that can be used.
+    /// Returns whether the store lists it with a usable entry.
     pub const fn is_listed(&self) -> bool {
         self.unlisted.is_none() && self.distrusted.is_none()
     }
 
-    /// Returns whether what it reports of itself is of the incarnation that was heard last: another one may have less
-    /// room or be of another kind.
+    /// Returns whether its registration is that of the incarnation that answered last. Another incarnation may have
+    /// less capacity or be of another kind.
     pub fn is_current(&self) -> bool {
-        let told = self.registration.incarnation;
-        told.zip(self.incarnation)
-            .is_none_or(|(told, heard)| told == heard)
+        let registered = self.registration.incarnation;
+        registered
+            .zip(self.incarnation)
+            .is_none_or(|(registered, heard)| registered == heard)
     }
 
-    /// Tells which incarnation an answer is from to a call that was made at some moment.
+    /// Returns which incarnation sent an answer to a call made at `asked`.
     ///
-    /// The clocks by which incarnations begin may jump back. A call that was made when one had answered, to this owner or a
-    /// former one, can't have reached one before.
-    pub fn identify(&self, told: Option<Incarnation>, asked: Timestamp) -> Teller {
-        let Some((told, known)) = told.zip(self.incarnation) else {
+    /// The clocks that number incarnations may jump back. A call that was made after an incarnation had answered, to
+    /// this owner or a former one, can't have reached an earlier incarnation.
+    pub fn identify(&self, reported: Option<Incarnation>, asked: Timestamp) -> Teller {
+        let Some((reported, known)) = reported.zip(self.incarnation) else {
             return Teller::Present;
         };
         let is_after = self.heard.is_none_or(|heard| heard <= asked);
-        match told.cmp(&known) {
+        match reported.cmp(&known) {
             Ordering::Equal => Teller::Present,
             Ordering::Less if !is_after => Teller::Former,
             Ordering::Less | Ordering::Greater => Teller::Later,
         }
     }
 
-    /// Begins another incarnation, which has told of nothing yet; what may be on its way to it stays claimed.
+    /// Begins another incarnation that has reported nothing yet; runs whose orders may still reach it stay claimed.
     pub fn begin(&mut self, incarnation: Option<Incarnation>, fence: Fence, now: Timestamp) {
         self.incarnation = incarnation;
         self.is_superseded = false;
@@ -307,20 +307,20 @@
         self.raised = Some(now);
         self.seen = 0;
         self.kept = 0;
-        self.reading = None;
-        self.over.clear();
+        self.clock_reading = None;
+        self.ended_runs.clear();
         self.failures = 0;
         self.pacing = Pacing::default();
     }
 
-    /// Returns whether an inventory that was asked for at some moment proves that no order to start a run is carried out
-    /// any more: all of them were for a former incarnation.
+    /// Returns whether an inventory requested at `asked` proves that no order to start a run can be carried out any
+    /// more, because all of these orders were for a former incarnation.
     pub fn is_void(&self, claim: &Claim, asked: Timestamp) -> bool {
         claim.fence < self.fence && self.raised.is_some_and(|raised| raised <= asked)
     }
 
-    /// Returns the last end that it may forget: none while the next answer may be another incarnation's, which numbers its
-    /// own ends from one.
+    /// Returns the serial number of the last end that it may forget. It is zero while the next answer may come from
+    /// another incarnation, which numbers its own ends from one.
     pub fn acknowledged(&self) -> u64 {
         match self.silent.is_some() || self.is_superseded {
             true => 0,
@@ -328,7 +328,7 @@
         }
     }
 
-    /// Returns whether new tasks may be placed on it, unless it rests.
+    /// Returns whether new tasks may be placed on it, apart from its backoff.
     pub fn is_taking(&self) -> bool {
         self.heard.is_some()
             && self.silent.is_none()
@@ -343,13 +343,13 @@
         self.is_taking() && self.rests <= now
     }
 
-    /// Returns whether its claims take more than it has.
+    /// Returns whether its claims exceed its capacity.
     pub fn is_overfull(&self) -> bool {
         self.used()
             .is_none_or(|used| !used.fits(&self.registration.capacity))
     }
 
-    /// Takes room for a run; false where there is not enough.
+    /// Reserves capacity for a run; returns `false` if there is not enough.
     pub fn claim(&mut self, task: TaskId, run: Run, claim: Claim) -> bool {
         let room = match claim.alone {
             true => self.room_alone(task.step),
@@ -363,7 +363,8 @@
         true
     }
 
-    /// Returns the room for tasks of a step that are to be alone: what these leave of a worker without others.
+    /// Returns the capacity for tasks of a step that may not share a worker with other steps; zero if the worker has
+    /// other claims.
     pub fn room_alone(&self, step: StepId) -> Resources {
         let mut claims = self.claims.iter();
         match claims.all(|((task, _), claim)| task.step == step && claim.alone) {
@@ -372,34 +373,34 @@
         }
     }
 
-    /// Lets others be started beside a run.
+    /// Allows tasks of other steps beside a run.
     pub fn end_solitude(&mut self, task: TaskId, run: Run) {
         if let Some(claim) = self.claims.get_mut(&(task, run)) {
             claim.alone = false;
-            self.recount();
+            self.update_free();
         }
     }
 
-    /// Takes in a run that is there already, whatever room there is.
+    /// Adds a run that is already there, even if it exceeds the capacity.
     pub fn adopt(&mut self, task: TaskId, run: Run, claim: Claim) {
         self.claims.insert((task, run), claim);
-        self.recount();
+        self.update_free();
     }
 
-    /// Gives back the room of a run that is certainly gone.
+    /// Frees the capacity of a run that is certainly gone.
     pub fn release(&mut self, task: TaskId, run: Run) -> Option<Claim> {
         let claim = self.claims.remove(&(task, run))?;
-        self.recount();
+        self.update_free();
         Some(claim)
     }
 
-    /// Takes in a change of the worker's own capacity.
+    /// Updates the free capacity after a change of the worker's registered capacity.
     pub fn adopt_capacity(&mut self) {
-        self.recount();
+        self.update_free();
     }
 
-    /// Counts the free room anew; where more is held than fits, or a run is to be alone, nothing is free.
-    fn recount(&mut self) {
+    /// Recomputes the free capacity. It is zero if the claims exceed the capacity or a run may not share the worker.
+    fn update_free(&mut self) {
         self.free = match self.claims.values().any(|claim| claim.alone) {
             true => Resources::ZERO,
             false => self.unclaimed(),
@@ -412,40 +413,40 @@
         left.unwrap_or(Resources::ZERO)
     }
 
-    /// Returns what all claims take; `None` where that can't be counted.
+    /// Returns the sum of all claims; `None` if it overflows.
     fn used(&self) -> Option<Resources> {
         let mut sizes = self.claims.values().map(|claim| claim.size);
         sizes.try_fold(Resources::ZERO, |sum, size| sum.checked_add(size))
     }
 
-    /// Notes that a run is over.
+    /// Records that a run is over.
     pub fn end(&mut self, task: TaskId, run: Run, now: Timestamp) {
-        while let Some((at, ..)) = self.over.front()
-            && now.since(*at) > OVERTAKEN
+        while let Some((at, ..)) = self.ended_runs.front()
+            && now.since(*at) > MAX_INVENTORY_DELAY
         {
-            self.over.pop_front();
+            self.ended_runs.pop_front();
         }
-        self.over.push_back((now, task, run));
+        self.ended_runs.push_back((now, task, run));
     }
 
     /// Returns whether a run is known to be over.
     pub fn is_over(&self, task: TaskId, run: Run) -> bool {
-        let mut over = self.over.iter();
-        over.any(|(_, ended, of)| (*ended, *of) == (task, run))
+        let mut ended = self.ended_runs.iter();
+        ended.any(|(_, ended_task, ended_run)| (*ended_task, *ended_run) == (task, run))
     }
 
-    /// Returns whether a label is among the worker's own.
+    /// Returns whether the worker has a label.
     pub fn has_label(&self, label: &str) -> bool {
         self.registration.labels.iter().any(|own| &**own == label)
     }
 
-    /// Returns whether a newer report changes which steps could run on it.
+    /// Returns whether a newer registration changes which steps can run on the worker.
     pub fn offers_other(&self, newer: &Registration) -> bool {
         let own = &self.registration;
         (&own.pool, own.capacity, &own.labels) != (&newer.pool, newer.capacity, &newer.labels)
     }
 
-    /// Has a call be made again whose answer was of no use.
+    /// Schedules a call again whose answer could not be used.
     pub fn call_again(&mut self, is_peek: bool, now: Timestamp) {
         let call = Contact::Due(now);
         match is_peek {
@@ -455,7 +456,7 @@
         }
     }
 
-    /// Returns when it is called next, unless calls are on their way.
+    /// Returns when the next call is due; `None` while all calls are in flight.
     pub fn next_call(&self) -> Option<Timestamp> {
         let calls = [self.peek, Some(self.contact)].into_iter().flatten();
         let due = calls.filter_map(|call| match call {
@@ -465,31 +466,34 @@
         due.min()
     }
 
-    /// Returns whether all leases of one that is silent have lapsed, so that what it held is given up.
+    /// Returns whether the worker has stopped answering and all of its leases have expired, so that its runs count as
+    /// lost.
     pub fn is_lapsed(&self, now: Timestamp) -> bool {
-        self.is_missed() && self.lapses <= now
+        self.awaits_lease_expiry() && self.leases_end <= now
     }
 
-    /// Returns whether it is silent and holds something, or isn't listed either.
-    fn is_missed(&self) -> bool {
+    /// Returns whether it has stopped answering and either has claims or is not listed.
+    fn awaits_lease_expiry(&self) -> bool {
         self.silent.is_some() && (!self.claims.is_empty() || !self.is_listed())
     }
 
-    /// Returns whether it can be forgotten: it runs nothing, and nobody has listed it for a while.
+    /// Returns whether it can be forgotten: it runs nothing, and has not been listed for a while.
     pub fn is_idle(&self, now: Timestamp) -> bool {
-        let is_unlisted = self.unlisted.is_some_and(|at| now.since(at) >= FORGET);
-        is_unlisted && self.claims.is_empty() && self.lapses <= now
+        let is_unlisted = self
+            .unlisted
+            .is_some_and(|at| now.since(at) >= UNLISTED_RETENTION);
+        is_unlisted && self.claims.is_empty() && self.leases_end <= now
     }
 
-    /// Returns when it may be lapsed or idle, if nothing is heard of it before.
+    /// Returns when it may count as expired or forgettable if it does not answer before.
     pub fn next_expiry(&self) -> Option<Timestamp> {
-        let lapse = self.is_missed().then_some(self.lapses);
+        let lapse = self.awaits_lease_expiry().then_some(self.leases_end);
         let idle = self.unlisted.filter(|_| self.claims.is_empty());
-        let idle = idle.map(|at| self.lapses.max(at + FORGET));
+        let idle = idle.map(|at| self.leases_end.max(at + UNLISTED_RETENTION));
         [lapse, idle].into_iter().flatten().min()
     }
 
-    /// Returns for how long nothing was heard of it.
+    /// Returns the time since its last inventory.
     pub fn age(&self, now: Timestamp) -> Duration {
         self.heard.map_or(Duration::MAX, |heard| now.since(heard))
     }
