--- a/crates/cell/examples/fleet.rs
+++ b/crates/cell/examples/fleet.rs
@@ -1,8 +1,9 @@
-//! What the engine's decisions cost on fleets of several sizes.
+//! Measures the cost of the engine's decisions for fleets of several sizes.
+//!
+//! Jobs of three different queues arrive at rates proportional to the fleet and use a given percentage of it; the
+//! workers answer at once, and the advice service after a fixed time. Prints the processor time that the engine uses
+//! per second of virtual time, and the longest time that one event took:
 //!
-//! Jobs of three unlike queues come in proportion to the fleet and take so many hundredths of it; workers and
-//! the advice service answer at once. Prints the processor time of the engine for each second of the
-//! cell's time, and the longest that one event took:
 //! `cargo run --release -p fulmarpier-cell --example fleet [WORKERS ...] [load=PERCENT ...]`.
 
 use std::{
@@ -71,35 +72,39 @@
     rngs::SmallRng, //
 };
 
-/// The fleets that are measured unless others are named.
-const FLEETS: [u32; 5] = [48, 350, 540, 1_200, 3_000];
-/// The loads that are measured unless others are named, in hundredths of what the fleet has.
-const LOADS: [u32; 1] = [80];
-/// What the rates of the kinds of jobs come to, in hundredths of what the fleet has.
-const RATED: f64 = 80.0;
-/// For how long each runs.
-const SPAN: Duration = Duration::from_secs(20);
-/// How often the workers report themselves.
-const REPORTS: Duration = Duration::from_millis(1_500);
-/// How often the engine is told that time has passed.
+/// The fleet sizes that are measured by default.
+const DEFAULT_FLEET_SIZES: [u32; 5] = [48, 350, 540, 1_200, 3_000];
+/// The loads that are measured by default, in per cent of the fleet's capacity.
+const DEFAULT_LOADS: [u32; 1] = [80];
+/// The load that the rates of the job kinds add up to, in per cent of the fleet's capacity.
+const NOMINAL_LOAD: f64 = 80.0;
+/// The duration of each run, in virtual time.
+const RUN_DURATION: Duration = Duration::from_secs(20);
+/// The interval between the registrations of a worker.
+const REGISTRATION_INTERVAL: Duration = Duration::from_millis(1_500);
+/// The interval between calls that let the engine act on the passing of time.
 const TICK: Duration = Duration::from_millis(5);
-/// How long a record takes to be kept.
-const RECORD: Duration = Duration::from_millis(8);
-/// What a worker has, in thousandths of a core and mebibytes.
-const WORKER: (u32, u64) = (16_000, 32_768);
-/// How many nodes ask for advice.
-const HANDS: u32 = 36;
+/// The time that it takes to store a record.
+const RECORD_LATENCY: Duration = Duration::from_millis(8);
+/// The capacity of a worker, in thousandths of a core and mebibytes.
+const WORKER_CAPACITY: (u32, u64) = (16_000, 32_768);
+/// The number of nodes that call the advice service.
+const NODES: u32 = 36;
 
 /// A kind of job.
 struct Kind {
     queue: &'static str,
     priority: u8,
-    /// How many come in a second for each hundred workers.
+    /// The number of jobs per second for each hundred workers.
     rate: f64,
-    width: (u16, u16),
+    /// The range of the number of tasks per job.
+    task_count: (u16, u16),
+    /// The range of the size of a task, in thousandths of a core; it takes as many mebibytes of memory.
     cpu: (u32, u32),
-    runs: (u64, u64),
+    /// The range of the duration of a task, in milliseconds.
+    duration_ms: (u64, u64),
     gang: bool,
+    /// The duration of a call for advice in milliseconds, and the share of workers that the answer allows.
     advice: (u64, f64),
 }
 
@@ -108,9 +113,9 @@
         queue: "gang",
         priority: 1,
         rate: 1.6,
-        width: (2, 40),
+        task_count: (2, 40),
         cpu: (1_500, 7_500),
-        runs: (1_000, 7_000),
+        duration_ms: (1_000, 7_000),
         gang: true,
         advice: (360, 0.25),
     },
@@ -118,9 +123,9 @@
         queue: "batch",
         priority: 2,
         rate: 3.4,
-        width: (2, 50),
+        task_count: (2, 50),
         cpu: (500, 3_000),
-        runs: (500, 4_000),
+        duration_ms: (500, 4_000),
         gang: false,
         advice: (46, 0.45),
     },
@@ -128,9 +133,9 @@
         queue: "urgent",
         priority: 0,
         rate: 30.0,
-        width: (1, 6),
+        task_count: (1, 6),
         cpu: (800, 4_200),
-        runs: (200, 1_400),
+        duration_ms: (200, 1_400),
         gang: false,
         advice: (8, 0.7),
     },
@@ -138,50 +143,50 @@
 
 fn main() {
     let arguments: Vec<String> = std::env::args().skip(1).collect();
-    let fleets = arguments.iter().filter_map(|text| text.parse().ok());
+    let fleet_sizes = arguments.iter().filter_map(|text| text.parse().ok());
     let loads = arguments
         .iter()
         .filter_map(|text| text.strip_prefix("load="));
     let loads = loads.filter_map(|text| text.parse().ok());
-    let fleets = named_or(fleets.collect(), &FLEETS);
-    let loads = named_or(loads.collect(), &LOADS);
+    let fleet_sizes = values_or_default(fleet_sizes.collect(), &DEFAULT_FLEET_SIZES);
+    let loads = values_or_default(loads.collect(), &DEFAULT_LOADS);
     println!("load  workers  starts/s  ms/s  us/start  worst ms  waiting");
     for load in loads {
-        for fleet in &fleets {
-            run(*fleet, load);
+        for fleet_size in &fleet_sizes {
+            run(*fleet_size, load);
         }
     }
 }
 
-/// Returns what was named, or the usual ones.
-fn named_or(named: Vec<u32>, usual: &[u32]) -> Vec<u32> {
-    match named.is_empty() {
-        true => usual.to_vec(),
-        false => named,
+/// Returns the given values, or the default ones if there are none.
+fn values_or_default(values: Vec<u32>, default: &[u32]) -> Vec<u32> {
+    match values.is_empty() {
+        true => default.to_vec(),
+        false => values,
     }
 }
 
-/// What happens later.
-enum Later {
+/// An event that is scheduled for a later time.
+enum Event {
     /// A run ends on a worker.
     End(WorkerId, TaskId, Run),
     /// The advice service answers.
     Advised(NodeName, StepId, Vec<WorkerId>),
-    /// A record is kept.
+    /// A record is stored.
     Recorded,
 }
 
-/// A worker that does what it is told.
+/// A simulated worker that carries out all orders.
 #[derive(Default)]
-struct Host {
+struct SimulatedWorker {
     running: BTreeMap<TaskId, Run>,
     ended: Vec<Ended>,
     serial: u64,
-    /// When the call that waits for an end was made.
+    /// When the pending call that waits for an end was made.
     waiting: Option<Timestamp>,
 }
 
-impl Host {
+impl SimulatedWorker {
     fn end(&mut self, task: TaskId, run: Run, how: How) {
         if self.running.get(&task) != Some(&run) {
             return;
@@ -213,116 +218,120 @@
     }
 }
 
-/// The cell around the engine.
-struct Cell {
+/// The engine and a simulation of its surroundings.
+struct Simulation {
     engine: Engine,
     now: Timestamp,
-    hosts: HashMap<WorkerId, Host>,
-    later: BTreeMap<(Timestamp, u64), Later>,
+    simulated_workers: HashMap<WorkerId, SimulatedWorker>,
+    events: BTreeMap<(Timestamp, u64), Event>,
     serial: u64,
     starts: u64,
-    spent: Duration,
-    /// The longest that one event took.
-    worst: Duration,
+    engine_time: Duration,
+    /// The longest time that one event took.
+    longest_event: Duration,
     rng: SmallRng,
 }
 
-impl Cell {
+impl Simulation {
     fn new(workers: u32) -> Self {
         let now = Timestamp::from_millis(1_000_000);
-        let mut cell = Self {
+        let mut simulation = Self {
             engine: Engine::new(Epoch(1), Bounds::default(), Inheritance::default(), now),
             now,
-            hosts: HashMap::default(),
-            later: BTreeMap::new(),
+            simulated_workers: HashMap::default(),
+            events: BTreeMap::new(),
             serial: 0,
             starts: 0,
-            spent: Duration::ZERO,
-            worst: Duration::ZERO,
+            engine_time: Duration::ZERO,
+            longest_event: Duration::ZERO,
             rng: SmallRng::seed_from_u64(1),
         };
-        cell.engine.configure(config());
-        cell.engine.evacuate(Evacuation::default(), now, now);
-        let hands: Vec<NodeName> = (0..HANDS)
+        simulation.engine.configure(config());
+        simulation.engine.evacuate(Evacuation::default(), now, now);
+        let nodes: Vec<NodeName> = (0..NODES)
             .map(|n| NodeName::from(format!("n{n}")))
             .collect();
-        cell.engine.set_hands(&hands, now);
+        simulation.engine.set_hands(&nodes, now);
         for nth in 0..workers {
             let id = WorkerId::from(format!("w{nth}"));
-            cell.engine.register(registration(&id, nth), now);
-            cell.hosts.insert(id, Host::default());
+            simulation.engine.register(registration(&id, nth), now);
+            simulation
+                .simulated_workers
+                .insert(id, SimulatedWorker::default());
         }
-        cell
+        simulation
     }
 
-    /// Has all workers report themselves; the time that takes is not counted.
-    fn report(&mut self, workers: u32) {
+    /// Registers all workers again; the time that this takes is not counted.
+    fn register_workers(&mut self, workers: u32) {
         for nth in 0..workers {
             let id = WorkerId::from(format!("w{nth}"));
             self.engine.register(registration(&id, nth), self.now);
         }
     }
 
-    /// Does something with the engine and counts the time that it takes.
-    fn spend(&mut self, work: impl FnOnce(&mut Engine, Timestamp)) {
+    /// Calls the engine and counts the time that it takes.
+    fn call_engine(&mut self, call: impl FnOnce(&mut Engine, Timestamp)) {
         let now = self.now;
         let began = Instant::now();
-        work(&mut self.engine, now);
-        self.spent += began.elapsed();
-        self.carry_out();
+        call(&mut self.engine, now);
+        self.engine_time += began.elapsed();
+        self.advance();
     }
 
-    fn carry_out(&mut self) {
+    fn advance(&mut self) {
         let began = Instant::now();
         let effects = self.engine.advance(self.now);
         let took = began.elapsed();
-        self.spent += took;
-        self.worst = self.worst.max(took);
+        self.engine_time += took;
+        self.longest_event = self.longest_event.max(took);
         for effect in effects {
-            self.take_effect(effect);
+            self.apply_effect(effect);
         }
     }
 
-    fn schedule(&mut self, span: Duration, what: Later) {
+    fn schedule(&mut self, delay: Duration, event: Event) {
         self.serial += 1;
-        self.later.insert((self.now + span, self.serial), what);
+        self.events.insert((self.now + delay, self.serial), event);
     }
 
-    fn take_effect(&mut self, effect: Effect) {
+    fn apply_effect(&mut self, effect: Effect) {
         let now = self.now;
         match effect {
             Effect::Start(order) => {
                 let (worker, task, run) = (order.to.worker.clone(), order.task, order.run);
-                let (shortest, longest) = kind_of(task.step.job).runs;
-                let span = Duration::from_millis(self.rng.random_range(shortest..longest));
+                let (shortest, longest) = kind_of(task.step.job).duration_ms;
+                let delay = Duration::from_millis(self.rng.random_range(shortest..longest));
                 self.starts += 1;
-                if let Some(host) = self.hosts.get_mut(&worker) {
-                    host.running.insert(task, run);
+                if let Some(simulated_worker) = self.simulated_workers.get_mut(&worker) {
+                    simulated_worker.running.insert(task, run);
                 }
-                self.schedule(span, Later::End(worker.clone(), task, run));
-                self.spend(|engine, now| {
+                self.schedule(delay, Event::End(worker.clone(), task, run));
+                self.call_engine(|engine, now| {
                     engine.started(&worker, task, run, StartAnswer::Started, now);
                 });
             }
             Effect::Stop(order) => {
                 let (worker, task, run) = (order.to.worker.clone(), order.task, order.run);
-                self.spend(|engine, now| {
+                self.call_engine(|engine, now| {
                     engine.stopped(&worker, task, run, StopAnswer::Confirmed, now);
                 });
                 self.end(&worker, task, run, How::Stopped);
             }
             Effect::Hold(order) => {
                 let worker = order.to.worker.clone();
-                let Some(host) = self.hosts.get_mut(&worker) else {
+                let Some(simulated_worker) = self.simulated_workers.get_mut(&worker) else {
                     return;
                 };
-                host.ended.retain(|ended| ended.serial > order.acknowledged);
-                if host.ended.is_empty() && !order.wait.is_zero() {
-                    host.waiting = Some(order.asked);
+                simulated_worker
+                    .ended
+                    .retain(|ended| ended.serial > order.acknowledged);
+                if simulated_worker.ended.is_empty() && !order.wait.is_zero() {
+                    simulated_worker.waiting = Some(order.asked);
                     return;
                 }
-                let answer = host.inventory(now);
-                self.spend(|engine, now| engine.held(&worker, order.asked, answer, now));
+                let answer = simulated_worker.inventory(now);
+                self.call_engine(|engine, now| engine.held(&worker, order.asked, answer, now));
             }
             Effect::Advise {
                 node,
@@ -332,33 +341,33 @@
                 let (base, _) = kind_of(step.job).advice;
                 self.schedule(
                     Duration::from_millis(base),
-                    Later::Advised(node, step, workers),
+                    Event::Advised(node, step, workers),
                 );
             }
-            Effect::Record(_) => self.schedule(RECORD, Later::Recorded),
-            // Nothing fills here.
+            Effect::Record(_) => self.schedule(RECORD_LATENCY, Event::Recorded),
+            // No task is best-effort here.
             Effect::Pace(_) | Effect::Forget(_) | Effect::Note(_) | Effect::Deposed => {}
         }
     }
 
     fn end(&mut self, worker: &WorkerId, task: TaskId, run: Run, how: How) {
         let now = self.now;
-        let Some(host) = self.hosts.get_mut(worker) else {
+        let Some(simulated_worker) = self.simulated_workers.get_mut(worker) else {
             return;
         };
-        host.end(task, run, how);
-        let Some(asked) = host.waiting.take() else {
+        simulated_worker.end(task, run, how);
+        let Some(asked) = simulated_worker.waiting.take() else {
             return;
         };
-        let answer = host.inventory(now);
-        self.spend(|engine, now| engine.held(worker, asked, answer, now));
+        let answer = simulated_worker.inventory(now);
+        self.call_engine(|engine, now| engine.held(worker, asked, answer, now));
     }
 
-    fn take(&mut self, what: Later) {
-        match what {
-            Later::End(worker, task, run) => self.end(&worker, task, run, How::Done),
-            Later::Recorded => self.spend(|engine, now| engine.recorded(now)),
-            Later::Advised(node, step, workers) => {
+    fn handle(&mut self, event: Event) {
+        match event {
+            Event::End(worker, task, run) => self.end(&worker, task, run, How::Done),
+            Event::Recorded => self.call_engine(|engine, now| engine.recorded(now)),
+            Event::Advised(node, step, workers) => {
                 let share = kind_of(step.job).advice.1;
                 let rng = &mut self.rng;
                 let allowed = workers.into_iter().filter(|_| rng.random_bool(share));
@@ -368,31 +377,31 @@
                         ticket: "ticket".into(),
                     })
                     .collect();
-                self.spend(|engine, now| engine.advised(&node, step, Some(allowed), now));
+                self.call_engine(|engine, now| engine.advised(&node, step, Some(allowed), now));
             }
         }
     }
 
     fn submit(&mut self, kind: usize) {
         let Kind {
-            width,
+            task_count,
             cpu,
-            runs,
+            duration_ms,
             gang,
             ..
         } = KINDS[kind];
         self.serial += 1;
         let cpu = self.rng.random_range(cpu.0..cpu.1);
         let step = Step {
-            count: self.rng.random_range(width.0..width.1),
+            count: self.rng.random_range(task_count.0..task_count.1),
             size: Resources::new(Millicores(cpu), Bytes::from_mib(u64::from(cpu)), 0),
-            estimate: Duration::from_millis((runs.0 + runs.1) / 2),
+            estimate: Duration::from_millis((duration_ms.0 + duration_ms.1) / 2),
             gang,
             checkpointing: !gang,
             ..Step::default()
         };
         let accepted = Accepted {
-            // Which kind a job is stands in its id.
+            // The id of a job gives its kind.
             job: JobId(self.serial * 3 + kind as u64),
             queue: Arc::new(queue(&KINDS[kind])),
             spec: Arc::new(Spec {
@@ -404,7 +413,7 @@
             received: self.now,
             partition: 0,
         };
-        self.spend(|engine, now| {
+        self.call_engine(|engine, now| {
             engine.submit(accepted, now);
         });
     }
@@ -445,7 +454,11 @@
         id: id.clone(),
         address: SocketAddr::from(([127, 0, 0, 1], 1)),
         pool: PoolName::from("pool"),
-        capacity: Resources::new(Millicores(WORKER.0), Bytes::from_mib(WORKER.1), 0),
+        capacity: Resources::new(
+            Millicores(WORKER_CAPACITY.0),
+            Bytes::from_mib(WORKER_CAPACITY.1),
+            0,
+        ),
         labels: vec!["a".into(), format!("r{}", nth / 8).into()],
         data_centre: None,
         leaving: None,
@@ -453,45 +466,45 @@
 }
 
 fn run(workers: u32, load: u32) {
-    let mut cell = Cell::new(workers);
-    let end = cell.now + SPAN;
+    let mut simulation = Simulation::new(workers);
+    let end = simulation.now + RUN_DURATION;
     let tick = TICK.as_secs_f64();
-    // How many jobs of each kind are to come, with a fraction of the next.
-    let mut owed = [0.0; KINDS.len()];
-    let mut reports = cell.now;
-    while cell.now < end {
-        if reports <= cell.now {
-            reports = cell.now + REPORTS;
-            cell.report(workers);
+    // The number of jobs of each kind that are due, including a fraction of the next one.
+    let mut due = [0.0; KINDS.len()];
+    let mut next_registration = simulation.now;
+    while simulation.now < end {
+        if next_registration <= simulation.now {
+            next_registration = simulation.now + REGISTRATION_INTERVAL;
+            simulation.register_workers(workers);
         }
-        let next = cell.now + TICK;
-        while let Some(entry) = cell.later.first_entry()
+        let next = simulation.now + TICK;
+        while let Some(entry) = simulation.events.first_entry()
             && entry.key().0 <= next
         {
             let (at, _) = *entry.key();
-            let what = entry.remove();
-            cell.now = cell.now.max(at);
-            cell.take(what);
+            let event = entry.remove();
+            simulation.now = simulation.now.max(at);
+            simulation.handle(event);
         }
-        cell.now = next;
-        for (kind, owed) in owed.iter_mut().enumerate() {
-            let rate = KINDS[kind].rate * f64::from(load) / RATED;
-            *owed += rate * f64::from(workers) / 100.0 * tick;
-            while *owed >= 1.0 {
-                *owed -= 1.0;
-                cell.submit(kind);
+        simulation.now = next;
+        for (kind, due) in due.iter_mut().enumerate() {
+            let rate = KINDS[kind].rate * f64::from(load) / NOMINAL_LOAD;
+            *due += rate * f64::from(workers) / 100.0 * tick;
+            while *due >= 1.0 {
+                *due -= 1.0;
+                simulation.submit(kind);
             }
         }
-        cell.carry_out();
+        simulation.advance();
     }
-    let seconds = SPAN.as_secs_f64();
-    let millis = cell.spent.as_secs_f64() * 1_000.0;
+    let seconds = RUN_DURATION.as_secs_f64();
+    let millis = simulation.engine_time.as_secs_f64() * 1_000.0;
     println!(
         "{load:>4} {workers:>8} {:>9.0} {:>6.1} {:>9.1} {:>9.1} {:>8}",
-        cell.starts as f64 / seconds,
+        simulation.starts as f64 / seconds,
         millis / seconds,
-        millis * 1_000.0 / cell.starts as f64,
-        cell.worst.as_secs_f64() * 1_000.0,
-        cell.engine.counts().open_steps,
+        millis * 1_000.0 / simulation.starts as f64,
+        simulation.longest_event.as_secs_f64() * 1_000.0,
+        simulation.engine.counts().open_steps,
     );
 }
