--- a/crates/cell/src/record.rs
+++ b/crates/cell/src/record.rs
@@ -243,7 +243,7 @@
     pub renewal: u32,
     /// Whether the owner has released the cell; if so, any node may claim it at once.
     pub released: bool,
-    /// The processor capacity by which nodes are ranked as owners.
+    /// The owner's usable processor capacity, by which nodes are ranked as owners; a slow network link lowers it.
     pub strength: Millicores,
     /// Over how many partitions the nodes spread jobs.
     pub spread: Spread,
