--- a/crates/cell/src/worker.rs
+++ b/crates/cell/src/worker.rs
@@ -165,7 +165,7 @@
     pub raised: Option<Timestamp>,
     /// The number of runs in its last inventory.
     pub listed: usize,
-    /// The capacity that no claim takes.
+    /// The capacity that is not allocated.
     pub free: Resources,
     /// The runs that may use its capacity.
     pub claims: BTreeMap<(TaskId, Run), Claim>,
@@ -299,7 +299,7 @@
         }
     }
 
-    /// Begins another incarnation that has reported nothing yet; runs whose orders may still reach it stay claimed.
+    /// Begins another incarnation that has reported nothing yet; runs whose orders may still reach it stay allocated.
     pub fn begin(&mut self, incarnation: Option<Incarnation>, fence: Fence, now: Timestamp) {
         self.incarnation = incarnation;
         self.is_superseded = false;
@@ -343,7 +343,7 @@
         self.is_taking() && self.rests <= now
     }
 
-    /// Returns whether its claims exceed its capacity.
+    /// Returns whether its allocations exceed its capacity.
     pub fn is_overfull(&self) -> bool {
         self.used()
             .is_none_or(|used| !used.fits(&self.registration.capacity))
@@ -364,7 +364,7 @@
     }
 
     /// Returns the capacity for tasks of a step that may not share a worker with other steps; zero if the worker has
-    /// other claims.
+    /// other allocations.
     pub fn room_alone(&self, step: StepId) -> Resources {
         let mut claims = self.claims.iter();
         match claims.all(|((task, _), claim)| task.step == step && claim.alone) {
@@ -399,7 +399,7 @@
         self.update_free();
     }
 
-    /// Recomputes the free capacity. It is zero if the claims exceed the capacity or a run may not share the worker.
+    /// Recomputes the free capacity: zero if the allocations exceed the capacity or a run may not share the worker.
     fn update_free(&mut self) {
         self.free = match self.claims.values().any(|claim| claim.alone) {
             true => Resources::ZERO,
@@ -413,7 +413,7 @@
         left.unwrap_or(Resources::ZERO)
     }
 
-    /// Returns the sum of all claims; `None` if it overflows.
+    /// Returns the sum of all allocations; `None` if it overflows.
     fn used(&self) -> Option<Resources> {
         let mut sizes = self.claims.values().map(|claim| claim.size);
         sizes.try_fold(Resources::ZERO, |sum, size| sum.checked_add(size))
@@ -472,7 +472,7 @@
         self.awaits_lease_expiry() && self.leases_end <= now
     }
 
-    /// Returns whether it has stopped answering and either has claims or is not listed.
+    /// Returns whether it has stopped answering and either has allocations or is not listed.
     fn awaits_lease_expiry(&self) -> bool {
         self.silent.is_some() && (!self.claims.is_empty() || !self.is_listed())
     }
