--- a/crates/node/src/owner/answer.rs
+++ b/crates/node/src/owner/answer.rs
@@ -1,4 +1,4 @@
-//! What the owner answers to questions of nodes.
+//! Answers the requests of nodes to the owner.
 
 use std::time::Duration;
 
@@ -6,8 +6,8 @@
 
 use super::control::{
     Event,
-    Look,
-    Pending, //
+    JobQuery,
+    PendingQuery, //
 };
 use crate::{
     message::{
@@ -19,44 +19,54 @@
     shared::Seat, //
 };
 
-/// How long a question waits until the owner has read what it hangs on; nodes give the owner 0.6 s to answer.
-const CATCH_UP: Duration = Duration::from_millis(450);
-/// How old a count may be. Callers of the platform are told that counts may be 2 s old, and each partition is read
-/// at least each 2 s where the store answers.
-const COUNT_AGE: Duration = Duration::from_millis(2_500);
+/// How long a request waits until the owner has read what the answer depends on; nodes give the
+/// owner 0.6 s to answer.
+const CATCH_UP_TIMEOUT: Duration = Duration::from_millis(450);
+/// How old a count may be. Callers of the platform are told that counts may be 2 s old, and each
+/// partition is read at least every 2 s while the store answers.
+const MAX_COUNT_AGE: Duration = Duration::from_millis(2_500);
 
-/// Takes in what a node tells the owner, or answers what it asks; `None` where the owner can't.
+/// Handles a notification or a query from a node; `None` if the owner can't answer.
 pub(crate) async fn accept<P: Platform>(seat: &Seat<P>, question: Question) -> Option<Reply> {
     match question {
-        Question::Accepted(accepted) => note(seat, Event::Accepted(accepted)).await,
-        Question::Announced(accepted) => note(seat, Event::Announced(accepted)).await,
-        Question::Withdrawn(job) => note(seat, Event::Withdrawn(job)).await,
-        Question::Cancelled(cancelled) => note(seat, Event::Cancelled(cancelled)).await,
-        Question::Reports(reports) => note(seat, Event::Reports(reports)).await,
-        Question::Look { job, viewer, asked } => look(seat, Look { job, viewer }, asked).await,
-        Question::Pending(queue, viewer) => count(seat, Pending { queue, viewer }).await,
+        Question::Accepted(accepted) => notify(seat, Event::Accepted(accepted)).await,
+        Question::Announced(accepted) => notify(seat, Event::Announced(accepted)).await,
+        Question::Withdrawn(job) => notify(seat, Event::Withdrawn(job)).await,
+        Question::Cancelled(cancelled) => notify(seat, Event::Cancelled(cancelled)).await,
+        Question::Reports(reports) => notify(seat, Event::Reports(reports)).await,
+        Question::Look { job, viewer, asked } => {
+            query_job(seat, JobQuery { job, viewer }, asked).await
+        }
+        Question::Pending(queue, viewer) => {
+            count_pending(seat, PendingQuery { queue, viewer }).await
+        }
         _ => None,
     }
 }
 
-/// Has the actor take an event in, after all that were told before.
-async fn note<P: Platform>(seat: &Seat<P>, event: Event) -> Option<Reply> {
+/// Sends the actor an event, behind all events sent before.
+async fn notify<P: Platform>(seat: &Seat<P>, event: Event) -> Option<Reply> {
     seat.control.tell(event).await.ok()?;
     Some(Reply::Noted)
 }
 
-/// Looks for a job, and says that there is none only once all that was on record when the caller asked is read.
-async fn look<P: Platform>(seat: &Seat<P>, look: Look, asked: Duration) -> Option<Reply> {
-    let at = Instant::now().checked_sub(asked)?;
-    let job = look.job;
-    let found = seat.control.ask(look.clone()).await.ok()?;
+/// Looks up a job. Reports it as absent only once everything that was stored when the caller asked
+/// has been read.
+async fn query_job<P: Platform>(seat: &Seat<P>, query: JobQuery, asked: Duration) -> Option<Reply> {
+    let required_time = Instant::now().checked_sub(asked)?;
+    let job = query.job;
+    let found = seat.control.ask(query.clone()).await.ok()?;
     if let Some(state) = found.state {
         return Some(Reply::State(state));
     }
-    if !seat.view.reach(at, CATCH_UP).await {
+    if !seat
+        .view
+        .wait_until_read(required_time, CATCH_UP_TIMEOUT)
+        .await
+    {
         return None;
     }
-    let found = seat.control.ask(look).await.ok()?;
+    let found = seat.control.ask(query).await.ok()?;
     match found.state {
         Some(state) => Some(Reply::State(state)),
         None if seat.view.is_unreadable(job) => None,
@@ -67,12 +77,16 @@
     }
 }
 
-/// Counts the jobs of a queue that wait, out of a view that is not too old.
-async fn count<P: Platform>(seat: &Seat<P>, pending: Pending) -> Option<Reply> {
-    let at = Instant::now().checked_sub(COUNT_AGE)?;
-    if !seat.view.reach(at, CATCH_UP).await {
+/// Counts the pending jobs of a queue, from a view that is at most [`MAX_COUNT_AGE`] old.
+async fn count_pending<P: Platform>(seat: &Seat<P>, query: PendingQuery) -> Option<Reply> {
+    let required_time = Instant::now().checked_sub(MAX_COUNT_AGE)?;
+    if !seat
+        .view
+        .wait_until_read(required_time, CATCH_UP_TIMEOUT)
+        .await
+    {
         return None;
     }
-    let count = seat.control.ask(pending).await.ok()?;
+    let count = seat.control.ask(query).await.ok()?;
     Some(Reply::Pending(count))
 }
--- a/crates/node/src/owner/control.rs
+++ b/crates/node/src/owner/control.rs
@@ -1,4 +1,4 @@
-//! The actor that holds the engine.
+//! The actor that runs the scheduling engine on the owner.
 
 use std::{
     net::SocketAddr,
@@ -55,7 +55,7 @@
     },
 };
 
-use super::{forget, given::Given, listing, orders::Failure, view::View};
+use super::{forget, given::DelegatedOrders, listing, orders::Failure, view::View};
 use crate::{
     evacuation,
     hand::Reports,
@@ -78,95 +78,98 @@
     shared::Shared,
 };
 
-/// How much longer than twice its time a call for advice may take. Twice, since the service may still be
-/// at a call of the same node whose answer was lost; a way there and back takes some 10 ms, on a slow node
-/// ten times that. At 1.5 s the most urgent jobs were late whenever connections to nodes fell silent.
-const ADVICE_SLACK: Duration = Duration::from_millis(300);
+/// Added to twice the expected duration of an advice call to give its timeout. The duration counts
+/// twice because the service may still be busy with an earlier call of the same node whose answer
+/// was lost. A round trip takes some 10 ms, and ten times that on a slow node. With 1.5 s here, the
+/// most urgent jobs were late whenever connections to nodes stopped delivering data without
+/// closing.
+const ADVICE_TIMEOUT_MARGIN: Duration = Duration::from_millis(300);
 
-/// The actor is told each 25 ms that time has passed; without any event for this long its process stood
-/// still. A claim lapses after 0.7 s, so another owner may be at work.
-const STALLED: Duration = Duration::from_millis(900);
+/// If no event arrives for this long, the process was not running: the actor gets a tick every 25
+/// ms. A claim lapses after 0.7 s, so another node may own the cell by then.
+const STALL_THRESHOLD: Duration = Duration::from_millis(900);
 
-/// The actor that holds the engine; the only one that gives orders.
+/// The actor that holds the engine. Nothing else issues orders.
 #[derive(Actor)]
 pub(crate) struct Control<P: Platform> {
     pub(super) engine: Engine,
     pub(super) shared: Arc<Shared<P>>,
     records: mpsc::UnboundedSender<Vec<Entry>>,
     view: View,
-    /// When the actor began.
-    since: Instant,
-    /// Whether the actor will be told that time has passed when a pass is due.
-    is_timed: bool,
-    /// Set once another node may own the cell: no order leaves any more.
+    /// When the actor started.
+    started_at: Instant,
+    /// Whether a timer is already set for the engine's next pass.
+    is_pass_scheduled: bool,
+    /// Set once another node may own the cell; from then on no orders are sent.
     is_deposed: bool,
-    /// When the last event was taken, and for how long the machine had been suspended by then.
-    last: Instant,
-    suspended: Duration,
+    /// When the last event was handled. `suspended_total` is the time that the machine had spent
+    /// suspended by then.
+    last_event_at: Instant,
+    suspended_total: Duration,
     pub(super) share: Share,
-    pub(super) given: Given,
-    /// Orders that other nodes give, until they are sent together.
-    pub(super) gathered: HashMap<SocketAddr, Vec<(u64, Order)>>,
-    /// Whether the actor will be told to send them.
-    pub(super) is_gathering: bool,
+    pub(super) delegated: DelegatedOrders,
+    /// Batches of orders that other nodes are to send, by node address, until they are sent.
+    pub(super) batches: HashMap<SocketAddr, Vec<(u64, Order)>>,
+    /// Whether a timer is already set for sending the batches.
+    pub(super) is_batch_scheduled: bool,
 }
 
-/// What happened.
+/// An input to the actor.
 #[derive(Debug)]
 pub(crate) enum Event {
-    /// A job's acceptance is on its way to the record.
+    /// A job's acceptance is being written to the store.
     Announced(Box<Accepted>),
-    /// An announced job is not on record, as far as anybody can tell.
+    /// The acceptance of an announced job is not stored, as far as the announcing node can tell.
     Withdrawn(JobId),
-    /// A job's acceptance is on record.
+    /// A job's acceptance is stored.
     Accepted(Box<Accepted>),
-    /// A job's cancellation is on record.
+    /// A job's cancellation is stored.
     Cancelled(Cancelled),
-    /// An order that this node gave was answered, or given up.
+    /// An order that this node sent was answered, or the node gave up on it.
     Reported(Report),
-    /// Other nodes tell what came of orders that they gave.
+    /// Results of orders that other nodes sent.
     Reports(Reports),
-    /// A node did not take orders.
-    NotGiven(SocketAddr, Failure, Vec<u64>),
-    /// A call for advice was answered.
+    /// A node did not accept a batch of orders; carries the numbers of the orders.
+    DelegationFailed(SocketAddr, Failure, Vec<u64>),
+    /// A call to the advice service ended; `None` if there was no answer.
     Advised(NodeName, StepId, Option<Vec<Advised>>),
-    /// The record on its way is kept.
+    /// The entries of an [`Effect::Record`] are stored.
     Recorded,
-    /// The list of workers was read on.
-    Listed(Vec<listing::Change>),
+    /// The list of workers was read; carries what changed.
+    WorkersChanged(Vec<listing::Change>),
     /// Another configuration is in force.
     Configured(Arc<Config>),
-    /// Which data centres are evacuated was read.
+    /// The set of evacuated data centres was read.
     Evacuation(evacuation::Reading),
-    /// These nodes are there beside the owner.
+    /// The nodes of the cell other than the owner.
     Peers(Vec<Peer>),
-    /// Orders were gathered for long enough.
-    Gathered,
-    /// Time has passed; this was due then.
+    /// The delay for batching orders has passed.
+    BatchDue,
+    /// The periodic tick; carries the time at which it was due.
     Tick(Instant),
     /// A pass over the open steps is due.
     Pass,
-    /// Another node owns the cell, or may.
+    /// Another node owns the cell, or may own it.
     Deposed,
 }
 
-/// Asks for the state of a job, as callers of a workspace see it.
+/// Queries the state of a job, as callers of a workspace see it.
 #[derive(Clone)]
-pub(super) struct Look {
+pub(super) struct JobQuery {
     pub(super) job: JobId,
     pub(super) viewer: Option<WorkspaceName>,
 }
 
-/// The state of a job.
+/// The answer to a [`JobQuery`].
 #[derive(kameo::Reply)]
-pub(crate) struct Found {
-    /// `None` where the owner doesn't know the job.
+pub(crate) struct JobAnswer {
+    /// `None` if the owner doesn't know the job.
     pub(super) state: Option<State>,
     pub(super) epoch: Epoch,
 }
 
-/// Asks how many jobs of a queue have begun nothing, as callers of a workspace see it.
-pub(super) struct Pending {
+/// Queries how many jobs of a queue have not started any task, as callers of a workspace see it.
+pub(super) struct PendingQuery {
     pub(super) queue: QueueName,
     pub(super) viewer: Option<WorkspaceName>,
 }
@@ -184,35 +187,36 @@
             shared,
             records,
             view,
-            since: Instant::now(),
-            is_timed: false,
+            started_at: Instant::now(),
+            is_pass_scheduled: false,
             is_deposed: false,
-            last: Instant::now(),
-            suspended,
+            last_event_at: Instant::now(),
+            suspended_total: suspended,
             share: Share::default(),
-            given: Given::default(),
-            gathered: HashMap::default(),
-            is_gathering: false,
+            delegated: DelegatedOrders::default(),
+            batches: HashMap::default(),
+            is_batch_scheduled: false,
         }
     }
 
-    /// Gives no order any more where the process stood still for so long that another node may own the
-    /// cell: a lease that it would extend is one that the other doesn't know of.
+    /// Stops issuing orders if the process was not running for so long that another node may own
+    /// the cell: that owner wouldn't know of a lease that this one extends.
     ///
-    /// While the machine is suspended the runtime's clock stands still as well, and the leases that others count run on.
+    /// The runtime's clock stops while the machine is suspended, but the leases that other machines
+    /// count go on, so suspension is checked separately.
     fn check_stall(&mut self) {
-        let stood = std::mem::replace(&mut self.last, Instant::now()).elapsed();
-        let slept = pulse::slept(&self.shared.platform, &mut self.suspended);
-        if (stood < STALLED && slept.is_none()) || self.is_deposed {
+        let idle = std::mem::replace(&mut self.last_event_at, Instant::now()).elapsed();
+        let suspended = pulse::slept(&self.shared.platform, &mut self.suspended_total);
+        if (idle < STALL_THRESHOLD && suspended.is_none()) || self.is_deposed {
             return;
         }
         slog::warn!(self.shared.log, "stalled"; "epoch" => %self.engine.epoch(),
-            "stood_ms" => millis(stood), "slept_ms" => millis(slept.unwrap_or_default()));
+            "stood_ms" => millis(idle), "slept_ms" => millis(suspended.unwrap_or_default()));
         self.is_deposed = true;
         self.shared.stalled.notify_one();
     }
 
-    pub(super) fn take(&mut self, event: Event) {
+    pub(super) fn handle_event(&mut self, event: Event) {
         let now = self.shared.clock.now();
         let engine = &mut self.engine;
         match event {
@@ -226,41 +230,41 @@
             Event::Cancelled(cancelled) => {
                 engine.cancel(&cancelled, now);
             }
-            Event::Reported(report) => self.take_report(report),
-            Event::Reports(reports) => self.take_reports(reports),
-            Event::NotGiven(node, failure, numbers) => {
-                self.take_not_given(node, failure, &numbers);
+            Event::Reported(report) => self.handle_report(report),
+            Event::Reports(reports) => self.handle_reports(reports),
+            Event::DelegationFailed(node, failure, numbers) => {
+                self.handle_delegation_failure(node, failure, &numbers);
             }
             Event::Advised(node, step, answer) => engine.advised(&node, step, answer, now),
             Event::Recorded => engine.recorded(now),
-            Event::Listed(changes) => {
+            Event::WorkersChanged(changes) => {
                 changes
                     .into_iter()
-                    .for_each(|change| change.tell(engine, now));
+                    .for_each(|change| change.apply_to(engine, now));
             }
             Event::Configured(config) => engine.configure(config.as_ref().clone()),
             Event::Evacuation(reading) => reading.tell(engine, now),
             Event::Peers(peers) => {
-                let own = self.shared.peer();
+                let own_peer = self.shared.peer();
                 let names = peers.iter().map(|peer| peer.node.clone());
-                let names: Vec<NodeName> = names.chain([own.node.clone()]).collect();
+                let names: Vec<NodeName> = names.chain([own_peer.node.clone()]).collect();
                 engine.set_hands(&names, now);
-                self.share.renew(own, peers);
+                self.share.renew(own_peer, peers);
             }
             Event::Tick(due) => {
                 self.shared.pulse.note_event(due.elapsed());
-                for report in self.given.overdue() {
-                    self.take_report(report);
+                for report in self.delegated.overdue() {
+                    self.handle_report(report);
                 }
             }
-            // They are sent once the event's own orders are among them.
-            Event::Gathered => {}
-            Event::Pass => self.is_timed = false,
+            // `handle` sends the batches once the orders that result from this event are in them.
+            Event::BatchDue => {}
+            Event::Pass => self.is_pass_scheduled = false,
             Event::Deposed => self.is_deposed = true,
         }
     }
 
-    fn carry_out(&mut self, effects: Vec<Effect>, own: &ActorRef<Self>) {
+    fn apply_effects(&mut self, effects: Vec<Effect>, actor_ref: &ActorRef<Self>) {
         let mut orders = Vec::new();
         for effect in effects {
             if self.is_deposed {
@@ -275,13 +279,13 @@
                     node,
                     step,
                     workers,
-                } => self.advise(node, step, workers, own.downgrade()),
+                } => self.advise(node, step, workers, actor_ref.downgrade()),
                 Effect::Record(entries) => {
-                    // The recorder ends only with the actor.
+                    // The recorder runs until the actor ends, so the channel is open.
                     let _ = self.records.send(entries);
                 }
                 Effect::Forget(jobs) => forget::forget(&self.shared, jobs),
-                Effect::Note(note) => self.note(&note),
+                Effect::Note(note) => self.report_note(&note),
                 Effect::Deposed => {
                     slog::warn!(self.shared.log, "fenced"; "epoch" => %self.engine.epoch());
                     self.is_deposed = true;
@@ -290,43 +294,43 @@
             }
         }
         if !self.is_deposed {
-            self.order(orders, own);
+            self.dispatch(orders, actor_ref);
         }
     }
 
-    /// Comes back when the next pass is due, if that is before the next tick.
-    fn set_timer(&mut self, own: &ActorRef<Self>) {
-        let Some(at) = self.engine.next_pass().filter(|_| !self.is_timed) else {
+    /// Schedules an [`Event::Pass`] for when the next pass is due, if that is before the next tick.
+    fn schedule_pass(&mut self, actor_ref: &ActorRef<Self>) {
+        let Some(at) = self.engine.next_pass().filter(|_| !self.is_pass_scheduled) else {
             return;
         };
-        self.is_timed = true;
+        self.is_pass_scheduled = true;
         let at = self.shared.clock.instant(at);
-        let own = own.downgrade();
+        let actor_ref = actor_ref.downgrade();
         tokio::spawn(async move {
             sleep_until(at).await;
-            tell(&own, Event::Pass).await;
+            tell(&actor_ref, Event::Pass).await;
         });
     }
 
-    fn note(&self, note: &Note) {
+    fn report_note(&self, note: &Note) {
         self.shared.meter.note(&self.shared.log, note);
     }
 
-    /// Asks for advice here, or has another node ask.
+    /// Calls the advice service from this node, or has another node call it.
     fn advise(
         &self,
         node: NodeName,
         step: StepId,
         workers: Vec<WorkerId>,
-        own: WeakActorRef<Self>,
+        actor_ref: WeakActorRef<Self>,
     ) {
         let shared = self.shared.clone();
         let terms = self.engine.advice_terms(step);
-        let takes = terms.map(|terms: AdviceTerms| terms.duration(workers.len()));
-        let patience = 2 * takes.unwrap_or_default() + ADVICE_SLACK;
+        let expected = terms.map(|terms: AdviceTerms| terms.duration(workers.len()));
+        let time_limit = 2 * expected.unwrap_or_default() + ADVICE_TIMEOUT_MARGIN;
         tokio::spawn(async move {
-            let answer = ask_for_advice(&shared, &node, step, workers, patience).await;
-            tell(&own, Event::Advised(node, step, answer)).await;
+            let answer = ask_for_advice(&shared, &node, step, workers, time_limit).await;
+            tell(&actor_ref, Event::Advised(node, step, answer)).await;
         });
     }
 }
@@ -336,10 +340,10 @@
     node: &NodeName,
     step: StepId,
     workers: Vec<WorkerId>,
-    patience: Duration,
+    time_limit: Duration,
 ) -> Option<Vec<Advised>> {
     if *node == shared.name {
-        return shared.platform.advise(step, workers, patience).await;
+        return shared.platform.advise(step, workers, time_limit).await;
     }
     let address = shared
         .peers
@@ -351,18 +355,18 @@
     let question = Question::Advise {
         step,
         workers,
-        patience,
+        patience: time_limit,
     };
-    match message::ask(&shared.rpc, address, &question, patience).await {
+    match message::ask(&shared.rpc, address, &question, time_limit).await {
         Ok(Reply::Advised(answer)) => answer,
         Ok(_) | Err(_) => None,
     }
 }
 
-/// Tells the actor, unless it has ended.
+/// Sends the actor an event, unless the actor has ended.
 pub(super) async fn tell<P: Platform>(control: &WeakActorRef<Control<P>>, event: Event) {
     if let Some(control) = control.upgrade() {
-        // It may be ending.
+        // The actor may be stopping.
         let _ = control.tell(event).await;
     }
 }
@@ -371,50 +375,49 @@
     type Reply = ();
 
     async fn handle(&mut self, event: Event, context: &mut Context<Self, ()>) {
-        let is_gathered = matches!(event, Event::Gathered);
+        let is_batch_due = matches!(event, Event::BatchDue);
         self.check_stall();
-        self.take(event);
+        self.handle_event(event);
         if self.is_deposed {
             context.actor_ref().kill();
             return;
         }
         let effects = self.engine.advance(self.shared.clock.now());
-        let own = context.actor_ref().clone();
-        self.carry_out(effects, &own);
-        if is_gathered {
-            self.send_gathered(&own);
+        let actor_ref = context.actor_ref().clone();
+        self.apply_effects(effects, &actor_ref);
+        if is_batch_due {
+            self.send_batches(&actor_ref);
         }
-        self.set_timer(&own);
+        self.schedule_pass(&actor_ref);
     }
 }
 
-impl<P: Platform> Message<Look> for Control<P> {
-    type Reply = Found;
+impl<P: Platform> Message<JobQuery> for Control<P> {
+    type Reply = JobAnswer;
 
-    async fn handle(&mut self, look: Look, _: &mut Context<Self, Found>) -> Found {
-        Found {
-            state: self.engine.state_for(look.job, look.viewer.as_ref()),
+    async fn handle(&mut self, query: JobQuery, _: &mut Context<Self, JobAnswer>) -> JobAnswer {
+        JobAnswer {
+            state: self.engine.state_for(query.job, query.viewer.as_ref()),
             epoch: self.engine.epoch(),
         }
     }
 }
 
-impl<P: Platform> Message<Pending> for Control<P> {
+impl<P: Platform> Message<PendingQuery> for Control<P> {
     type Reply = u32;
 
-    async fn handle(&mut self, pending: Pending, _: &mut Context<Self, u32>) -> u32 {
-        self.engine
-            .pending_for(&pending.queue, pending.viewer.as_ref())
+    async fn handle(&mut self, query: PendingQuery, _: &mut Context<Self, u32>) -> u32 {
+        self.engine.pending_for(&query.queue, query.viewer.as_ref())
     }
 }
 
-/// Asks for the gauges of what is believed to be set.
-pub(super) struct Measure;
+/// Requests an update of the gauges that show the engine's view of the cell.
+pub(super) struct UpdateGauges;
 
-impl<P: Platform> Message<Measure> for Control<P> {
+impl<P: Platform> Message<UpdateGauges> for Control<P> {
     type Reply = ();
 
-    async fn handle(&mut self, _: Measure, _: &mut Context<Self, ()>) {
+    async fn handle(&mut self, _: UpdateGauges, _: &mut Context<Self, ()>) {
         let counts = self.engine.counts();
         let epoch = u64::from(self.engine.epoch().0);
         let view = self.view.age();
@@ -426,7 +429,7 @@
                 "open_steps" => counts.open_steps, "claims" => counts.claims,
                 "listed" => counts.listed,
                 "lag_ms" => millis(self.shared.pulse.take_worst()),
-                "owned_ms" => millis(self.since.elapsed()),
+                "owned_ms" => millis(self.started_at.elapsed()),
                 "view_ms" => millis(view),
                 "workers_heard" => counts.workers_heard,
                 "workers_silent" => counts.workers_silent,
--- a/crates/node/src/owner/forget.rs
+++ b/crates/node/src/owner/forget.rs
@@ -1,4 +1,4 @@
-//! Takes the acceptances of jobs that are over off the record.
+//! Removes the acceptance records of jobs that have ended.
 
 use std::{
     collections::BTreeMap,
@@ -25,11 +25,11 @@
     shared::Shared,
 };
 
-/// Removes acceptances, one append a partition; what fails is left to the next owner, and all is while the store
-/// has better to do.
+/// Removes acceptance records, with one append per partition. Removals that fail are left to the
+/// next owner, and nothing is removed while the store is slow or failing.
 ///
-/// How each of these jobs ended is on record or put there in the same step, so it does no harm whenever it is
-/// carried out.
+/// The outcome of each of these jobs is stored already, or is stored in the same step, so the
+/// removal is safe at any time.
 pub(super) fn forget<P: Platform>(shared: &Arc<Shared<P>>, jobs: Vec<Forgotten>) {
     if shared.store.is_slow() || shared.store.is_failing() {
         return;
@@ -37,11 +37,11 @@
     let mut partitions: BTreeMap<u16, Vec<Record>> = BTreeMap::new();
     for forgotten in jobs {
         let records = partitions.entry(forgotten.partition).or_default();
-        if let Some(kept) = forgotten.cancellation {
+        if let Some(recorded) = forgotten.cancellation {
             records.push(cancellation(&Cancelled {
                 job: forgotten.job,
                 workspace: forgotten.workspace.clone(),
-                cancellation: kept,
+                cancellation: recorded,
             }));
         }
         records.push(Record {
@@ -57,7 +57,7 @@
                 records,
                 condition: Condition::None,
             };
-            // A failure is counted with the store's calls.
+            // A failure is counted in the metrics of the store's calls.
             let _ = shared.append("forget", append).await;
         });
     }
--- a/crates/node/src/owner/given.rs
+++ b/crates/node/src/owner/given.rs
@@ -1,4 +1,4 @@
-//! Orders that other nodes give on behalf of the owner, until they are reported on.
+//! Tracks the orders that other nodes send on behalf of the owner, until they are reported on.
 
 use std::{
     collections::BTreeSet,
@@ -13,53 +13,55 @@
     Report, //
 };
 
-/// How much longer than it takes a report may take: the call to the node and the call back, each given
-/// up after 0.3 s.
-const SLACK: Duration = Duration::from_millis(600);
+/// How much longer than the order itself its report may take: the call to the node and the call
+/// back each time out after 0.3 s.
+const REPORT_TIMEOUT_MARGIN: Duration = Duration::from_millis(600);
 
-/// The orders that are out.
+/// Orders sent by other nodes that have not been reported on.
 #[derive(Debug, Default)]
-pub(crate) struct Given {
-    last: u64,
+pub(crate) struct DelegatedOrders {
+    last_number: u64,
     orders: HashMap<u64, Order>,
-    due: BTreeSet<(Instant, u64)>,
+    deadlines: BTreeSet<(Instant, u64)>,
 }
 
-impl Given {
-    /// Notes that an order is out; returns its number.
+impl DelegatedOrders {
+    /// Adds an order; returns its number.
     pub(crate) fn add(&mut self, order: Order) -> u64 {
-        self.last += 1;
-        let due = Instant::now() + order.patience() + SLACK;
-        self.due.insert((due, self.last));
-        self.orders.insert(self.last, order);
-        self.last
+        self.last_number += 1;
+        let due = Instant::now() + order.patience() + REPORT_TIMEOUT_MARGIN;
+        self.deadlines.insert((due, self.last_number));
+        self.orders.insert(self.last_number, order);
+        self.last_number
     }
 
-    /// Notes that an order is reported on; false where it is not waited for any more.
-    pub(crate) fn settle(&mut self, number: u64) -> bool {
+    /// Removes an order that was reported on; returns false if no report on it was expected any
+    /// more.
+    pub(crate) fn complete(&mut self, number: u64) -> bool {
         self.orders.remove(&number).is_some()
     }
 
-    /// Returns what came of orders that certainly never left.
+    /// Removes orders that were certainly never sent; returns the reports that say so.
     pub(crate) fn unsent(&mut self, numbers: &[u64]) -> Vec<Report> {
         let orders = numbers.iter().filter_map(|n| self.orders.remove(n));
         orders.map(|order| order.unsent()).collect()
     }
 
-    /// Returns what came of orders that nobody can tell of.
+    /// Removes orders whose outcome nobody knows; returns the reports that say so.
     pub(crate) fn unanswered(&mut self, numbers: &[u64]) -> Vec<Report> {
         let orders = numbers.iter().filter_map(|n| self.orders.remove(n));
         orders.map(|order| order.unanswered()).collect()
     }
 
-    /// Returns what came of orders whose reports are overdue.
+    /// Removes orders whose reports are overdue; returns reports that say that the outcome is
+    /// unknown.
     pub(crate) fn overdue(&mut self) -> Vec<Report> {
         let now = Instant::now();
         let mut reports = Vec::new();
-        while let Some((due, number)) = self.due.first().copied()
+        while let Some((due, number)) = self.deadlines.first().copied()
             && due <= now
         {
-            self.due.pop_first();
+            self.deadlines.pop_first();
             if let Some(order) = self.orders.remove(&number) {
                 reports.push(order.unanswered());
             }
--- a/crates/node/src/owner/jobs.rs
+++ b/crates/node/src/owner/jobs.rs
@@ -1,4 +1,4 @@
-//! What the owner reads of the jobs' partitions: all of it at a takeover, then what comes after.
+//! Reads the job partitions for the owner: completely at a takeover, then whatever is added.
 
 use std::{
     collections::BTreeMap,
@@ -56,79 +56,85 @@
     },
 };
 
-/// How often partitions of jobs are read whose node is gone: it may be cut off from the owner alone and go
-/// on taking jobs, or have died as it took one.
-const JOBS_LOOK: Duration = Duration::from_millis(500);
-/// How often those are read whose nodes are there and tell the owner of each job themselves. A word may reach
-/// an owner that is just being replaced, and a cancellation has to be in force within 3 s.
-const JOBS_PRESENT: Duration = Duration::from_millis(1_500);
-/// How often those are read that no node is known to write to.
-const JOBS_UNKNOWN: Duration = Duration::from_millis(1_500);
-/// For this long a node that is gone may go on writing: cuts last some seconds.
-const WRITES_ON: Duration = Duration::from_secs(20);
-/// The least time between two readings of a partition that somebody asks about, in a small cell and in a large one: with it,
-/// callers who ask for jobs that don't exist cost 160 calls of the store a second at most.
-const WANTED_GAP: Duration = Duration::from_millis(100);
-const WANTED_GAP_WIDE: Duration = Duration::from_millis(300);
-/// A new owner begins to act only on what was on record so short a time ago. It waits for the slowest of 16
-/// partitions, 3.5 s where answers are lost, and what other nodes wrote meanwhile is missing from the other 15:
-/// a cancellation among it has to be in force within 3 s, and jobs wait until they are read on, up to 2 s later.
-const FRESH: Duration = Duration::from_secs(1);
-/// Where a partition takes long to read, so many times of that instead: no view of it is younger than one reading.
-const FRESH_READINGS: u32 = 2;
-/// How often partitions are read again at most. Where a third of all answers is lost the slowest of 16 takes more
-/// than a second each time, and a cell without an owner serves nobody: a cancellation whose word is lost as well comes
-/// into force some seconds later then.
-const MOST_ROUNDS: u32 = 2;
+/// How often to read partitions whose writer, a node, is absent: the node may be cut off from the
+/// owner alone and still accept jobs, or it may have died while accepting one. Also the shortest
+/// interval at which a partition is checked, and the age from which a node counts as absent.
+const READ_INTERVAL_WRITER_ABSENT: Duration = Duration::from_millis(500);
+/// How often to read partitions whose writers are present and notify the owner of each job
+/// themselves. A notification may reach an owner that is just being replaced, and a cancellation
+/// has to take effect within 3 s.
+const READ_INTERVAL_WRITER_PRESENT: Duration = Duration::from_millis(1_500);
+/// How often to read partitions that no node is known to write to.
+const READ_INTERVAL_NO_WRITER: Duration = Duration::from_millis(1_500);
+/// How long after it was last seen a node is still expected to write: network cuts last some
+/// seconds.
+const ABSENT_WRITER_TIMEOUT: Duration = Duration::from_secs(20);
+/// The minimum time between two reads of a partition that a caller waits for, in a small cell and
+/// in a large one. With it, callers that ask for jobs that don't exist cause at most 160 store
+/// calls a second.
+const MIN_REQUESTED_READ_GAP: Duration = Duration::from_millis(100);
+const MIN_REQUESTED_READ_GAP_LARGE_CELL: Duration = Duration::from_millis(300);
+/// A new owner reads a partition again if its last read is older than this. A takeover waits for
+/// the slowest of 16 partitions, 3.5 s where answers are lost, and misses what other nodes wrote to
+/// the other 15 meanwhile: a cancellation among it has to take effect within 3 s, and jobs wait
+/// until the next read, up to 2 s later.
+const MAX_READ_AGE_AT_TAKEOVER: Duration = Duration::from_secs(1);
+/// If a partition takes long to read, the limit is this many times the duration of its last read
+/// instead, since its view is never younger than one read.
+const MAX_READ_AGE_IN_READS: u32 = 2;
+/// How often partitions are read again at most. Where a third of all answers is lost, the slowest
+/// of 16 takes more than a second each time, and a cell without an owner serves nobody. A
+/// cancellation whose notification is lost as well then takes effect some seconds later.
+const MAX_REREADS: u32 = 2;
 
-/// A partition of the jobs as the owner reads it.
+/// A job partition, and how far the owner has read it.
 pub(super) struct Partition {
     number: u16,
     reader: Reader,
     /// When the store was last asked.
-    asked: Instant,
-    /// All that was on record then has been read.
-    read: Instant,
-    /// How long the last reading took.
-    took: Duration,
+    requested_at: Instant,
+    /// Everything that was stored by this time has been read.
+    read_up_to: Instant,
+    /// How long the last read took.
+    read_duration: Duration,
 }
 
 impl Partition {
-    /// Reads the newest record of each key, until the store gives them.
+    /// Reads the newest record of each key, retrying until the store answers.
     async fn open<P: Platform>(shared: &Shared<P>, number: u16) -> (Self, Vec<JobRecord>) {
         let mut partition = Self {
             number,
             reader: Reader::new(Topic::Jobs(number), "jobs"),
-            asked: Instant::now(),
-            // Replaced by the first reading, before anybody sees it.
-            read: shared.began,
-            took: Duration::ZERO,
+            requested_at: Instant::now(),
+            // Overwritten by the first read, before it is used.
+            read_up_to: shared.began,
+            read_duration: Duration::ZERO,
         };
-        let found = partition.read_surely(shared).await;
+        let found = partition.read_with_retry(shared).await;
         (partition, found)
     }
 
-    /// Returns what was put on record since it was last read.
-    async fn read_on<P: Platform>(&mut self, shared: &Shared<P>) -> Result<Vec<JobRecord>, Error> {
-        let asked = Instant::now();
-        self.asked = asked;
+    /// Returns what was stored since the last read.
+    async fn read_new<P: Platform>(&mut self, shared: &Shared<P>) -> Result<Vec<JobRecord>, Error> {
+        let requested_at = Instant::now();
+        self.requested_at = requested_at;
         let mut found = Vec::new();
         loop {
             let settled = match self.read_page(shared).await {
                 Ok(settled) => settled,
                 Err(error) if found.is_empty() => return Err(error),
-                // The reader is past what was found; the rest is read another time.
+                // The reader has moved past what was found; the next read returns the rest.
                 Err(_) => return Ok(found),
             };
             found.extend(settled.found);
             let keys = settled.rejected.into_iter();
             let keys = keys.filter_map(|record| record.key);
-            // One of another writer under the key of a job leaves it unknown.
+            // A foreign record under the key of a job leaves the state of the job unknown.
             let jobs = keys.filter_map(|key| Key::accepted_job(&key));
             found.extend(jobs.map(JobRecord::Unreadable));
             if settled.is_last {
-                self.read = asked;
-                self.took = asked.elapsed();
+                self.read_up_to = requested_at;
+                self.read_duration = requested_at.elapsed();
                 return Ok(found);
             }
         }
@@ -151,21 +157,22 @@
         };
         let settled = recall::settle(shared, topic, "jobs", page, own).await;
         if settled.is_err() {
-            // What the reader is past was not taken.
+            // The reader has moved past records that are not returned, so reading starts over.
             self.reader = Reader::new(topic, "jobs");
         }
         settled
     }
 
-    /// Returns whether a new owner may act on what has been read.
+    /// Returns whether the partition was read recently enough for a new owner to act.
     fn is_fresh(&self) -> bool {
-        self.read.elapsed() <= FRESH.max(FRESH_READINGS * self.took)
+        self.read_up_to.elapsed()
+            <= MAX_READ_AGE_AT_TAKEOVER.max(MAX_READ_AGE_IN_READS * self.read_duration)
     }
 
-    /// Reads on until the store answers.
-    async fn read_surely<P: Platform>(&mut self, shared: &Shared<P>) -> Vec<JobRecord> {
+    /// Reads what is new, retrying until the store answers.
+    async fn read_with_retry<P: Platform>(&mut self, shared: &Shared<P>) -> Vec<JobRecord> {
         loop {
-            match self.read_on(shared).await {
+            match self.read_new(shared).await {
                 Ok(found) => return found,
                 Err(_) => pause().await,
             }
@@ -173,30 +180,35 @@
     }
 }
 
-/// Reads all partitions, and again those that were read long ago: what was on record a moment ago is known then.
+/// Reads all partitions, then again those that were read too long ago for a new owner to act.
 pub(super) async fn read_all<P: Platform>(shared: &Shared<P>) -> (Vec<Partition>, Vec<JobRecord>) {
     let opened = join_all((0..JOB_PARTITIONS).map(|number| Partition::open(shared, number))).await;
     let (mut partitions, found): (Vec<Partition>, Vec<Vec<JobRecord>>) = opened.into_iter().unzip();
     let mut found: Vec<JobRecord> = found.into_iter().flatten().collect();
-    for _ in 0..MOST_ROUNDS {
+    for _ in 0..MAX_REREADS {
         let due = partitions.iter_mut();
         let due = due.filter(|partition| !partition.is_fresh());
-        let batches = join_all(due.map(|partition| partition.read_surely(shared))).await;
+        let batches = join_all(due.map(|partition| partition.read_with_retry(shared))).await;
         found.extend(batches.into_iter().flatten());
     }
     (partitions, found)
 }
 
-/// Makes the view of an owner that has read partitions so far.
-pub(super) fn view(partitions: &[Partition]) -> View {
-    View::new(partitions.iter().map(|partition| partition.read).collect())
+/// Creates the view of an owner from how far the partitions have been read.
+pub(super) fn new_view(partitions: &[Partition]) -> View {
+    View::new(
+        partitions
+            .iter()
+            .map(|partition| partition.read_up_to)
+            .collect(),
+    )
 }
 
-/// Follows a partition, as often as something may stand in it that nobody has told of, and at once where somebody
-/// asks for something that the owner doesn't know.
+/// Reads a partition at the interval that its writers call for, and at once when a caller asks for
+/// something that the owner doesn't know.
 ///
-/// Each has a task of its own: while a part of the store gave no answer for 3 s, cancellations in the rest came into force as
-/// much later.
+/// Each partition has a task of its own: with a shared one, when a part of the store gave no answer
+/// for 3 s, cancellations in the rest took effect as much later.
 pub(super) async fn follow<P: Platform>(
     shared: Arc<Shared<P>>,
     mut partition: Partition,
@@ -207,29 +219,31 @@
     loop {
         let may_be_wide = shared.spread().may_be_wide();
         let gap = if may_be_wide {
-            WANTED_GAP_WIDE
+            MIN_REQUESTED_READ_GAP_LARGE_CELL
         } else {
-            WANTED_GAP
+            MIN_REQUESTED_READ_GAP
         };
-        sleep_until(partition.asked + gap).await;
-        let wanted = view.wants_more(partition.number);
-        let is_wanted = timeout(JOBS_LOOK, wanted).await.is_ok();
+        sleep_until(partition.requested_at + gap).await;
+        let requested = view.wait_for_request(partition.number);
+        let is_requested = timeout(READ_INTERVAL_WRITER_ABSENT, requested)
+            .await
+            .is_ok();
         if partition.number >= FIRST_PARTITIONS && !may_be_wide {
-            // No node writes there.
-            view.note(partition.number, Instant::now());
+            // No node writes to this partition.
+            view.mark_read(partition.number, Instant::now());
             if control.upgrade().is_none() {
                 return;
             }
             continue;
         }
-        let is_due = partition.asked.elapsed() >= writers.period(partition.number);
-        if !is_wanted && !is_due {
+        let is_due = partition.requested_at.elapsed() >= writers.read_interval(partition.number);
+        if !is_requested && !is_due {
             if control.upgrade().is_none() {
                 return;
             }
             continue;
         }
-        let found = partition.read_on(&shared).await;
+        let found = partition.read_new(&shared).await;
         let Some(control) = control.upgrade() else {
             return;
         };
@@ -246,20 +260,20 @@
                     continue;
                 }
             };
-            // The actor may be ending.
+            // The actor may be stopping.
             let _ = control.tell(event).await;
         }
-        // The actor hears of the records before whoever waits for this asks it.
-        view.note(partition.number, partition.read);
+        // The actor gets the records first: callers that this wakes up query it next.
+        view.mark_read(partition.number, partition.read_up_to);
     }
 }
 
-/// The nodes that write jobs, by when they were last there; cheap to clone.
+/// The nodes that write jobs, with the time each was last seen; cheap to clone.
 #[derive(Clone, Default)]
 pub(super) struct Writers(Arc<Mutex<BTreeMap<NodeName, Instant>>>);
 
 impl Writers {
-    /// Keeps up which nodes are there, for as long as the actor is.
+    /// Keeps the set up to date until the actor ends.
     pub(super) async fn follow<P: Platform>(
         self,
         shared: Arc<Shared<P>>,
@@ -269,7 +283,7 @@
             let peers = shared.peers.lock().await.clone();
             let present = peers.into_iter().map(|peer| peer.node);
             self.note(present.chain([shared.name.clone()]));
-            sleep(JOBS_LOOK / 2).await;
+            sleep(READ_INTERVAL_WRITER_ABSENT / 2).await;
         }
     }
 
@@ -277,29 +291,33 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Notes which nodes are there.
+    /// Records the nodes that are present.
     fn note(&self, present: impl Iterator<Item = NodeName>) {
         let now = Instant::now();
         let mut nodes = self.seen();
         nodes.extend(present.map(|node| (node, now)));
-        nodes.retain(|_, seen| seen.elapsed() < WRITES_ON);
+        nodes.retain(|_, seen| seen.elapsed() < ABSENT_WRITER_TIMEOUT);
     }
 
-    /// Returns how often a partition is read.
-    fn period(&self, partition: u16) -> Duration {
+    /// Returns how often to read a partition.
+    fn read_interval(&self, partition: u16) -> Duration {
         let nodes = self.seen();
-        // It may not have heard yet how far jobs are spread.
-        let of = |node: &NodeName| {
+        // The node may not know yet over how many partitions jobs are spread, so both extremes
+        // count.
+        let writes_here = |node: &NodeName| {
             let mut spreads = [Spread::default(), Spread::default().renew(usize::MAX)].into_iter();
             spreads.any(|spread| intake::partition(node, spread) == partition)
         };
-        let mut writers = nodes.iter().filter(|(node, _)| of(node)).peekable();
+        let mut writers = nodes
+            .iter()
+            .filter(|(node, _)| writes_here(node))
+            .peekable();
         if writers.peek().is_none() {
-            return JOBS_UNKNOWN;
+            return READ_INTERVAL_NO_WRITER;
         }
-        match writers.all(|(_, seen)| seen.elapsed() < JOBS_LOOK) {
-            true => JOBS_PRESENT,
-            false => JOBS_LOOK,
+        match writers.all(|(_, seen)| seen.elapsed() < READ_INTERVAL_WRITER_ABSENT) {
+            true => READ_INTERVAL_WRITER_PRESENT,
+            false => READ_INTERVAL_WRITER_ABSENT,
         }
     }
 }
--- a/crates/node/src/owner/listing.rs
+++ b/crates/node/src/owner/listing.rs
@@ -1,4 +1,4 @@
-//! The list of workers, as the owner follows it in the store.
+//! The workers that the store lists, as the owner knows them.
 
 use std::collections::{
     BTreeMap,
@@ -23,31 +23,31 @@
     Record, //
 };
 
-/// What an entry says of a worker.
+/// What an entry of the list says about a worker.
 #[derive(Debug, PartialEq)]
 pub(super) enum Entry {
-    /// It is there, as it reports itself.
-    Good(Registration),
-    /// It has an entry that names no worker to use.
-    Foreign(WorkerId, Fault),
-    /// Its entry was removed.
+    /// A valid registration.
+    Valid(Registration),
+    /// The worker has an entry, but not one that can be used.
+    Invalid(WorkerId, Fault),
+    /// The entry was removed.
     Removed,
 }
 
-/// What the engine has to know of the list.
+/// A change of the list that the engine has to know of.
 #[derive(Debug)]
 pub(crate) enum Change {
-    /// A worker reported itself.
+    /// A worker has registered itself.
     Registered(Registration),
-    /// The store doesn't list a worker any more.
+    /// A worker is no longer listed.
     Unregistered(WorkerId),
-    /// What the store lists of a worker names none to use.
+    /// A worker is listed with an entry that can't be used.
     Distrusted(WorkerId),
 }
 
 impl Change {
-    /// Tells the engine.
-    pub(super) fn tell(self, engine: &mut Engine, now: Timestamp) {
+    /// Applies the change to the engine.
+    pub(super) fn apply_to(self, engine: &mut Engine, now: Timestamp) {
         match self {
             Self::Registered(registration) => engine.register(registration, now),
             Self::Unregistered(worker) => engine.unregister(&worker, now),
@@ -56,64 +56,67 @@
     }
 }
 
-/// Which workers are listed, and which are not any more.
+/// The workers that are listed, and those that are no longer listed.
 #[derive(Debug, Default)]
 pub(super) struct Listing {
     listed: BTreeSet<WorkerId>,
     missing: BTreeSet<WorkerId>,
-    /// The pools that a configuration has named; jobs outlive queues that are removed.
+    /// The pools that any configuration so far has named; jobs outlive queues that are removed.
     pools: BTreeSet<PoolName>,
-    /// Entries of pools that none has named: one may come that does.
-    unnamed: BTreeMap<WorkerId, Record>,
+    /// Entries whose pool no configuration has named yet; a later one may.
+    awaiting_pool: BTreeMap<WorkerId, Record>,
 }
 
 impl Listing {
-    /// Takes in the pools of a configuration; returns the entries to take again.
+    /// Adds the pools of a configuration; returns the entries to apply again.
     pub(super) fn configure(&mut self, config: &Config) -> Vec<Record> {
         let known = self.pools.len();
         self.pools.extend(config.pools.keys().cloned());
         let queues = config.queues.values();
         self.pools.extend(queues.map(|queue| queue.pool.clone()));
         match self.pools.len() > known {
-            true => std::mem::take(&mut self.unnamed).into_values().collect(),
+            true => std::mem::take(&mut self.awaiting_pool)
+                .into_values()
+                .collect(),
             false => Vec::new(),
         }
     }
 
-    /// Begins anew: what isn't listed again is missing.
-    pub(super) fn begin(&mut self) {
-        self.unnamed.clear();
+    /// Begins a complete read: workers that it doesn't list are missing.
+    pub(super) fn begin_full_read(&mut self) {
+        self.awaiting_pool.clear();
         self.missing.append(&mut self.listed);
     }
 
-    /// Takes the newest entry under a key.
-    pub(super) fn take<P: Platform>(&mut self, platform: &P, record: &Record) -> Entry {
+    /// Applies the newest record of a key.
+    pub(super) fn apply<P: Platform>(&mut self, platform: &P, record: &Record) -> Entry {
         let id = WorkerId::from(record.key.as_str());
-        self.unnamed.remove(&id);
+        self.awaiting_pool.remove(&id);
         if record.value.is_none() {
             self.listed.remove(&id);
             self.missing.insert(id);
             return Entry::Removed;
         }
-        self.note(id.clone());
+        self.mark_listed(id.clone());
         match platform.registration(record, &self.pools) {
-            Ok(registration) => Entry::Good(registration),
+            Ok(registration) => Entry::Valid(registration),
             Err(fault) => {
                 if fault == Fault::Pool {
-                    self.unnamed.insert(id.clone(), record.clone());
+                    self.awaiting_pool.insert(id.clone(), record.clone());
                 }
-                Entry::Foreign(id, fault)
+                Entry::Invalid(id, fault)
             }
         }
     }
 
-    /// Notes that there is an entry, whatever it says: what can't be read doesn't prove a worker gone.
-    pub(super) fn note(&mut self, id: WorkerId) {
+    /// Marks a worker as listed, whatever its entry says: an unreadable entry doesn't prove that
+    /// the worker is gone.
+    pub(super) fn mark_listed(&mut self, id: WorkerId) {
         self.missing.remove(&id);
         self.listed.insert(id);
     }
 
-    /// Returns the workers that are missing since this was last asked.
+    /// Returns the workers that went missing since the last call.
     pub(super) fn take_missing(&mut self) -> BTreeSet<WorkerId> {
         std::mem::take(&mut self.missing)
     }
--- a/crates/node/src/owner/mod.rs
+++ b/crates/node/src/owner/mod.rs
@@ -1,4 +1,4 @@
-//! The owner of the cell: its actor, its takeover, and what it reads and writes.
+//! The owner of the cell: its actor, the takeover, and what it reads from and writes to the store.
 
 mod answer;
 mod control;
--- a/crates/node/src/owner/orders.rs
+++ b/crates/node/src/owner/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to workers: given here or by other nodes, and what came of them.
+//! Sends orders to workers, directly or through other nodes, and handles their results.
 
 use std::{
     net::SocketAddr,
@@ -33,23 +33,24 @@
     port::Platform,
 };
 
-/// How long orders for other nodes are gathered. Each call between nodes costs the owner some 0.1 ms, and
-/// a fleet of 350 workers has 1,750 orders a second; the most urgent jobs have 650 ms to spare.
-const GATHER: Duration = Duration::from_millis(6);
-/// How long a node may take to take orders in.
-const ORDERS_PATIENCE: Duration = Duration::from_millis(300);
+/// How long orders for other nodes are collected into a batch. Each call between nodes costs the
+/// owner some 0.1 ms, and a fleet of 350 workers has 1,750 orders a second; the most urgent jobs
+/// have 650 ms to spare.
+const ORDER_BATCH_DELAY: Duration = Duration::from_millis(6);
+/// How long a node may take to accept a batch of orders.
+const ORDERS_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Why a node did not take orders.
+/// Why a node did not accept orders.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Failure {
-    /// They certainly didn't reach it, or it refused them.
+    /// The orders certainly didn't reach the node, or it refused them.
     Unsent,
-    /// It gave no answer.
+    /// The node gave no answer.
     Unanswered,
 }
 
 impl Failure {
-    const fn word(self) -> &'static str {
+    const fn as_str(self) -> &'static str {
         match self {
             Self::Unsent => "unsent",
             Self::Unanswered => "unanswered",
@@ -58,46 +59,51 @@
 }
 
 impl<P: Platform> Control<P> {
-    /// Has orders given, each by the node that it falls to.
-    pub(super) fn order(&mut self, orders: Vec<Order>, own: &ActorRef<Self>) {
+    /// Sends orders, each from the node that is responsible for the worker.
+    pub(super) fn dispatch(&mut self, orders: Vec<Order>, actor_ref: &ActorRef<Self>) {
         let workers = self.engine.worker_count();
         for order in orders {
             match self.share.node_of(&order.to().worker, workers) {
                 Some(node) => {
-                    let number = self.given.add(order.clone());
-                    let gathered = self.gathered.entry(node).or_default();
-                    gathered.push((number, order));
+                    let number = self.delegated.add(order.clone());
+                    let batch = self.batches.entry(node).or_default();
+                    batch.push((number, order));
                 }
-                None => self.order_here(order, own.downgrade()),
+                None => self.send_directly(order, actor_ref.downgrade()),
             }
         }
-        if self.gathered.is_empty() || std::mem::replace(&mut self.is_gathering, true) {
+        if self.batches.is_empty() || std::mem::replace(&mut self.is_batch_scheduled, true) {
             return;
         }
-        let own = own.downgrade();
+        let actor_ref = actor_ref.downgrade();
         tokio::spawn(async move {
-            sleep(GATHER).await;
-            tell(&own, Event::Gathered).await;
+            sleep(ORDER_BATCH_DELAY).await;
+            tell(&actor_ref, Event::BatchDue).await;
         });
     }
 
-    /// Sends the orders that were gathered for other nodes.
-    pub(super) fn send_gathered(&mut self, own: &ActorRef<Self>) {
-        self.is_gathering = false;
-        for (node, orders) in std::mem::take(&mut self.gathered) {
-            self.order_there(node, orders, own.downgrade());
+    /// Sends the batches collected for other nodes.
+    pub(super) fn send_batches(&mut self, actor_ref: &ActorRef<Self>) {
+        self.is_batch_scheduled = false;
+        for (node, orders) in std::mem::take(&mut self.batches) {
+            self.send_through(node, orders, actor_ref.downgrade());
         }
     }
 
-    fn order_here(&self, order: Order, own: WeakActorRef<Self>) {
+    fn send_directly(&self, order: Order, actor_ref: WeakActorRef<Self>) {
         let shared = self.shared.clone();
         tokio::spawn(async move {
             let report = order.carry_out(&shared.platform, &shared.meter).await;
-            tell(&own, Event::Reported(report)).await;
+            tell(&actor_ref, Event::Reported(report)).await;
         });
     }
 
-    fn order_there(&self, node: SocketAddr, orders: Vec<(u64, Order)>, own: WeakActorRef<Self>) {
+    fn send_through(
+        &self,
+        node: SocketAddr,
+        orders: Vec<(u64, Order)>,
+        actor_ref: WeakActorRef<Self>,
+    ) {
         let shared = self.shared.clone();
         let epoch = self.engine.epoch();
         let numbers: Vec<u64> = orders.iter().map(|(number, _)| *number).collect();
@@ -107,44 +113,49 @@
             orders,
         });
         tokio::spawn(async move {
-            let answer = message::ask(&shared.rpc, node, &orders, ORDERS_PATIENCE).await;
+            let answer = message::ask(&shared.rpc, node, &orders, ORDERS_TIMEOUT).await;
             let failure = match answer {
                 Ok(Reply::Noted) => return,
                 Ok(_) => Failure::Unsent,
                 Err(error) if error.not_run() => Failure::Unsent,
                 Err(_) => Failure::Unanswered,
             };
-            tell(&own, Event::NotGiven(node, failure, numbers)).await;
+            tell(&actor_ref, Event::DelegationFailed(node, failure, numbers)).await;
         });
     }
 
-    /// Takes in what came of orders that other nodes gave.
-    pub(super) fn take_reports(&mut self, reports: Reports) {
+    /// Handles the results of orders that other nodes sent.
+    pub(super) fn handle_reports(&mut self, reports: Reports) {
         if reports.epoch != self.engine.epoch() {
             return;
         }
         for (number, report) in reports.reports {
-            if self.given.settle(number) {
-                self.take_report(report);
+            if self.delegated.complete(number) {
+                self.handle_report(report);
             }
         }
     }
 
-    pub(super) fn take_not_given(&mut self, node: SocketAddr, failure: Failure, numbers: &[u64]) {
+    pub(super) fn handle_delegation_failure(
+        &mut self,
+        node: SocketAddr,
+        failure: Failure,
+        numbers: &[u64],
+    ) {
         if self.share.avoid(node) {
             slog::warn!(self.shared.log, "orders-not-given"; "node" => %node,
-                "orders" => numbers.len(), "why" => failure.word());
+                "orders" => numbers.len(), "why" => failure.as_str());
         }
         let reports = match failure {
-            Failure::Unsent => self.given.unsent(numbers),
-            Failure::Unanswered => self.given.unanswered(numbers),
+            Failure::Unsent => self.delegated.unsent(numbers),
+            Failure::Unanswered => self.delegated.unanswered(numbers),
         };
         for report in reports {
-            self.take_report(report);
+            self.handle_report(report);
         }
     }
 
-    pub(super) fn take_report(&mut self, report: Report) {
+    pub(super) fn handle_report(&mut self, report: Report) {
         let now = self.shared.clock.now();
         let engine = &mut self.engine;
         match report {
--- a/crates/node/src/owner/recorder.rs
+++ b/crates/node/src/owner/recorder.rs
@@ -1,4 +1,4 @@
-//! Writes the owner's records, one append at a time, in order.
+//! Writes the owner's records to the store, in order and one append at a time.
 
 use std::sync::Arc;
 
@@ -29,11 +29,12 @@
     watch::pause,
 };
 
-/// Raises the writer's epoch, so that no former owner's record follows.
+/// Raises the writer's epoch in the store, so that it refuses later records of former owners.
 ///
 /// # Errors
 ///
-/// Fails with [`Error::Fenced`] where a later owner has done so, and otherwise where the store fails.
+/// Returns [`Error::Fenced`] if a later owner has raised it further, and another error if the store
+/// fails.
 pub(super) async fn fence<P: Platform>(shared: &Shared<P>, epoch: Epoch) -> Result<(), Error> {
     let append = Append {
         topic: Topic::Progress,
@@ -43,7 +44,7 @@
     shared.append("fence", append).await.map(drop)
 }
 
-/// Writes records for as long as the actor lives, each until the store has it.
+/// Writes records until the actor ends, retrying each group until the store has it.
 pub(super) async fn run<P: Platform>(
     shared: Arc<Shared<P>>,
     epoch: Epoch,
@@ -53,25 +54,26 @@
     let mut sequence = 0;
     while let Some(entries) = records.recv().await {
         sequence += 1;
-        let is_kept = keep(&shared, epoch, &mut sequence, &entries).await;
+        let is_stored = write_group(&shared, epoch, &mut sequence, &entries).await;
         let Some(control) = control.upgrade() else {
             return;
         };
-        let event = match is_kept {
+        let event = match is_stored {
             true => Event::Recorded,
             false => Event::Deposed,
         };
-        // The actor may be ending.
+        // The actor may be stopping.
         let _ = control.tell(event).await;
-        if !is_kept {
+        if !is_stored {
             shared.acting.send_replace(None);
             return;
         }
     }
 }
 
-/// Writes one group until it is kept; false where a later owner has fenced this one.
-async fn keep<P: Platform>(
+/// Writes a group of entries, retrying until it is stored; returns false if a later owner has
+/// fenced this one.
+async fn write_group<P: Platform>(
     shared: &Shared<P>,
     epoch: Epoch,
     sequence: &mut u64,
--- a/crates/node/src/owner/takeover.rs
+++ b/crates/node/src/owner/takeover.rs
@@ -1,4 +1,4 @@
-//! Taking the cell over: what is on record is read, former owners are fenced, the actor starts.
+//! The takeover of the cell: fences former owners, reads the stored state, and starts the actor.
 
 use std::{
     sync::Arc,
@@ -41,7 +41,7 @@
     Control,
     Event,
     View,
-    control::Measure,
+    control::UpdateGauges,
     jobs::{
         self,
         Partition, //
@@ -75,15 +75,15 @@
     },
 };
 
-/// How often the engine looks at what is due; the shortest wait that it has is 100 ms.
-const TICK: Duration = Duration::from_millis(25);
-/// How often the gauges of what is believed are set.
-const MEASURE: Duration = Duration::from_secs(2);
+/// How often the engine checks what is due; its shortest wait is 100 ms.
+const TICK_INTERVAL: Duration = Duration::from_millis(25);
+/// How often the gauges of the engine's view of the cell are updated.
+const GAUGE_UPDATE_INTERVAL: Duration = Duration::from_secs(2);
 /// How many events may wait for the actor; a busy second has some thousands.
-const MAILBOX: usize = 16_384;
+const MAILBOX_CAPACITY: usize = 16_384;
 
-/// Which records are the owner's.
-const ENTRIES: Own<'static, Entry> = Own {
+/// Which records of the progress topic are the owner's, and how they are decoded.
+const OWNER_RECORDS: Own<'static, Entry> = Own {
     key: |key| key.starts_with("w/") || key.parse::<JobId>().is_ok(),
     read: &|record| {
         let Some(value) = &record.value else {
@@ -95,11 +95,12 @@
     },
 };
 
-/// Takes the cell over under a claim that was won; the actor ends when the ownership does.
+/// Takes over the cell under a claim that this node has won. The actor runs until the ownership
+/// ends.
 ///
 /// # Errors
 ///
-/// Fails with [`Error::Fenced`] where a later owner came in between.
+/// Returns [`Error::Fenced`] if a later owner has fenced this one.
 pub(crate) async fn take_over<P: Platform>(
     shared: &Arc<Shared<P>>,
     claim: &Claim,
@@ -112,12 +113,10 @@
             Err(_) => pause().await,
         }
     }
-    // It goes on by itself when the records are there.
-    let list = workers::open(shared);
-    let ((progress, progress_took), ((partitions, found), jobs_took)) = futures::join!(
-        timed(newest_progress(shared)),
-        timed(jobs::read_all(shared))
-    );
+    // The list is read in the background, also after the records below have been read.
+    let list = workers::start_initial_read(shared);
+    let ((progress, progress_took), ((partitions, found), jobs_took)) =
+        futures::join!(timed(read_progress(shared)), timed(jobs::read_all(shared)));
     let mut inheritance = Inheritance::default();
     for entry in progress {
         match entry {
@@ -126,7 +125,7 @@
             Entry::Gone(_) => {}
         }
     }
-    let view = jobs::view(&partitions);
+    let view = jobs::new_view(&partitions);
     for record in found {
         match record {
             JobRecord::Accepted(accepted) => inheritance.accepted.push(*accepted),
@@ -141,33 +140,37 @@
         "took_ms" => millis(began.elapsed()));
     let now = shared.clock.now();
     let mut engine = Engine::new(claim.epoch, shared.bounds, inheritance, now);
-    // Before it starts anything: jobs know only the limits that they were accepted under.
+    // Configure the engine before it starts anything: jobs carry only the limits that they were
+    // accepted under.
     if let Some(config) = shared.config.borrow().as_deref() {
         engine.configure(config.clone());
     }
     if let Some(reading) = shared.evacuation.borrow().clone() {
         reading.tell(&mut engine, now);
     }
-    // Without the nodes that give orders the owner would connect to each worker itself.
+    // Wait for other nodes to greet this one: without nodes that send its orders, the owner would
+    // connect to each worker itself.
     let peers = shared.greeted().await;
-    Ok(start(shared, claim, engine, partitions, view, list, peers))
+    Ok(start_actor(
+        shared, claim, engine, partitions, view, list, peers,
+    ))
 }
 
-/// Returns what comes of a reading, and how long it took.
-async fn timed<T>(reading: impl Future<Output = T>) -> (T, Duration) {
+/// Returns the output of a future, and how long it took.
+async fn timed<T>(future: impl Future<Output = T>) -> (T, Duration) {
     let began = Instant::now();
-    (reading.await, began.elapsed())
+    (future.await, began.elapsed())
 }
 
-/// Reads the newest records of the owner's, until the store gives them.
-async fn newest_progress<P: Platform>(shared: &Shared<P>) -> Vec<Entry> {
+/// Reads the newest of the owner's records, retrying until the store answers.
+async fn read_progress<P: Platform>(shared: &Shared<P>) -> Vec<Entry> {
     const TOPIC: Topic = Topic::Progress;
     const PURPOSE: &str = "progress";
     let mut reader = Reader::new(TOPIC, PURPOSE);
     loop {
         let settled = match reader.read(shared, Duration::ZERO).await {
             Ok(Batch::Whole(page) | Batch::More(page)) => {
-                recall::settle(shared, TOPIC, PURPOSE, page, ENTRIES).await
+                recall::settle(shared, TOPIC, PURPOSE, page, OWNER_RECORDS).await
             }
             Err(error) => Err(error),
         };
@@ -181,19 +184,19 @@
     }
 }
 
-fn start<P: Platform>(
+fn start_actor<P: Platform>(
     shared: &Arc<Shared<P>>,
     claim: &Claim,
     engine: Engine,
     partitions: Vec<Partition>,
     view: View,
-    list: workers::Opening,
+    list: workers::InitialRead,
     peers: Vec<Peer>,
 ) -> ActorRef<Control<P>> {
     let (records, queue) = mpsc::unbounded_channel();
     let mut control = Control::new(engine, shared.clone(), records, view.clone());
-    control.take(Event::Peers(peers));
-    let control = Control::spawn_with_mailbox(control, mailbox::bounded(MAILBOX));
+    control.handle_event(Event::Peers(peers));
+    let control = Control::spawn_with_mailbox(control, mailbox::bounded(MAILBOX_CAPACITY));
     let weak = control.downgrade();
     tokio::spawn(recorder::run(
         shared.clone(),
@@ -215,9 +218,9 @@
     }
     tokio::spawn(tick(weak.clone()));
     let configs = shared.config.subscribe();
-    tokio::spawn(follow(configs, weak.clone(), Event::Configured));
+    tokio::spawn(forward_changes(configs, weak.clone(), Event::Configured));
     let evacuations = shared.evacuation.subscribe();
-    tokio::spawn(follow(evacuations, weak, Event::Evacuation));
+    tokio::spawn(forward_changes(evacuations, weak, Event::Evacuation));
     shared.acting.send_replace(Some(Acting {
         claim: claim.clone(),
         seat: Some(Seat {
@@ -229,9 +232,9 @@
 }
 
 async fn tick<P: Platform>(control: WeakActorRef<Control<P>>) {
-    let mut ticks = interval(TICK);
+    let mut ticks = interval(TICK_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
-    let mut measured = Instant::now();
+    let mut gauges_updated_at = Instant::now();
     loop {
         let due = ticks.tick().await;
         let Some(control) = control.upgrade() else {
@@ -240,15 +243,15 @@
         if control.tell(Event::Tick(due)).await.is_err() {
             return;
         }
-        if measured.elapsed() >= MEASURE {
-            measured = Instant::now();
-            let _ = control.tell(Measure).await;
+        if gauges_updated_at.elapsed() >= GAUGE_UPDATE_INTERVAL {
+            gauges_updated_at = Instant::now();
+            let _ = control.tell(UpdateGauges).await;
         }
     }
 }
 
-/// Tells the engine what is newest of something that this node follows, each time that it changes.
-async fn follow<P: Platform, T: Clone>(
+/// Sends the actor the newest value that this node knows, and again each time it changes.
+async fn forward_changes<P: Platform, T: Clone>(
     mut values: watch::Receiver<Option<T>>,
     control: WeakActorRef<Control<P>>,
     event: fn(T) -> Event,
--- a/crates/node/src/owner/view.rs
+++ b/crates/node/src/owner/view.rs
@@ -1,4 +1,4 @@
-//! How much of the record of jobs an owner has read.
+//! How far an owner has read the job records.
 
 use std::{
     collections::BTreeSet,
@@ -20,43 +20,46 @@
     },
 };
 
-/// How many jobs with records that can't be read are remembered; there are none where all nodes are of one version.
-const MOST_UNREADABLE: usize = 10_000;
+/// How many jobs with unreadable records are remembered; there are none while all nodes run the
+/// same version.
+const MAX_UNREADABLE_JOBS: usize = 10_000;
 
-/// How much of the record of jobs an owner has read; cheap to clone.
+/// How far an owner has read the job records; cheap to clone.
 ///
-/// What an owner knows of is on record. What it does not know of may be on record all the same: other nodes put jobs
-/// and cancellations there, and tell the owner of them where they can. So "there is none" and "so many" are said
-/// only of a moment up to which all was read. A caller whose cancellation was answered with "no such job" out of a
-/// view of 3.5 s ago saw the job start 3.3 s later.
+/// All that an owner knows of is stored, but not all that is stored is known to it: other nodes
+/// write jobs and cancellations to the store, and notify the owner where they can. The absence of a
+/// job and the number of jobs are therefore stated only as of a time up to which everything has
+/// been read. A caller whose cancellation was answered with "no such job" from a view 3.5 s old saw
+/// the job start 3.3 s later.
 #[derive(Clone, Debug)]
 pub(crate) struct View {
-    /// By partition: all that was on record in it at this moment has been read.
+    /// By partition: everything that was stored by this time has been read.
     read: Arc<watch::Sender<Vec<Instant>>>,
-    /// Somebody waits until all that was on record at this moment has been read.
-    wanted: Arc<watch::Sender<Option<Instant>>>,
-    /// Jobs that stand on record in words that can't be read: nobody can say what they are, nor that there are none.
+    /// A caller waits until everything that was stored by this time has been read.
+    requested: Arc<watch::Sender<Option<Instant>>>,
+    /// Jobs with records that can't be read: neither their state nor their absence is known.
     unreadable: Arc<Mutex<BTreeSet<JobId>>>,
 }
 
 impl View {
-    /// Makes the view of an owner that has read each partition so far.
+    /// Creates the view of an owner that has read each partition up to the given time.
     pub(crate) fn new(read: Vec<Instant>) -> Self {
         Self {
             read: Arc::new(watch::Sender::new(read)),
-            wanted: Arc::new(watch::Sender::new(None)),
+            requested: Arc::new(watch::Sender::new(None)),
             unreadable: Arc::default(),
         }
     }
 
-    /// Notes that the owner was told all that was on record in a partition at a moment.
-    pub(crate) fn note(&self, partition: u16, read: Instant) {
+    /// Records that the actor has been sent everything that was stored in a partition by the given
+    /// time.
+    pub(crate) fn mark_read(&self, partition: u16, read: Instant) {
         self.read.send_if_modified(|reads| {
             let before = oldest(reads);
             if let Some(known) = reads.get_mut(usize::from(partition)) {
                 *known = read;
             }
-            // Whoever waits, waits for the oldest.
+            // Waiters depend on the oldest of the times.
             oldest(reads) > before
         });
     }
@@ -66,50 +69,50 @@
         unreadable.unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Notes a job whose record can't be read.
+    /// Records a job whose record can't be read.
     pub(crate) fn note_unreadable(&self, job: JobId) {
         let mut unreadable = self.unreadable();
-        if unreadable.len() < MOST_UNREADABLE {
+        if unreadable.len() < MAX_UNREADABLE_JOBS {
             unreadable.insert(job);
         }
     }
 
-    /// Returns whether a job stands on record in words that can't be read.
+    /// Returns whether a job has a record that can't be read.
     pub(crate) fn is_unreadable(&self, job: JobId) -> bool {
         self.unreadable().contains(&job)
     }
 
-    /// Returns for how long something may have been on record that the owner has not read.
+    /// Returns the longest time for which a record may have been stored without having been read.
     pub(crate) fn age(&self) -> Duration {
         let oldest = oldest(&self.read.borrow());
         oldest.map_or(Duration::ZERO, |read| read.elapsed())
     }
 
-    /// Waits until the owner was told all that was on record at a moment; false where that takes longer than
-    /// `patience`.
-    pub(crate) async fn reach(&self, at: Instant, patience: Duration) -> bool {
-        self.wanted.send_if_modified(|wanted| {
-            let is_later = wanted.is_none_or(|wanted| at > wanted);
+    /// Waits until the actor has been sent everything that was stored at a time; returns false if
+    /// that takes longer than `time_limit`.
+    pub(crate) async fn wait_until_read(&self, at: Instant, time_limit: Duration) -> bool {
+        self.requested.send_if_modified(|requested| {
+            let is_later = requested.is_none_or(|requested| at > requested);
             if is_later {
-                *wanted = Some(at);
+                *requested = Some(at);
             }
             is_later
         });
         let mut reads = self.read.subscribe();
-        let reached = reads.wait_for(|reads| oldest(reads).is_none_or(|read| read >= at));
-        matches!(timeout(patience, reached).await, Ok(Ok(_)))
+        let caught_up = reads.wait_for(|reads| oldest(reads).is_none_or(|read| read >= at));
+        matches!(timeout(time_limit, caught_up).await, Ok(Ok(_)))
     }
 
-    /// Waits until somebody wants more of a partition to be read than was.
-    pub(crate) async fn wants_more(&self, partition: u16) {
+    /// Waits until a caller needs more of a partition than has been read.
+    pub(crate) async fn wait_for_request(&self, partition: u16) {
         let read = self.read.borrow().get(usize::from(partition)).copied();
-        let mut wanted = self.wanted.subscribe();
+        let mut requested = self.requested.subscribe();
         // The sender lives as long as this view.
-        let _ = wanted.wait_for(|wanted| *wanted > read).await;
+        let _ = requested.wait_for(|requested| *requested > read).await;
     }
 }
 
-/// Returns the moment up to which all is read.
+/// Returns the time up to which all partitions have been read.
 fn oldest(reads: &[Instant]) -> Option<Instant> {
     reads.iter().min().copied()
 }
--- a/crates/node/src/owner/workers.rs
+++ b/crates/node/src/owner/workers.rs
@@ -1,4 +1,4 @@
-//! The list of workers as the owner reads it on from the store.
+//! Reads the list of workers from the store, and follows its changes.
 
 use std::{
     sync::Arc,
@@ -41,43 +41,43 @@
     },
 };
 
-/// What its readings are for, in logs and metrics.
+/// What these reads are called in logs and metrics.
 const PURPOSE: &str = "workers";
-/// How often the list of workers is read: 48 of them write 32 records a second, so waiting for each
-/// would cost a call a record; a leaving worker has to be known within 2 s.
-const WORKERS_EVERY: Duration = Duration::from_millis(300);
-/// For this long after an outage of the store a worker that isn't listed may come back.
-const LIST_SETTLES: Duration = Duration::from_millis(2_300);
-/// An outage shorter than this lets no entry lapse: entries outlive three intervals of heartbeats.
-const SHORT_OUTAGE: Duration = Duration::from_millis(1_500);
+/// How often the list is read. 48 workers write 32 records a second, so waiting for each would cost
+/// one call per record; a leaving worker has to be known within 2 s.
+const LIST_READ_INTERVAL: Duration = Duration::from_millis(300);
+/// How long after an outage of the store a worker that isn't listed may still come back.
+const OUTAGE_RECOVERY_TIME: Duration = Duration::from_millis(2_300);
+/// An outage shorter than this lets no entry expire: entries outlive three heartbeat intervals.
+const MAX_HARMLESS_OUTAGE: Duration = Duration::from_millis(1_500);
 
-/// The list of workers as it is read on.
+/// The list of workers, and how far it has been read.
 struct Follower {
     reader: Reader,
     listing: Listing,
-    /// Before this a worker that isn't listed may come back.
-    settles: Instant,
+    /// Until this time, a worker that isn't listed may come back.
+    settled_at: Instant,
 }
 
 impl Follower {
-    /// Makes one that has read nothing yet.
+    /// Creates a follower that has read nothing.
     fn new() -> Self {
         Self {
             reader: Reader::new(Topic::Workers, PURPOSE),
             listing: Listing::default(),
-            settles: Instant::now(),
+            settled_at: Instant::now(),
         }
     }
 
-    /// Reads the list on; returns what the engine has to know of it.
+    /// Reads what is new in the list; returns the changes for the engine.
     async fn read<P: Platform>(&mut self, shared: &Shared<P>) -> Result<Vec<Change>, Error> {
-        let was_failing = shared.store.failing_for();
+        let failing_for = shared.store.failing_for();
         let batch = self.reader.read(shared, Duration::ZERO).await?;
-        if was_failing > SHORT_OUTAGE {
-            self.settles = Instant::now() + LIST_SETTLES;
+        if failing_for > MAX_HARMLESS_OUTAGE {
+            self.settled_at = Instant::now() + OUTAGE_RECOVERY_TIME;
         }
-        let mut changes = take(shared, &mut self.listing, batch);
-        if Instant::now() >= self.settles {
+        let mut changes = apply_batch(shared, &mut self.listing, batch);
+        if Instant::now() >= self.settled_at {
             let missing = self.listing.take_missing().into_iter();
             changes.extend(missing.map(Change::Unregistered));
         }
@@ -85,18 +85,19 @@
     }
 }
 
-/// A list that is being read for the first time.
-pub(super) struct Opening {
-    /// What the engine has to know of the parts that were read.
+/// The first read of the list, while it is in progress.
+pub(super) struct InitialRead {
+    /// Changes for the engine from the parts read so far.
     changes: mpsc::UnboundedReceiver<Vec<Change>>,
     follower: JoinHandle<Follower>,
 }
 
-/// Begins to read the list while a takeover reads the records: it is the longest of them, and the workers of its first part
-/// can be used long before the last part is there.
+/// Starts to read the list while a takeover reads the records: this takes longest, and the workers
+/// of its first part can be used long before the last part arrives.
 ///
-/// Where the store doesn't give it, or there is no configuration to match it with, it is read later.
-pub(super) fn open<P: Platform>(shared: &Arc<Shared<P>>) -> Opening {
+/// If the store doesn't answer, or there is no configuration to match the entries with, the list is
+/// read later.
+pub(super) fn start_initial_read<P: Platform>(shared: &Arc<Shared<P>>) -> InitialRead {
     let (sender, changes) = mpsc::unbounded_channel();
     let shared = shared.clone();
     let follower = tokio::spawn(async move {
@@ -108,10 +109,10 @@
             false => Follower::new(),
         }
     });
-    Opening { changes, follower }
+    InitialRead { changes, follower }
 }
 
-/// Reads the list part by part.
+/// Reads the list part by part, and sends the changes of each.
 async fn read_parts<P: Platform>(
     shared: &Shared<P>,
     parts: &mpsc::UnboundedSender<Vec<Change>>,
@@ -122,10 +123,10 @@
         let (page, last) = shared
             .newest_after(PURPOSE, Topic::Workers, after.as_deref())
             .await?;
-        // What was written since the first part is read on from its end.
+        // Later reads start where the first part ended, to get what has been written since.
         follower.reader.begin_at(page.next);
-        let changes = take(shared, &mut follower.listing, Batch::More(page));
-        // The takeover may have been given up.
+        let changes = apply_batch(shared, &mut follower.listing, Batch::More(page));
+        // The takeover may have been aborted.
         let _ = parts.send(changes);
         match last {
             Some(last) => after = Some(last),
@@ -134,20 +135,20 @@
     }
 }
 
-/// Follows the list for as long as the actor is.
+/// Follows the list until the actor ends.
 pub(super) async fn follow<P: Platform>(
     shared: Arc<Shared<P>>,
-    mut list: Opening,
+    mut list: InitialRead,
     control: WeakActorRef<Control<P>>,
 ) {
     while let Some(changes) = list.changes.recv().await {
-        tell(&control, Event::Listed(changes)).await;
+        tell(&control, Event::WorkersChanged(changes)).await;
     }
     let Ok(mut follower) = list.follower.await else {
-        // The runtime is ending.
+        // The runtime is shutting down.
         return;
     };
-    // Without a configuration no entry can be matched, and no job be taken.
+    // Without a configuration, entries can't be matched and jobs can't be accepted.
     let mut configs = shared.config.subscribe();
     let configured = configs.wait_for(Option::is_some);
     // The sender lives as long as this task.
@@ -161,27 +162,31 @@
             pause().await;
             continue;
         };
-        tell(&control, Event::Listed(changes)).await;
-        sleep(WORKERS_EVERY).await;
+        tell(&control, Event::WorkersChanged(changes)).await;
+        sleep(LIST_READ_INTERVAL).await;
     }
 }
 
-/// Takes in what a read of the list brought; returns what the engine has to know of it.
-fn take<P: Platform>(shared: &Shared<P>, listing: &mut Listing, batch: Batch) -> Vec<Change> {
+/// Applies a batch of the list; returns the changes for the engine.
+fn apply_batch<P: Platform>(
+    shared: &Shared<P>,
+    listing: &mut Listing,
+    batch: Batch,
+) -> Vec<Change> {
     let page = match batch {
         Batch::Whole(page) => {
-            listing.begin();
+            listing.begin_full_read();
             page
         }
         Batch::More(page) => page,
     };
     let config = shared.config.borrow().clone();
-    let again = config.map(|config| listing.configure(&config));
+    let reprocessed = config.map(|config| listing.configure(&config));
     let mut changes = Vec::new();
-    for record in again.into_iter().flatten().chain(page.records) {
-        match listing.take(&shared.platform, &record) {
-            Entry::Good(registration) => changes.push(Change::Registered(registration)),
-            Entry::Foreign(worker, fault) => {
+    for record in reprocessed.into_iter().flatten().chain(page.records) {
+        match listing.apply(&shared.platform, &record) {
+            Entry::Valid(registration) => changes.push(Change::Registered(registration)),
+            Entry::Invalid(worker, fault) => {
                 shared.turn_away("workers", &Rejected::record(&record, fault));
                 changes.push(Change::Distrusted(worker));
             }
@@ -191,7 +196,7 @@
     let unread = page.rejected.into_iter();
     for key in unread.filter_map(|rejected| rejected.key) {
         let worker = WorkerId::from(key);
-        listing.note(worker.clone());
+        listing.mark_listed(worker.clone());
         changes.push(Change::Distrusted(worker));
     }
     changes
