--- a/crates/node/src/member/follow.rs
+++ b/crates/node/src/member/follow.rs
@@ -1,4 +1,5 @@
-//! What a node does that doesn't own the cell: it believes the owner well, or claims the cell.
+//! The tasks of a node that doesn't own the cell: checks that the owner is alive, and claims the
+//! cell if it isn't.
 
 use std::time::Duration;
 
@@ -15,14 +16,14 @@
 };
 
 use super::{
-    HELLO_PATIENCE,
-    STORE_TIMES,
-    Seen,
+    HELLO_TIMEOUT,
+    Observation,
+    STORE_LATENCY_FACTOR,
+    adopt_peer_claim,
     append,
-    hear_of_owner,
-    hearsay,
-    read,
-    try_read, //
+    ask_peers_for_claim,
+    read_claim,
+    try_read_claim, //
 };
 use crate::{
     message::{
@@ -44,37 +45,39 @@
 };
 
 /// How often a node asks the owner whether it still owns the cell.
-const HELLO: Duration = Duration::from_millis(250);
-/// How often a node that the owner outranks does; 30 of them greeting four times a second took the owner
-/// a hundredth of a core.
-const WEAK_HELLO: Duration = Duration::from_millis(700);
-/// What the first greeting of a node takes of a new owner's time, with its connection.
-const GREETING: Duration = Duration::from_millis(1);
-/// A claim that was not renewed for this long, beside the store's usual time, has lapsed: two renewals.
-/// Only an owner that doesn't answer is judged by it. It may be short, since a claim that turns out to be
-/// wrong costs a takeover of some 0.1 s, and each 0.1 s without an owner some 5 urgent jobs.
+const HELLO_INTERVAL: Duration = Duration::from_millis(250);
+/// How often a node that is weaker than the owner asks. With 30 nodes greeting four times a second,
+/// answering them took a hundredth of a core of the owner.
+const WEAK_HELLO_INTERVAL: Duration = Duration::from_millis(700);
+/// How much of a new owner's time the first greeting of a node takes, with its connection.
+const FIRST_HELLO_COST: Duration = Duration::from_millis(1);
+/// A claim that was not renewed for this long, in addition to the allowance for the store's usual
+/// call time, has lapsed. It spans two renewals, and applies only to an owner that doesn't answer.
+/// It may be short, since a claim made by mistake costs a takeover of some 0.1 s, and each 0.1 s
+/// without an owner some 5 urgent jobs.
 const LEASE: Duration = Duration::from_millis(700);
-/// An owner that is silent for this long has its renewals watched.
-const SILENCE: Duration = Duration::from_millis(200);
-/// For this long a weak or slow node leaves the cell to others: their jitter and a slow append.
-const WEAK_WAIT: Duration = Duration::from_millis(250);
-/// Claimants wait up to this long, so that they don't all append at once.
-const JITTER: Duration = Duration::from_millis(60);
+/// Once an owner has not answered for this long, its renewals are checked in the store.
+const SILENCE_THRESHOLD: Duration = Duration::from_millis(200);
+/// How long a weak or slow node leaves the cell to others before it claims it: covers their jitter
+/// and a slow append.
+const WEAK_CLAIM_DELAY: Duration = Duration::from_millis(250);
+/// The longest random delay before a claim, so that nodes don't all append at once.
+const MAX_CLAIM_JITTER: Duration = Duration::from_millis(60);
 
-/// Returns how long a claim that is not renewed stands.
-fn lease<P: Platform>(shared: &Shared<P>) -> Duration {
-    LEASE + STORE_TIMES * shared.store.usual()
+/// Returns how long a claim stands without renewal.
+fn lapse_time<P: Platform>(shared: &Shared<P>) -> Duration {
+    LEASE + STORE_LATENCY_FACTOR * shared.store.usual()
 }
 
-/// Reads the newest claim again; a renewal that was seen before keeps its age.
-async fn reread<P: Platform>(shared: &Shared<P>, seen: Seen) -> Seen {
-    match try_read(shared).await {
+/// Reads the newest claim again. A renewal that was seen before keeps the time it was first seen.
+async fn reread<P: Platform>(shared: &Shared<P>, seen: Observation) -> Observation {
+    match try_read_claim(shared).await {
         Some(newer) if newer.end == seen.end => seen,
         Some(newer) => newer,
         None => {
             pause().await;
-            // The lease counts only while the store is known to answer.
-            Seen {
+            // Time in which the store isn't known to answer doesn't count towards the lease.
+            Observation {
                 since: Instant::now(),
                 ..seen
             }
@@ -82,11 +85,11 @@
     }
 }
 
-/// What is believed of the owner.
-enum Belief {
-    /// It answers as the owner, under a claim that was renewed so often.
-    Well(u32),
-    /// It is gone, or says that it doesn't own the cell.
+/// What this node concludes about the owner.
+enum OwnerStatus {
+    /// It answers as the owner; carries how often its claim has been renewed.
+    Alive(u32),
+    /// It is gone, or says that it doesn't own the cell; carries the evidence.
     Vacant(&'static str),
     /// It gave no answer.
     Silent,
@@ -94,66 +97,70 @@
     Replaced(Claim),
 }
 
-fn epoch(seen: &Seen) -> Option<Epoch> {
+fn epoch(seen: &Observation) -> Option<Epoch> {
     seen.claim.as_ref().map(|claim| claim.epoch)
 }
 
-/// Follows the owner until there is another claim.
-pub(super) async fn follow<P: Platform>(shared: &Shared<P>, mut seen: Seen) -> Seen {
-    let mut answered = Instant::now();
-    // How often the claim had been renewed by then, where the owner has said so.
-    let mut renewed = 0;
-    let first = first_hello_pause(shared, seen.claim.as_ref());
-    let _ = timeout(first, shared.vacant.notified()).await;
+/// Checks on the owner until there is another claim.
+pub(super) async fn follow<P: Platform>(shared: &Shared<P>, mut seen: Observation) -> Observation {
+    let mut last_answer_at = Instant::now();
+    // How often the claim had been renewed when the owner last answered; 0 before its first answer.
+    let mut renewals = 0;
+    let delay = first_hello_delay(shared, seen.claim.as_ref());
+    let _ = timeout(delay, shared.vacant.notified()).await;
     loop {
-        if let Some(newer) = told(shared, &seen) {
+        if let Some(newer) = newer_claim(shared, &seen) {
             return newer;
         }
-        let belief = believe(shared, seen.claim.as_ref()).await;
-        let why = match belief {
-            Belief::Well(renewal) => {
-                answered = Instant::now();
-                renewed = renewal;
-                // A released claim or a peer's word may come before the next exchange.
-                let pause = hello_pause(shared, seen.claim.as_ref());
-                let _ = timeout(pause, shared.vacant.notified()).await;
+        let status = check_owner(shared, seen.claim.as_ref()).await;
+        let why = match status {
+            OwnerStatus::Alive(renewal) => {
+                last_answer_at = Instant::now();
+                renewals = renewal;
+                // A release of the claim or a message from a peer may arrive before the next
+                // greeting is due.
+                let interval = hello_interval(shared, seen.claim.as_ref());
+                let _ = timeout(interval, shared.vacant.notified()).await;
                 continue;
             }
-            Belief::Replaced(claim) => return hearsay(shared, claim),
-            Belief::Vacant(why) => why,
-            Belief::Silent => {
-                if answered.elapsed() >= SILENCE {
+            OwnerStatus::Replaced(claim) => return adopt_peer_claim(shared, claim),
+            OwnerStatus::Vacant(why) => why,
+            OwnerStatus::Silent => {
+                if last_answer_at.elapsed() >= SILENCE_THRESHOLD {
                     let before = epoch(&seen);
                     seen = reread(shared, seen).await;
                     if epoch(&seen) != before {
                         return seen;
                     }
                     let renewal = seen.claim.as_ref().map(|claim| claim.renewal);
-                    if renewal.is_some_and(|renewal| renewal <= renewed) {
-                        // It was not renewed since the owner last answered.
+                    if renewal.is_some_and(|renewal| renewal <= renewals) {
+                        // The claim was not renewed since the owner last answered.
                         let regained = shared.store.regained();
-                        seen.since = succession::silent_since(seen.since, answered, regained);
+                        seen.since = succession::silent_since(seen.since, last_answer_at, regained);
                     }
                 }
-                if answered.elapsed() < SILENCE || seen.since.elapsed() < lease(shared) {
-                    sleep(HELLO / 4).await;
+                if last_answer_at.elapsed() < SILENCE_THRESHOLD
+                    || seen.since.elapsed() < lapse_time(shared)
+                {
+                    sleep(HELLO_INTERVAL / 4).await;
                     continue;
                 }
                 "lapsed"
             }
         };
         if shared.is_leaving() {
-            sleep(HELLO).await;
+            sleep(HELLO_INTERVAL).await;
             return reread(shared, seen).await;
         }
-        sleep(wait_before_claim(shared)).await;
-        // Renewals have moved the end since the claim was read, and another may have come first.
-        if let Some(newer) = told(shared, &seen) {
+        sleep(claim_delay(shared)).await;
+        // Renewals have moved the end of the topic since the claim was read, and another node may
+        // have claimed the cell first.
+        if let Some(newer) = newer_claim(shared, &seen) {
             return newer;
         }
-        let Some(fresh) = try_read(shared).await else {
-            if let Some(claim) = hear_of_owner(shared).await {
-                return hearsay(shared, claim);
+        let Some(fresh) = try_read_claim(shared).await else {
+            if let Some(claim) = ask_peers_for_claim(shared).await {
+                return adopt_peer_claim(shared, claim);
             }
             pause().await;
             return seen;
@@ -161,93 +168,105 @@
         if epoch(&fresh) != epoch(&seen) {
             return fresh;
         }
-        return claim(shared, fresh, why).await;
+        return claim_cell(shared, fresh, why).await;
     }
 }
 
-/// Returns the claim that another node has told of, where it is a later one.
-fn told<P: Platform>(shared: &Shared<P>, seen: &Seen) -> Option<Seen> {
+/// Returns the claim that another node has reported, if it is a later one.
+fn newer_claim<P: Platform>(shared: &Shared<P>, seen: &Observation) -> Option<Observation> {
     let known = shared.claim.borrow().clone()?;
-    let is_news = epoch(seen).is_none_or(|epoch| epoch < known.epoch);
-    is_news.then(|| hearsay(shared, known))
+    let is_newer = epoch(seen).is_none_or(|epoch| epoch < known.epoch);
+    is_newer.then(|| adopt_peer_claim(shared, known))
 }
 
-async fn believe<P: Platform>(shared: &Shared<P>, claim: Option<&Claim>) -> Belief {
+async fn check_owner<P: Platform>(shared: &Shared<P>, claim: Option<&Claim>) -> OwnerStatus {
     let Some(claim) = claim else {
-        return Belief::Vacant("first");
+        return OwnerStatus::Vacant("first");
     };
     if claim.released {
-        return Belief::Vacant("released");
+        return OwnerStatus::Vacant("released");
     }
     if claim.node == shared.name {
-        // It is this node's, and this process doesn't hold it.
-        return Belief::Vacant("former-life");
+        // The claim is this node's, but this process doesn't hold it.
+        return OwnerStatus::Vacant("former-life");
     }
     let hello = Question::Hello(shared.greeting());
     let asked = Instant::now();
-    match message::ask(&shared.rpc, claim.address, &hello, HELLO_PATIENCE).await {
+    match message::ask(&shared.rpc, claim.address, &hello, HELLO_TIMEOUT).await {
         Ok(Reply::Owner(newer, extent)) if newer.epoch == claim.epoch => {
             shared.note_spread(&newer);
             if let Some(extent) = extent {
                 operator::confirm(shared, extent, asked);
             }
-            Belief::Well(newer.renewal)
+            OwnerStatus::Alive(newer.renewal)
         }
-        Ok(Reply::Owner(newer, _)) if newer.epoch > claim.epoch => Belief::Replaced(newer),
+        Ok(Reply::Owner(newer, _)) if newer.epoch > claim.epoch => OwnerStatus::Replaced(newer),
         Ok(Reply::NotOwner {
             claim: known,
             incarnation,
-        }) => disowned(claim, known, incarnation),
-        Err(rpc::Error::Refused { .. }) => Belief::Vacant("refused"),
-        Ok(_) | Err(_) => Belief::Silent,
+        }) => interpret_disavowal(claim, known, incarnation),
+        Err(rpc::Error::Refused { .. }) => OwnerStatus::Vacant("refused"),
+        Ok(_) | Err(_) => OwnerStatus::Silent,
     }
 }
 
-/// Says what it means that a claim's node doesn't own the cell.
-fn disowned(claim: &Claim, known: Option<Claim>, incarnation: u64) -> Belief {
+/// Interprets the answer of a claim's node that it doesn't own the cell.
+fn interpret_disavowal(claim: &Claim, known: Option<Claim>, incarnation: u64) -> OwnerStatus {
     let epoch = known.as_ref().map(|known| known.epoch).unwrap_or_default();
     match known {
-        Some(newer) if newer.epoch > claim.epoch => Belief::Replaced(newer),
-        // It has not heard yet that its own claim was kept.
-        _ if incarnation == claim.incarnation && epoch < claim.epoch => Belief::Silent,
-        _ => Belief::Vacant("disowned"),
+        Some(newer) if newer.epoch > claim.epoch => OwnerStatus::Replaced(newer),
+        // It has not learnt yet that its own claim was stored.
+        _ if incarnation == claim.incarnation && epoch < claim.epoch => OwnerStatus::Silent,
+        _ => OwnerStatus::Vacant("disowned"),
     }
 }
 
-/// Returns how long to wait before a new owner is greeted first: it reads and takes in what is on record just then, and each
-/// greeting takes a part of that time. Strong nodes, which give its orders, don't wait.
-fn first_hello_pause<P: Platform>(shared: &Shared<P>, owner: Option<&Claim>) -> Duration {
+/// Returns how long to wait before the first greeting of a new owner: it is busy with reading the
+/// stored state and applying it, and each greeting takes some of that time. Strong nodes, which
+/// send its orders, don't wait.
+fn first_hello_delay<P: Platform>(shared: &Shared<P>, owner: Option<&Claim>) -> Duration {
     let owner = owner.filter(|owner| outranks(owner.strength, shared.strength));
-    let most = owner.map_or(Duration::ZERO, |owner| GREETING * owner.nodes);
-    most.min(WEAK_HELLO).mul_f64(random_range(0.0..=1.0))
+    let max_delay = owner.map_or(Duration::ZERO, |owner| FIRST_HELLO_COST * owner.nodes);
+    max_delay
+        .min(WEAK_HELLO_INTERVAL)
+        .mul_f64(random_range(0.0..=1.0))
 }
 
-/// Returns how long to wait between two greetings: weak nodes leave it to others to find the owner gone.
-fn hello_pause<P: Platform>(shared: &Shared<P>, owner: Option<&Claim>) -> Duration {
+/// Returns how long to wait between two greetings: weak nodes leave it to others to notice that the
+/// owner is gone.
+fn hello_interval<P: Platform>(shared: &Shared<P>, owner: Option<&Claim>) -> Duration {
     let is_weak = owner.is_some_and(|owner| outranks(owner.strength, shared.strength));
-    if is_weak { WEAK_HELLO } else { HELLO }
+    if is_weak {
+        WEAK_HELLO_INTERVAL
+    } else {
+        HELLO_INTERVAL
+    }
 }
 
-/// Returns how long to wait before a claim: nodes that are weaker than an owner that they have known leave the cell to
-/// others like it, and slow ones to quick ones.
+/// Returns how long to wait before a claim: nodes weaker than the strongest owner that they have
+/// known leave the cell to nodes of that owner's strength, and slow nodes leave it to fast ones.
 ///
-/// The last owner is no measure: once a weak node had the cell, others like it claimed it as soon as the strong ones, and
-/// lost it again, for 10 s in a row.
-fn wait_before_claim<P: Platform>(shared: &Shared<P>) -> Duration {
+/// Comparing with the last owner would not do: once a weak node had the cell, others like it
+/// claimed it as soon as the strong ones did, and lost it again, for 10 s in a row.
+fn claim_delay<P: Platform>(shared: &Shared<P>) -> Duration {
     let is_weak = outranks(shared.strongest(), shared.strength);
-    let is_late = !succession::is_quick(shared.pulse.timers());
-    let least = match is_weak || is_late {
-        true => WEAK_WAIT,
+    let is_slow = !succession::is_quick(shared.pulse.timers());
+    let min_delay = match is_weak || is_slow {
+        true => WEAK_CLAIM_DELAY,
         false => Duration::ZERO,
     };
-    least + JITTER.mul_f64(random_range(0.0..=1.0))
+    min_delay + MAX_CLAIM_JITTER.mul_f64(random_range(0.0..=1.0))
 }
 
 /// Claims the cell, if the claim that was seen is still the newest.
-async fn claim<P: Platform>(shared: &Shared<P>, seen: Seen, why: &'static str) -> Seen {
-    let former = seen.claim.as_ref().map(|claim| claim.epoch);
+async fn claim_cell<P: Platform>(
+    shared: &Shared<P>,
+    seen: Observation,
+    why: &'static str,
+) -> Observation {
+    let previous_epoch = seen.claim.as_ref().map(|claim| claim.epoch);
     let claim = Claim {
-        epoch: former.unwrap_or_default().next(),
+        epoch: previous_epoch.unwrap_or_default().next(),
         node: shared.name.clone(),
         address: shared.address,
         incarnation: shared.incarnation,
@@ -269,16 +288,16 @@
     match result {
         Ok(end) => {
             shared.note_claim(claim.clone());
-            Seen {
+            Observation {
                 claim: Some(claim),
                 end,
                 since: Instant::now(),
             }
         }
-        Err(Error::Moved { .. }) => read(shared).await,
+        Err(Error::Moved { .. }) => read_claim(shared).await,
         Err(_) => {
             pause().await;
-            read(shared).await
+            read_claim(shared).await
         }
     }
 }
--- a/crates/node/src/member/isolation.rs
+++ b/crates/node/src/member/isolation.rs
@@ -1,4 +1,4 @@
-//! Whether the store is away for this node alone.
+//! Detects whether the store is unreachable for this node alone.
 
 use std::{
     sync::{
@@ -10,7 +10,7 @@
 
 use tokio::time::sleep;
 
-use super::PROBE;
+use super::PROBE_TIMEOUT;
 use crate::{
     message::{
         self,
@@ -21,20 +21,22 @@
     shared::Shared,
 };
 
-/// How often a node looks whether the store owes it an answer.
-const LOOK: Duration = Duration::from_millis(100);
-/// From so long on it asks the owner: it is known then when the store counts as away, after 0.5 s.
-const ASK: Duration = Duration::from_millis(250);
-/// What a way there and back takes beside the owner's own probe.
-const WAY: Duration = Duration::from_millis(50);
+/// How often a node checks for how long the store has not answered it.
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// Once the store has failed for this long, the node asks the owner, so that the answer is there
+/// when the store counts as down, after 0.5 s.
+const OWNER_QUERY_THRESHOLD: Duration = Duration::from_millis(250);
+/// The network round trip, in addition to the owner's own probe.
+const ROUND_TRIP_ALLOWANCE: Duration = Duration::from_millis(50);
 
-/// Finds out, for as long as the process runs, whether the store is away for this node alone.
+/// Detects whether the store is unreachable for this node alone, as long as the process runs.
 ///
-/// An owner that doesn't answer either is behind the same cut, or gone: others may serve in both cases.
+/// An owner that doesn't answer either is behind the same network cut, or gone; in both cases other
+/// nodes may be able to serve.
 pub(super) async fn run<P: Platform>(shared: Arc<Shared<P>>) {
     loop {
-        sleep(LOOK).await;
-        // The store may be back by the time that the owner has answered.
+        sleep(CHECK_INTERVAL).await;
+        // The store may be back by the time the owner has answered.
         let is_alone = is_failing(&shared) && is_alone(&shared).await && is_failing(&shared);
         if shared.is_alone.swap(is_alone, Ordering::Relaxed) != is_alone {
             slog::info!(shared.log, "alone"; "is" => is_alone,
@@ -44,15 +46,21 @@
 }
 
 fn is_failing<P: Platform>(shared: &Shared<P>) -> bool {
-    shared.store.failing_for() >= ASK
+    shared.store.failing_for() >= OWNER_QUERY_THRESHOLD
 }
 
 async fn is_alone<P: Platform>(shared: &Shared<P>) -> bool {
     let owner = shared.claim.borrow().as_ref().map(|claim| claim.address);
-    // The owner itself asks all others, and gives the cell up where it is alone.
+    // The owner asks all other nodes itself, and gives the cell up if it is isolated.
     let Some(owner) = owner.filter(|address| *address != shared.address) else {
         return false;
     };
-    let answer = message::ask(&shared.rpc, owner, &Question::Store, PROBE + WAY).await;
+    let answer = message::ask(
+        &shared.rpc,
+        owner,
+        &Question::Store,
+        PROBE_TIMEOUT + ROUND_TRIP_ALLOWANCE,
+    )
+    .await;
     !matches!(answer, Ok(Reply::Store(None)))
 }
--- a/crates/node/src/member/mod.rs
+++ b/crates/node/src/member/mod.rs
@@ -1,13 +1,13 @@
-//! Who owns the cell, and when this node claims it.
+//! Determines which node owns the cell, and when this node claims it.
 //!
-//! The owner is whoever wrote the newest claim; a claim is appended only where the one that it
-//! replaces is still the last record, so one of several claimants wins. Evidence that the owner is
-//! gone, best first: it has released the cell; its address refuses connections or is answered by a
-//! process that doesn't own the cell; its claim was not renewed for a lease while the store answered.
-
+//! The owner is the node that wrote the newest claim. A claim is appended only if the one that it
+//! replaces is still the last record, so exactly one of several claimants wins. Evidence that the
+//! owner is gone, strongest first: it has released the cell; its address refuses connections, or is
+//! answered by a process that doesn't own the cell; its claim was not renewed for a lease while the
+//! store answered.
 //!
-//! `follow` is what a node does that doesn't own the cell, `own` what the owner does, `isolation` finds out
-//! whether a node is alone without the store.
+//! `follow` holds the tasks of a node that doesn't own the cell, and `own` those of the owner;
+//! `isolation` detects whether the store fails for this node alone.
 
 mod follow;
 mod isolation;
@@ -53,84 +53,86 @@
     watch::pause,
 };
 
-/// The key of the claim.
-const KEY: &str = "owner";
-/// Which records are claims.
-const OWN: recall::Own<'static, Claim> = recall::Own {
-    key: |key| key == KEY,
+/// The key of the claim record.
+const CLAIM_KEY: &str = "owner";
+/// Which records are claims, and how they are decoded.
+const CLAIM_RECORDS: recall::Own<'static, Claim> = recall::Own {
+    key: |key| key == CLAIM_KEY,
     read: &|record| {
         let claim = record.value.as_ref();
         let claim = claim.map(|value| record::decode(value));
         claim.transpose().map_err(|_| Fault::Form)
     },
 };
-/// How long the owner may take to answer that: a way there and back takes 3 ms, and an owner whose share
-/// of its processor is used up some 80 ms.
-const HELLO_PATIENCE: Duration = Duration::from_millis(250);
-/// How long a renewal may take before it is read what became of it, beside the store's usual time.
-const RENEWAL_PATIENCE: Duration = Duration::from_millis(500);
-/// How many times the store's usual time a lease and a renewal may take longer.
-const STORE_TIMES: u32 = 3;
-/// How long the store may take to answer a node that is asked whether it does; it takes 4 ms, and
-/// 0.4 s on slow days.
-const PROBE: Duration = Duration::from_millis(450);
-
-/// For so long what the store told a node goes for others that ask it as well.
-const PROBE_HOLDS: Duration = Duration::from_millis(100);
-
-/// The newest claim as it was read, and where the topic ends.
-struct Seen {
+/// How long the owner may take to answer a greeting: a round trip takes 3 ms, and some 80 ms if the
+/// owner has used up its share of the processor.
+const HELLO_TIMEOUT: Duration = Duration::from_millis(250);
+/// How long a renewal may take before its outcome is read from the store, in addition to the
+/// allowance for the store's usual call time.
+const RENEWAL_TIMEOUT: Duration = Duration::from_millis(500);
+/// The allowance for a slow store in the length of a lease and of a renewal, as a multiple of the
+/// store's usual call time.
+const STORE_LATENCY_FACTOR: u32 = 3;
+/// How long the store may take to answer a probe, the call by which a node checks whether the store
+/// answers it. It takes 4 ms, and 0.4 s on slow days.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(450);
+
+/// How long the result of a probe is also given to other nodes that ask.
+const MAX_PROBE_AGE: Duration = Duration::from_millis(100);
+
+/// The newest claim as it was read, and the end of the topic at that time.
+struct Observation {
     claim: Option<Claim>,
     end: u64,
-    /// When this renewal was first seen.
+    /// When the latest renewal of the claim was first seen.
     since: Instant,
 }
 
-/// Follows the owner, or is it, for as long as the process runs.
+/// Follows the owner, or acts as the owner, as long as the process runs.
 pub(crate) async fn run<P: Platform>(shared: Arc<Shared<P>>) {
     tokio::spawn(isolation::run(shared.clone()));
-    let mut seen = read(&shared).await;
+    let mut seen = read_claim(&shared).await;
     loop {
-        let own = seen
+        let is_owner = seen
             .claim
             .as_ref()
             .is_some_and(|claim| is_own(&shared, claim));
-        match seen.claim.clone().filter(|_| own) {
+        match seen.claim.clone().filter(|_| is_owner) {
             Some(claim) => {
                 own_cell(&shared, claim, seen.end).await;
-                seen = read(&shared).await;
+                seen = read_claim(&shared).await;
             }
             None => seen = follow(&shared, seen).await,
         }
     }
 }
 
-/// Returns whether a claim is this process's own and stands.
+/// Returns whether a claim belongs to this process and has not been released.
 fn is_own<P: Platform>(shared: &Shared<P>, claim: &Claim) -> bool {
     claim.node == shared.name && claim.incarnation == shared.incarnation && !claim.released
 }
 
-/// Reads the newest claim until the store gives it, or another node tells of a newer one.
-async fn read<P: Platform>(shared: &Shared<P>) -> Seen {
+/// Reads the newest claim, retrying until the store answers or another node reports a newer one.
+async fn read_claim<P: Platform>(shared: &Shared<P>) -> Observation {
     loop {
-        if let Some(seen) = try_read(shared).await {
+        if let Some(seen) = try_read_claim(shared).await {
             return seen;
         }
-        if let Some(claim) = hear_of_owner(shared).await {
-            return hearsay(shared, claim);
+        if let Some(claim) = ask_peers_for_claim(shared).await {
+            return adopt_peer_claim(shared, claim);
         }
         pause().await;
     }
 }
 
-/// Asks the nodes that this one knows for a newer claim than its own.
-async fn hear_of_owner<P: Platform>(shared: &Shared<P>) -> Option<Claim> {
+/// Asks the nodes that this one knows for a claim newer than its own.
+async fn ask_peers_for_claim<P: Platform>(shared: &Shared<P>) -> Option<Claim> {
     let peers = shared.peers.lock().await.clone();
     let hello = Question::Hello(shared.greeting());
-    let asked = peers
+    let requests = peers
         .iter()
-        .map(|peer| message::ask(&shared.rpc, peer.address, &hello, HELLO_PATIENCE));
-    let answers = join_all(asked).await;
+        .map(|peer| message::ask(&shared.rpc, peer.address, &hello, HELLO_TIMEOUT));
+    let answers = join_all(requests).await;
     let claims = answers.into_iter().filter_map(|answer| match answer {
         Ok(Reply::Owner(claim, _)) => Some(claim),
         Ok(Reply::NotOwner { claim, .. }) => claim,
@@ -140,33 +142,33 @@
     (newest.epoch > shared.epoch()).then_some(newest)
 }
 
-/// Takes in a claim that another node told of; where the topic ends is not known then.
-fn hearsay<P: Platform>(shared: &Shared<P>, claim: Claim) -> Seen {
+/// Adopts a claim that another node has reported; the end of the topic isn't known then.
+fn adopt_peer_claim<P: Platform>(shared: &Shared<P>, claim: Claim) -> Observation {
     slog::info!(shared.log, "owner"; "epoch" => %claim.epoch, "node" => claim.node.as_str(),
         "address" => %claim.address, "released" => claim.released, "by" => "peer");
     shared.note_claim(claim.clone());
-    Seen {
+    Observation {
         claim: Some(claim),
         end: 0,
         since: Instant::now(),
     }
 }
 
-/// What the store told a node that probed it, and when.
+/// The result of the last probe of the store, and when it was made.
 #[derive(Debug, Default)]
 pub(crate) struct Probe(Mutex<Option<(Instant, Option<Duration>)>>);
 
-/// Returns how long the store takes to answer this node of late, if it does.
+/// Returns how long the store has recently taken to answer this node; `None` if it doesn't answer.
 ///
-/// All nodes of a cell that the store leaves alone ask the owner that, ten times a second each: they get what a call of its own
-/// has told just now, or share one probe.
+/// During an outage of the store, all nodes of the cell ask the owner for this, ten times a second
+/// each. They get the result of its latest call, or share one probe.
 pub(crate) async fn vouch<P: Platform>(shared: &Shared<P>) -> Option<Duration> {
-    if shared.store.has_answered_within(PROBE_HOLDS) {
+    if shared.store.has_answered_within(MAX_PROBE_AGE) {
         return Some(shared.store.usual());
     }
     let mut last = shared.probe.0.lock().await;
     if let Some((at, took)) = *last
-        && at.elapsed() <= PROBE_HOLDS
+        && at.elapsed() <= MAX_PROBE_AGE
     {
         return took;
     }
@@ -175,23 +177,23 @@
     took
 }
 
-/// Returns how long the store takes to answer this node now, if it does.
+/// Returns how long the store takes to answer this node; `None` if it doesn't answer.
 pub(crate) async fn probe<P: Platform>(shared: &Shared<P>) -> Option<Duration> {
     let began = Instant::now();
     let read = shared.newest("probe", Topic::Claims);
-    let answer = timeout(PROBE, read).await;
+    let answer = timeout(PROBE_TIMEOUT, read).await;
     matches!(answer, Ok(Ok(_))).then(|| began.elapsed())
 }
 
-/// Reads the newest claim that is one of this program's.
+/// Reads the newest claim that was written by this program.
 ///
-/// Another writer's word in its place ends no ownership: the last claim holds that the store still keeps, or
-/// else that is known here. Had the other writer been an owner after all, the store and the workers would
-/// refuse this one's orders by its epoch.
-async fn try_read<P: Platform>(shared: &Shared<P>) -> Option<Seen> {
+/// A foreign record in its place doesn't end an ownership: then the last claim that the store still
+/// has counts, or else the one known here. If the other writer was an owner after all, the store
+/// and the workers refuse this owner's orders by their epoch.
+async fn try_read_claim<P: Platform>(shared: &Shared<P>) -> Option<Observation> {
     let page = shared.newest("claims", Topic::Claims).await.ok()?;
     let end = page.next;
-    let settled = recall::settle(shared, Topic::Claims, "claims", page, OWN).await;
+    let settled = recall::settle(shared, Topic::Claims, "claims", page, CLAIM_RECORDS).await;
     let settled = settled.ok()?;
     let claim = match settled.found.into_iter().next() {
         Some(claim) => Some(claim),
@@ -208,16 +210,16 @@
     if let Some(claim) = &claim {
         shared.note_claim(claim.clone());
     }
-    Some(Seen {
+    Some(Observation {
         claim,
         end,
         since: Instant::now(),
     })
 }
 
-/// Returns whether it was the claim that was turned away.
+/// Returns whether a rejected record has the key of the claim.
 fn is_claim(rejected: &Rejected) -> bool {
-    rejected.key.as_deref() == Some(KEY)
+    rejected.key.as_deref() == Some(CLAIM_KEY)
 }
 
 async fn append<P: Platform>(shared: &Shared<P>, claim: &Claim, end: u64) -> Result<u64, Error> {
@@ -225,7 +227,7 @@
     let append = Append {
         topic: Topic::Claims,
         records: vec![Record {
-            key: KEY.to_owned(),
+            key: CLAIM_KEY.to_owned(),
             value: Some(value.into()),
         }],
         condition: Condition::EndsAt(end),
--- a/crates/node/src/member/own.rs
+++ b/crates/node/src/member/own.rs
@@ -1,4 +1,4 @@
-//! What the owner does: it renews its claim, and gives the cell up when it must.
+//! The tasks of the owner: renews its claim, and gives the cell up when it has to.
 
 use std::{
     pin::pin,
@@ -24,13 +24,13 @@
 };
 
 use super::{
-    HELLO_PATIENCE,
-    RENEWAL_PATIENCE,
-    STORE_TIMES,
+    HELLO_TIMEOUT,
+    RENEWAL_TIMEOUT,
+    STORE_LATENCY_FACTOR,
     append,
     is_own,
     probe,
-    try_read, //
+    try_read_claim, //
 };
 use crate::{
     message::{
@@ -57,39 +57,43 @@
 };
 
 /// How often the owner renews its claim.
-const RENEW: Duration = Duration::from_millis(300);
-/// An owner gives the cell up for a stronger node after this time: each change of owners costs 0.1 s.
-const TENURE: Duration = Duration::from_secs(3);
-/// For so long a leaving owner waits while the store is slow; the process serves its callers on for 3 s at the
-/// usual grace of 6 s.
-const LEAVES_WITHIN: Duration = Duration::from_secs(2);
-/// How often the owner weighs whether another should own the cell.
-const WEIGH: Duration = Duration::from_millis(100);
-/// A node that greeted the owner longer ago takes nothing over: weak ones greet each 0.7 s.
-const FRESH: Duration = Duration::from_millis(1_000);
-/// After this long without the store the owner asks the others whether it is away for them too.
-const ASK_PEERS: Duration = Duration::from_millis(250);
-/// How many of the others it asks. Where the store answers half of them, one of eight tells so but once in 256 times, and
-/// others are asked 0.1 s later.
-const ASKED: usize = 8;
-/// How much longer than another node's the owner's own probe may take: nodes notice the store's return within
-/// some 60 ms of each other.
-const BACK: Duration = Duration::from_millis(100);
-/// How often the owner looks whether the store owes it an answer for so long.
-const DOUBT: Duration = Duration::from_millis(100);
-/// Without the store and without any other node the owner stops giving orders after this long. With the
-/// time in which it notices, that is what the next owner waits longer for leases of silent workers.
-const ALONE: Duration = Duration::from_millis(1_200);
+const LEASE_RENEWAL_INTERVAL: Duration = Duration::from_millis(300);
+/// How long an owner keeps the cell before a stronger node may replace it: each change of owner
+/// costs 0.1 s.
+const MIN_TENURE: Duration = Duration::from_secs(3);
+/// How long a leaving owner waits at most while the store is slow. With the usual grace period of
+/// six seconds, the process goes on serving its callers for 3 s.
+const MAX_LEAVE_DELAY: Duration = Duration::from_secs(2);
+/// How often the owner checks whether another node should own the cell.
+const SUCCESSION_CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// Nodes whose last greeting is older than this don't succeed the owner; weak nodes greet it every
+/// 0.7 s.
+const MAX_GREETING_AGE: Duration = Duration::from_millis(1_000);
+/// Once the store has failed for this long, the owner asks other nodes whether it fails for them
+/// too.
+const PEER_QUERY_THRESHOLD: Duration = Duration::from_millis(250);
+/// How many other nodes the owner asks. If the store answers half of them, all eight report a
+/// failure only once in 256 times, and other nodes are asked 0.1 s later.
+const MAX_QUERIED_PEERS: usize = 8;
+/// How much longer the owner's own probe may take than another node's: after an outage, nodes
+/// notice that the store is back within some 60 ms of each other.
+const PROBE_LEEWAY: Duration = Duration::from_millis(100);
+/// How often the owner checks for how long the store has not answered it.
+const STORE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// How long an owner that reaches neither the store nor any other node goes on giving orders.
+/// Together with the time in which it notices, this is how much longer the next owner waits for the
+/// leases of silent workers.
+const MAX_ISOLATED_TIME: Duration = Duration::from_millis(1_200);
 
-/// Owns the cell until the claim is lost, given up or can't be trusted any more.
+/// Owns the cell until the claim is lost, given up, or can't be trusted any more.
 pub(super) async fn own_cell<P: Platform>(shared: &Arc<Shared<P>>, mut claim: Claim, mut end: u64) {
     shared.acting.send_replace(Some(Acting {
         claim: claim.clone(),
         seat: None,
     }));
-    // What was noticed of an earlier ownership doesn't end this one.
+    // Discards a notification that is left over from an earlier ownership.
     let _ = shared.stalled.notified().now_or_never();
-    let taking = tokio::spawn({
+    let takeover = tokio::spawn({
         let shared = shared.clone();
         let claim = claim.clone();
         async move { take_over(&shared, &claim).await.is_ok() }
@@ -97,88 +101,90 @@
     shared.pulse.forget_events();
     let (began, slow_owners) = (Instant::now(), claim.slow_owners);
     let ending = tokio::select! {
-        ending = dismissed(shared) => ending,
-        reason = relieved(shared, slow_owners) => Ending::Wanted(reason),
-        why = renew(shared, &mut claim, &mut end) => Ending::Forced(why),
-        why = doubt(shared) => Ending::Forced(why),
+        ending = wait_for_dismissal(shared) => ending,
+        reason = wait_for_better_owner(shared, slow_owners) => Ending::HandOver(reason),
+        why = renew_claim(shared, &mut claim, &mut end) => Ending::Lost(why),
+        why = wait_for_store_loss(shared) => Ending::Lost(why),
         () = shared.stalled.notified() => Ending::Released("stalled"),
     };
-    slog::info!(shared.log, "ownership-ends"; "epoch" => %claim.epoch, "why" => ending.word(),
+    slog::info!(shared.log, "ownership-ends"; "epoch" => %claim.epoch, "why" => ending.as_str(),
         "lag_ms" => millis(shared.pulse.owner()));
     let peers = shared.peers.lock().await.clone();
     if began.elapsed() >= succession::CALM {
         claim.slow_owners = 0;
     }
-    // While the successor's claim is on its way this node goes on deciding, unless its decisions are what
-    // keeps the claim from leaving.
-    if matches!(ending, Ending::Wanted(Reason::Slow)) {
-        depose(shared, &taking).await;
+    // This node goes on scheduling while the successor's claim is being written, unless the
+    // scheduling itself delays the write.
+    if matches!(ending, Ending::HandOver(Reason::Slow)) {
+        depose(shared, &takeover).await;
     }
     let successor = match ending {
-        Ending::Wanted(reason) => hand_over(shared, &claim, &mut end, reason).await,
-        Ending::Released(_) | Ending::Forced(_) => None,
+        Ending::HandOver(reason) => hand_over(shared, &claim, &mut end, reason).await,
+        Ending::Released(_) | Ending::Lost(_) => None,
     };
-    depose(shared, &taking).await;
+    depose(shared, &takeover).await;
     shared.acting.send_replace(None);
     if let Some(successor) = successor {
-        tell_of(shared, successor, &peers).await;
+        announce_successor(shared, successor, &peers).await;
         return;
     }
-    if matches!(ending, Ending::Wanted(_) | Ending::Released(_)) {
+    if matches!(ending, Ending::HandOver(_) | Ending::Released(_)) {
         claim.released = true;
-        // Without it the others see that this process is gone, or have seen it.
-        let _ = timeout(RENEWAL_PATIENCE, append(shared, &claim, end)).await;
+        // If the release isn't stored, the other nodes notice on their own that this process is
+        // gone.
+        let _ = timeout(RENEWAL_TIMEOUT, append(shared, &claim, end)).await;
     }
-    if ending.word() != "replaced" {
+    if ending.as_str() != "replaced" {
         let vacant = Question::Vacant(claim.epoch);
-        let told = peers
+        let notifications = peers
             .iter()
-            .map(|peer| message::ask(&shared.rpc, peer.address, &vacant, HELLO_PATIENCE));
-        join_all(told).await;
+            .map(|peer| message::ask(&shared.rpc, peer.address, &vacant, HELLO_TIMEOUT));
+        join_all(notifications).await;
     }
 }
 
 /// Stops the owner's actor, or the takeover that would start it.
-async fn depose<P: Platform>(shared: &Shared<P>, taking: &JoinHandle<bool>) {
-    taking.abort();
+async fn depose<P: Platform>(shared: &Shared<P>, takeover: &JoinHandle<bool>) {
+    takeover.abort();
     if let Some(control) = shared.control() {
-        // It may have ended already.
+        // The actor may have ended already.
         let _ = control.tell(Event::Deposed).await;
     }
 }
 
-/// How an ownership ends.
+/// Why an ownership ends.
 #[derive(Clone, Copy)]
 enum Ending {
-    /// This node wants another to own the cell.
-    Wanted(Reason),
-    /// It gives the cell up, to whoever claims it first.
+    /// This node wants another one to own the cell.
+    HandOver(Reason),
+    /// This node gives the cell up to whichever node claims it first.
     Released(&'static str),
-    /// It has lost the cell, or must not trust that it owns it.
-    Forced(&'static str),
+    /// This node has lost the cell, or can't be sure that it still owns it.
+    Lost(&'static str),
 }
 
 impl Ending {
-    const fn word(self) -> &'static str {
+    const fn as_str(self) -> &'static str {
         match self {
-            Self::Wanted(reason) => reason.word(),
-            Self::Released(why) | Self::Forced(why) => why,
+            Self::HandOver(reason) => reason.word(),
+            Self::Released(why) | Self::Lost(why) => why,
         }
     }
 }
 
 /// Claims the cell on behalf of the node that is to own it next.
 ///
-/// A claim in that node's name saves the store's time for a release and another claim, and the time in which
-/// many nodes would race for it: 1.3 s without an owner while the store took 0.35 s a call. Returns the claim
-/// once it is on record; `None` where nobody fits or the store didn't keep it.
+/// A claim in that node's name saves the store a release and another claim, and the time in which
+/// many nodes would compete for the cell: 1.3 s without an owner while the store took 0.35 s a
+/// call. Returns the claim once it is stored, and `None` if no node is suitable or the claim could
+/// not be stored.
 async fn hand_over<P: Platform>(
     shared: &Shared<P>,
     claim: &Claim,
     end: &mut u64,
     reason: Reason,
 ) -> Option<Claim> {
-    let greetings = greeted(shared).await;
+    let greetings = recent_greetings(shared).await;
     let lag = shared.pulse.owner();
     let next = succession::choose(shared.strength, lag, reason, &greetings)?;
     let successor = Claim {
@@ -196,22 +202,29 @@
             Reason::Outranked | Reason::Leaving => 0,
         },
     };
-    // The claim may be on record without an answer: this node must not go on for longer than without the store.
-    let patience = ALONE.min(RENEWAL_PATIENCE + STORE_TIMES * shared.store.usual());
-    let kept = timeout(patience, keep_successor(shared, &successor, end)).await;
-    let is_kept = matches!(kept, Ok(true));
+    // The claim may be stored although no answer arrives, so this node must not go on for longer
+    // than it would without the store.
+    let time_limit =
+        MAX_ISOLATED_TIME.min(RENEWAL_TIMEOUT + STORE_LATENCY_FACTOR * shared.store.usual());
+    let result = timeout(time_limit, append_successor(shared, &successor, end)).await;
+    let is_stored = matches!(result, Ok(true));
     slog::info!(shared.log, "hand-over"; "epoch" => %successor.epoch, "why" => reason.word(),
         "node" => successor.node.as_str(), "lag_ms" => millis(next.lag),
-        "age_ms" => millis(next.age), "outcome" => if is_kept { "kept" } else { "not-kept" });
-    is_kept.then_some(successor)
+        "age_ms" => millis(next.age), "outcome" => if is_stored { "kept" } else { "not-kept" });
+    is_stored.then_some(successor)
 }
 
-/// Appends a successor's claim; a renewal that was still on its way may have moved the end once.
-async fn keep_successor<P: Platform>(shared: &Shared<P>, successor: &Claim, end: &mut u64) -> bool {
+/// Appends a successor's claim, with one retry: a renewal that was still in flight may have moved
+/// the end of the topic.
+async fn append_successor<P: Platform>(
+    shared: &Shared<P>,
+    successor: &Claim,
+    end: &mut u64,
+) -> bool {
     if append(shared, successor, *end).await.is_ok() {
         return true;
     }
-    let Some(seen) = try_read(shared).await else {
+    let Some(seen) = try_read_claim(shared).await else {
         return false;
     };
     match seen.claim {
@@ -220,84 +233,94 @@
             *end = seen.end;
             append(shared, successor, *end).await.is_ok()
         }
-        // Another node's claim is the newest. What this one appends next, its release, must be refused: behind the
-        // newer claim it would bring the older epoch back, and the next owner would share an epoch with another.
+        // Another node's claim is the newest. What this node appends next, its release, must be
+        // refused: behind the newer claim it would bring back the older epoch, and the next owner
+        // would share an epoch with another one.
         _ => false,
     }
 }
 
-/// Tells the successor first, then the others, so that none of them claims the cell or asks this node.
-async fn tell_of<P: Platform>(shared: &Shared<P>, successor: Claim, peers: &[Peer]) {
+/// Tells the successor first and then the other nodes, so that none of them claims the cell or asks
+/// this node.
+async fn announce_successor<P: Platform>(shared: &Shared<P>, successor: Claim, peers: &[Peer]) {
     shared.note_claim(successor.clone());
     let handed = Question::Handed(successor.clone());
-    // Whoever is not reached hears of it at its next greeting.
-    let _ = message::ask(&shared.rpc, successor.address, &handed, HELLO_PATIENCE).await;
+    // A node that isn't reached learns of it with its next greeting.
+    let _ = message::ask(&shared.rpc, successor.address, &handed, HELLO_TIMEOUT).await;
     let others = peers
         .iter()
         .filter(|peer| peer.address != successor.address);
-    let told = others.map(|peer| message::ask(&shared.rpc, peer.address, &handed, HELLO_PATIENCE));
-    join_all(told).await;
+    let notifications =
+        others.map(|peer| message::ask(&shared.rpc, peer.address, &handed, HELLO_TIMEOUT));
+    join_all(notifications).await;
 }
 
-/// Returns what the nodes told of themselves that have greeted this one of late.
-async fn greeted<P: Platform>(shared: &Shared<P>) -> Vec<Greeting> {
+/// Returns the recent greetings of other nodes.
+async fn recent_greetings<P: Platform>(shared: &Shared<P>) -> Vec<Greeting> {
     let greetings = shared.greetings.lock().await;
-    let fresh = greetings.values().filter(|(_, at)| at.elapsed() < FRESH);
+    let fresh = greetings
+        .values()
+        .filter(|(_, at)| at.elapsed() < MAX_GREETING_AGE);
     fresh.map(|(greeting, _)| greeting.clone()).collect()
 }
 
-/// Waits until a worker or the store tells of a later owner, or the process is to end.
-async fn dismissed<P: Platform>(shared: &Shared<P>) -> Ending {
+/// Waits until a worker or the store reports a later owner, or the process is to end.
+async fn wait_for_dismissal<P: Platform>(shared: &Shared<P>) -> Ending {
     let mut acting = shared.acting.subscribe();
     loop {
         if acting.borrow_and_update().is_none() {
-            return Ending::Forced("fenced");
+            return Ending::Lost("fenced");
         }
         if shared.is_leaving() {
-            wait_for_quick_store(shared).await;
-            return Ending::Wanted(Reason::Leaving);
+            wait_while_store_slow(shared).await;
+            return Ending::HandOver(Reason::Leaving);
         }
         // The sender lives as long as this task.
         let _ = acting.changed().await;
     }
 }
 
-/// Waits for a moment while the store is slow: a change of owners takes four of its calls, and there is time
-/// for that before the process ends.
-async fn wait_for_quick_store<P: Platform>(shared: &Shared<P>) {
-    let until = Instant::now() + LEAVES_WITHIN;
+/// Waits while the store is slow, up to [`MAX_LEAVE_DELAY`]: a change of owner takes four store
+/// calls, and there is time for that before the process ends.
+async fn wait_while_store_slow<P: Platform>(shared: &Shared<P>) {
+    let until = Instant::now() + MAX_LEAVE_DELAY;
     while shared.store.is_slow() && Instant::now() < until {
-        sleep(WEIGH).await;
+        sleep(SUCCESSION_CHECK_INTERVAL).await;
     }
 }
 
-/// Waits until the cell should be handed to a node that is stronger or quicker, and there is one.
-async fn relieved<P: Platform>(shared: &Shared<P>, slow_owners: u8) -> Reason {
+/// Waits until another node should own the cell because it is stronger or faster; returns the
+/// reason.
+async fn wait_for_better_owner<P: Platform>(shared: &Shared<P>, slow_owners: u8) -> Reason {
     let began = Instant::now();
     loop {
-        sleep(WEIGH).await;
+        sleep(SUCCESSION_CHECK_INTERVAL).await;
         let owned = began.elapsed();
         let lag = shared.pulse.owner();
         let reason = match () {
             () if succession::is_slow(lag, owned, slow_owners) => Reason::Slow,
-            () if owned >= TENURE => Reason::Outranked,
+            () if owned >= MIN_TENURE => Reason::Outranked,
             () => continue,
         };
-        let greetings = greeted(shared).await;
+        let greetings = recent_greetings(shared).await;
         if succession::choose(shared.strength, lag, reason, &greetings).is_some() {
             return reason;
         }
     }
 }
 
-/// Renews the claim until it turns out to be replaced.
-async fn renew<P: Platform>(shared: &Shared<P>, claim: &mut Claim, end: &mut u64) -> &'static str {
+/// Renews the claim until it turns out that another one has replaced it.
+async fn renew_claim<P: Platform>(
+    shared: &Shared<P>,
+    claim: &mut Claim,
+    end: &mut u64,
+) -> &'static str {
     let mut is_certain = true;
     loop {
-        sleep(RENEW).await;
-        let patience = RENEWAL_PATIENCE + STORE_TIMES * shared.store.usual();
+        sleep(LEASE_RENEWAL_INTERVAL).await;
+        let time_limit = RENEWAL_TIMEOUT + STORE_LATENCY_FACTOR * shared.store.usual();
         if !is_certain {
-            match timeout(patience, try_read(shared)).await {
+            match timeout(time_limit, try_read_claim(shared)).await {
                 Ok(Some(seen)) if seen.claim.as_ref().is_some_and(|c| is_own(shared, c)) => {
                     *end = seen.end;
                     is_certain = true;
@@ -310,44 +333,45 @@
         let nodes = shared.peers.lock().await.len() + 1;
         claim.spread = claim.spread.renew(nodes);
         claim.nodes = u32::try_from(nodes).unwrap_or(u32::MAX);
-        match timeout(patience, append(shared, claim, *end)).await {
+        match timeout(time_limit, append(shared, claim, *end)).await {
             Ok(Ok(newer)) => {
                 *end = newer;
                 shared.note_spread(claim);
-                tell_renewal(shared, claim);
+                publish_renewal(shared, claim);
             }
             Ok(Err(_)) | Err(_) => is_certain = false,
         }
     }
 }
 
-/// Lets other nodes hear how often the claim was renewed.
-fn tell_renewal<P: Platform>(shared: &Shared<P>, claim: &Claim) {
+/// Updates the number of renewals and the spread that this node reports to other nodes.
+fn publish_renewal<P: Platform>(shared: &Shared<P>, claim: &Claim) {
     shared.acting.send_if_modified(|acting| {
         if let Some(acting) = acting {
             acting.claim.renewal = claim.renewal;
             acting.claim.spread = claim.spread;
         }
-        // Nobody waits for this change.
+        // No task waits for this change.
         false
     });
 }
 
-/// Waits until the owner must not go on since it can't reach the store; returns why.
+/// Waits until the owner has to stop because it can't reach the store; returns why.
 ///
-/// While the store is away for everybody nobody can claim the cell, so the owner goes on. Where it
-/// answers another node, that one may own the cell already or should.
-async fn doubt<P: Platform>(shared: &Shared<P>) -> &'static str {
+/// While the store is down for every node, none can claim the cell, so the owner goes on. If the
+/// store answers another node, that node may own the cell already, or should.
+async fn wait_for_store_loss<P: Platform>(shared: &Shared<P>) -> &'static str {
     loop {
-        sleep(DOUBT).await;
+        sleep(STORE_CHECK_INTERVAL).await;
         let failing = shared.store.failing_for();
-        if failing < ASK_PEERS {
+        if failing < PEER_QUERY_THRESHOLD {
             continue;
         }
         let mut peers = shared.peers.lock().await.clone();
-        // As many more are asked before this node is taken to be cut off from all of them.
-        if failing < ALONE {
-            sample(&mut peers);
+        // Once the limit is reached, all peers are asked before this node counts as cut off from
+        // them.
+        if failing < MAX_ISOLATED_TIME {
+            retain_sample(&mut peers);
         }
         let mut asked: FuturesUnordered<_> = peers
             .iter()
@@ -356,35 +380,40 @@
                     &shared.rpc,
                     peer.address,
                     &Question::Store,
-                    2 * HELLO_PATIENCE,
+                    2 * HELLO_TIMEOUT,
                 )
             })
             .collect();
-        // The store may just be back: then it answers this node as well, a moment later.
-        let mut own = pin!(probe(shared));
-        let mut heard = 0;
+        // If the store has just come back, it answers this node as well a moment later.
+        let mut own_probe = pin!(probe(shared));
+        let mut answers = 0;
         while let Some(answer) = asked.next().await {
             match answer {
                 // A store that is slow for the others is slow for the owner too.
-                Ok(Reply::Store(Some(took))) if failing >= ASK_PEERS + STORE_TIMES * took => {
-                    if matches!(timeout(took + BACK, &mut own).await, Ok(Some(_))) {
-                        heard += 1;
+                Ok(Reply::Store(Some(took)))
+                    if failing >= PEER_QUERY_THRESHOLD + STORE_LATENCY_FACTOR * took =>
+                {
+                    if matches!(
+                        timeout(took + PROBE_LEEWAY, &mut own_probe).await,
+                        Ok(Some(_))
+                    ) {
+                        answers += 1;
                         break;
                     }
                     return "store-answers-others";
                 }
-                Ok(_) => heard += 1,
+                Ok(_) => answers += 1,
                 Err(_) => {}
             }
         }
-        if heard == 0 && failing >= ALONE {
+        if answers == 0 && failing >= MAX_ISOLATED_TIME {
             return "alone";
         }
     }
 }
 
-/// Leaves some peers drawn at random, so that asking them costs the same in a cell of any size.
-fn sample(peers: &mut Vec<Peer>) {
+/// Keeps a random sample of the peers, so that asking them costs the same in a cell of any size.
+fn retain_sample(peers: &mut Vec<Peer>) {
     peers.shuffle(&mut rand::rng());
-    peers.truncate(ASKED);
+    peers.truncate(MAX_QUERIED_PEERS);
 }
