--- a/crates/node/src/member/follow.rs
+++ b/crates/node/src/member/follow.rs
@@ -46,10 +46,10 @@
 
 /// How often a node asks the owner whether it still owns the cell.
 const HELLO_INTERVAL: Duration = Duration::from_millis(250);
-/// How often a node that is weaker than the owner asks. With 30 nodes greeting four times a second,
+/// How often a node that is weaker than the owner asks. With 30 nodes asking four times a second,
 /// answering them took a hundredth of a core of the owner.
 const WEAK_HELLO_INTERVAL: Duration = Duration::from_millis(700);
-/// How much of a new owner's time the first greeting of a node takes, with its connection.
+/// How much of a new owner's time the first hello of a node takes, with its connection.
 const FIRST_HELLO_COST: Duration = Duration::from_millis(1);
 /// A claim that was not renewed for this long, in addition to the allowance for the store's usual
 /// call time, has lapsed. It spans two renewals, and applies only to an owner that doesn't answer.
@@ -117,8 +117,8 @@
             OwnerStatus::Alive(renewal) => {
                 last_answer_at = Instant::now();
                 renewals = renewal;
-                // A release of the claim or a message from a peer may arrive before the next
-                // greeting is due.
+                // A release of the claim or a message from a peer may arrive before the next hello
+                // is due.
                 let interval = hello_interval(shared, seen.claim.as_ref());
                 let _ = timeout(interval, shared.vacant.notified()).await;
                 continue;
@@ -221,9 +221,9 @@
     }
 }
 
-/// Returns how long to wait before the first greeting of a new owner: it is busy with reading the
-/// stored state and applying it, and each greeting takes some of that time. Strong nodes, which
-/// send its orders, don't wait.
+/// Returns how long to wait before the first hello to a new owner: it is busy with reading the
+/// stored state and applying it, and each hello takes some of that time. Strong nodes, which send
+/// its orders, don't wait.
 fn first_hello_delay<P: Platform>(shared: &Shared<P>, owner: Option<&Claim>) -> Duration {
     let owner = owner.filter(|owner| outranks(owner.strength, shared.strength));
     let max_delay = owner.map_or(Duration::ZERO, |owner| FIRST_HELLO_COST * owner.nodes);
@@ -232,7 +232,7 @@
         .mul_f64(random_range(0.0..=1.0))
 }
 
-/// Returns how long to wait between two greetings: weak nodes leave it to others to notice that the
+/// Returns how long to wait between two hellos: weak nodes leave it to others to notice that the
 /// owner is gone.
 fn hello_interval<P: Platform>(shared: &Shared<P>, owner: Option<&Claim>) -> Duration {
     let is_weak = owner.is_some_and(|owner| outranks(owner.strength, shared.strength));
--- a/crates/node/src/member/mod.rs
+++ b/crates/node/src/member/mod.rs
@@ -64,7 +64,7 @@
         claim.transpose().map_err(|_| Fault::Form)
     },
 };
-/// How long the owner may take to answer a greeting: a round trip takes 3 ms, and some 80 ms if the
+/// How long the owner may take to answer a hello: a round trip takes 3 ms, and some 80 ms if the
 /// owner has used up its share of the processor.
 const HELLO_TIMEOUT: Duration = Duration::from_millis(250);
 /// How long a renewal may take before its outcome is read from the store, in addition to the
--- a/crates/node/src/member/own.rs
+++ b/crates/node/src/member/own.rs
@@ -62,11 +62,11 @@
 /// costs 0.1 s.
 const MIN_TENURE: Duration = Duration::from_secs(3);
 /// How long a leaving owner waits at most while the store is slow. With the usual grace period of
-/// six seconds, the process goes on serving its callers for 3 s.
+/// 6 s, the process goes on serving its callers for 3 s.
 const MAX_LEAVE_DELAY: Duration = Duration::from_secs(2);
 /// How often the owner checks whether another node should own the cell.
 const SUCCESSION_CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// Nodes whose last greeting is older than this don't succeed the owner; weak nodes greet it every
+/// Nodes whose last greeting is older than this don't succeed the owner; weak nodes send one every
 /// 0.7 s.
 const MAX_GREETING_AGE: Duration = Duration::from_millis(1_000);
 /// Once the store has failed for this long, the owner asks other nodes whether it fails for them
--- a/crates/node/src/owner/control.rs
+++ b/crates/node/src/owner/control.rs
@@ -85,8 +85,8 @@
 /// closing.
 const ADVICE_TIMEOUT_MARGIN: Duration = Duration::from_millis(300);
 
-/// If no event arrives for this long, the process was not running: the actor gets a tick every 25
-/// ms. A claim lapses after 0.7 s, so another node may own the cell by then.
+/// If no event arrives for this long, the process was not running: the actor gets a tick every
+/// 25 ms. A claim lapses after 0.7 s, so another node may own the cell by then.
 const STALL_THRESHOLD: Duration = Duration::from_millis(900);
 
 /// The actor that holds the engine. Nothing else issues orders.
@@ -108,7 +108,7 @@
     suspended_total: Duration,
     pub(super) share: Share,
     pub(super) delegated: DelegatedOrders,
-    /// Batches of orders that other nodes are to send, by node address, until they are sent.
+    /// Batches of orders for other nodes to send to workers, by the address of the node.
     pub(super) batches: HashMap<SocketAddr, Vec<(u64, Order)>>,
     /// Whether a timer is already set for sending the batches.
     pub(super) is_batch_scheduled: bool,
--- a/crates/node/src/owner/takeover.rs
+++ b/crates/node/src/owner/takeover.rs
@@ -113,7 +113,7 @@
             Err(_) => pause().await,
         }
     }
-    // The list is read in the background, also after the records below have been read.
+    // The list is read in the background: the takeover doesn't wait for all of it.
     let list = workers::start_initial_read(shared);
     let ((progress, progress_took), ((partitions, found), jobs_took)) =
         futures::join!(timed(read_progress(shared)), timed(jobs::read_all(shared)));
