--- a/crates/node/src/edition.rs
+++ b/crates/node/src/edition.rs
@@ -1,7 +1,7 @@
-//! The configuration by word of the owner, while the store tells this node nothing.
+//! Reads the configuration from the owner while the store doesn't answer this node.
 //!
-//! The store may turn single machines away for seconds. An operator's change is in force on them as well then: a key that
-//! was taken away is refused there, and a new queue is known.
+//! The store may refuse single machines for seconds. With the owner's copy, an operator's change takes effect on them
+//! too: a revoked key is refused there, and a new queue is known.
 
 use std::{
     sync::Arc,
@@ -28,15 +28,15 @@
     watch::take_config,
 };
 
-/// After so long without a word of the store the owner is asked: a quiet store tells each 1 s that nothing has changed.
-const ASK_AFTER: Duration = Duration::from_millis(1_500);
-/// How often it is asked then.
-const ASK_EVERY: Duration = Duration::from_millis(500);
-/// How long it may take to answer; a configuration with a thousand queues takes 0.2 s over a link of 10 Mbit/s.
-const PATIENCE: Duration = Duration::from_millis(1_000);
+/// How long the store may be silent before the owner is asked. An idle store confirms every 1 s that nothing changed.
+const MAX_STORE_SILENCE: Duration = Duration::from_millis(1_500);
+/// The interval between questions to the owner.
+const POLL_INTERVAL: Duration = Duration::from_millis(500);
+/// The timeout of a question to the owner. A configuration with a thousand queues takes 0.2 s over a 10 Mbit/s link.
+const CALL_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// Returns what this node knows of the configuration, to one that knows some version.
-pub(crate) fn tell<P: Platform>(shared: &Shared<P>, known: u64) -> Edition {
+/// Returns this node's configuration for a peer that has version `known`; the record is left out if it isn't newer.
+pub(crate) fn current<P: Platform>(shared: &Shared<P>, known: u64) -> Edition {
     let version = version(shared);
     let record = shared.config_record.borrow().clone();
     let record = record.filter(|_| version > known);
@@ -47,11 +47,11 @@
     }
 }
 
-/// Asks the owner while the store tells this node nothing, for as long as the process runs.
-pub(crate) async fn hear<P: Platform>(shared: Arc<Shared<P>>) {
+/// Asks the owner for the configuration whenever the store is silent, for as long as the process runs.
+pub(crate) async fn poll_owner<P: Platform>(shared: Arc<Shared<P>>) {
     loop {
-        sleep(ASK_EVERY).await;
-        if shared.config_read.borrow().elapsed() < ASK_AFTER {
+        sleep(POLL_INTERVAL).await;
+        if shared.config_read.borrow().elapsed() < MAX_STORE_SILENCE {
             continue;
         }
         let owner = shared.claim.borrow().as_ref().map(|claim| claim.address);
@@ -60,15 +60,15 @@
         };
         let asked = Instant::now();
         let question = Question::Configuration(version(&shared));
-        let answer = message::ask(&shared.rpc, owner, &question, PATIENCE).await;
+        let answer = message::ask(&shared.rpc, owner, &question, CALL_TIMEOUT).await;
         if let Ok(Reply::Configuration(edition)) = answer {
-            take(&shared, edition, asked);
+            apply(&shared, edition, asked);
         }
     }
 }
 
-/// Takes in what the owner knows, which was asked at a moment.
-fn take<P: Platform>(shared: &Shared<P>, edition: Edition, asked: Instant) {
+/// Applies the owner's configuration, which was asked for at `asked`.
+fn apply<P: Platform>(shared: &Shared<P>, edition: Edition, asked: Instant) {
     if let Some((key, value)) = edition.record {
         let record = Record {
             key,
@@ -84,17 +84,17 @@
     if version(shared) != edition.version || edition.version == 0 {
         return;
     }
-    let Some(told) = asked.checked_sub(edition.age) else {
+    let Some(confirmed) = asked.checked_sub(edition.age) else {
         return;
     };
     shared.config_read.send_if_modified(|read| {
-        let is_news = told > *read;
-        *read = told.max(*read);
-        is_news
+        let is_newer = confirmed > *read;
+        *read = confirmed.max(*read);
+        is_newer
     });
 }
 
-/// Returns the version that is in force here; zero where there is none.
+/// Returns the version of the configuration in force on this node; zero if there is none.
 fn version<P: Platform>(shared: &Shared<P>) -> u64 {
     let config = shared.config.borrow();
     config.as_ref().map_or(0, |config| config.version)
--- a/crates/node/src/front/kept.rs
+++ b/crates/node/src/front/kept.rs
@@ -1,4 +1,4 @@
-//! How jobs and cancellations stand on record.
+//! The records of jobs and cancellations in the jobs topic.
 
 use fulmarpier_cell::{
     id::JobId,
@@ -16,29 +16,32 @@
     Record, //
 };
 
-/// What stands behind the job in the key of a cancellation. Each kind has a key of its own: one that comes again while
-/// nobody knows the job must not take the place of one that says that it was there.
-const SEEN: &str = "/x";
-const UNSEEN: &str = "/u";
-/// What stands before the workspace in a key. What one workspace puts on record never takes the place of another's, not
-/// even under one job id.
-const OF: char = '@';
-/// How many letters a job has.
-const JOB_LETTERS: usize = 16;
-/// What stands under the key of a cancellation.
-const CANCELLED: [u8; 1] = [1];
+/// The suffix after the job id in the key of a cancellation whose job was known to the owner.
+///
+/// The two kinds of cancellation have different keys, so that a repeated cancellation that finds the job unknown
+/// doesn't replace one that found the job.
+const SEEN_SUFFIX: &str = "/x";
+/// The suffix after the job id in the key of a cancellation whose job was unknown.
+const UNSEEN_SUFFIX: &str = "/u";
+/// The separator before the workspace in a key. With the workspace in the key, records of one workspace never replace
+/// those of another, even under the same job id.
+const WORKSPACE_SEPARATOR: char = '@';
+/// The length of a job id in a key, in bytes.
+const JOB_ID_LENGTH: usize = 16;
+/// The value of a cancellation record.
+const CANCELLATION_VALUE: [u8; 1] = [1];
 
-/// The key of a record of the jobs' topic.
+/// The key of a record in the jobs topic.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Key {
     job: JobId,
-    /// Which kind of cancellation stands there; none for an acceptance.
+    /// The kind of the cancellation; `None` for an acceptance.
     cancellation: Option<Cancellation>,
     workspace: Option<WorkspaceName>,
 }
 
 impl Key {
-    /// Returns the key of a job's acceptance.
+    /// Returns the key of the acceptance record of a job.
     pub(crate) const fn acceptance(job: JobId, workspace: Option<WorkspaceName>) -> Self {
         Self {
             job,
@@ -47,17 +50,17 @@
         }
     }
 
-    /// Reads a key; `None` where it is none of this program's.
-    pub(crate) fn read(text: &str) -> Option<Self> {
-        let (job, rest) = text.split_at_checked(JOB_LETTERS)?;
-        let (kind, workspace) = match rest.split_once(OF) {
+    /// Parses a key; returns `None` if it wasn't written by this program.
+    pub(crate) fn parse(text: &str) -> Option<Self> {
+        let (job, rest) = text.split_at_checked(JOB_ID_LENGTH)?;
+        let (kind, workspace) = match rest.split_once(WORKSPACE_SEPARATOR) {
             Some((kind, workspace)) => (kind, Some(workspace.parse().ok()?)),
             None => (rest, None),
         };
         let cancellation = match kind {
             "" => None,
-            SEEN => Some(Cancellation::Seen),
-            UNSEEN => Some(Cancellation::Unseen),
+            SEEN_SUFFIX => Some(Cancellation::Seen),
+            UNSEEN_SUFFIX => Some(Cancellation::Unseen),
             _ => return None,
         };
         Some(Self {
@@ -67,9 +70,9 @@
         })
     }
 
-    /// Returns the job whose acceptance stands under a key; `None` where that is another key.
+    /// Returns the job id if the key is one of an acceptance.
     pub(crate) fn accepted_job(text: &str) -> Option<JobId> {
-        let key = Self::read(text)?;
+        let key = Self::parse(text)?;
         key.cancellation.is_none().then_some(key.job)
     }
 }
@@ -78,18 +81,18 @@
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         let kind = match self.cancellation {
             None => "",
-            Some(Cancellation::Seen) => SEEN,
-            Some(Cancellation::Unseen) => UNSEEN,
+            Some(Cancellation::Seen) => SEEN_SUFFIX,
+            Some(Cancellation::Unseen) => UNSEEN_SUFFIX,
         };
         write!(f, "{}{kind}", self.job)?;
         match &self.workspace {
-            Some(workspace) => write!(f, "{OF}{workspace}"),
+            Some(workspace) => write!(f, "{WORKSPACE_SEPARATOR}{workspace}"),
             None => Ok(()),
         }
     }
 }
 
-/// Returns the record that keeps a cancellation.
+/// Returns the record of a cancellation.
 pub(crate) fn cancellation(cancelled: &Cancelled) -> Record {
     let key = Key {
         job: cancelled.job,
@@ -98,36 +101,36 @@
     };
     Record {
         key: key.to_string(),
-        value: Some(CANCELLED.to_vec().into()),
+        value: Some(CANCELLATION_VALUE.to_vec().into()),
     }
 }
 
-/// Reads a record of the jobs' topic.
+/// A decoded record of the jobs topic.
 pub(crate) enum JobRecord {
     /// A job was accepted.
     Accepted(Box<Accepted>),
     /// A job was cancelled.
     Cancelled(Cancelled),
-    /// A job stands there that can't be read: nobody can tell what it is, nor that there is none.
+    /// The record of a job can't be decoded: its content is unknown, but the job must not be reported as absent.
     Unreadable(JobId),
 }
 
 impl JobRecord {
-    /// Returns whether records of this program stand under a key.
+    /// Returns whether a key was written by this program.
     pub(crate) fn is_key(key: &str) -> bool {
-        Key::read(key).is_some()
+        Key::parse(key).is_some()
     }
 
-    /// Reads a record out of a partition; `None` where its key is removed.
+    /// Decodes a record of a partition; returns `None` if the record removes its key.
     ///
     /// # Errors
     ///
-    /// Fails where it is none of this program's: another writer's word cancels no job.
+    /// Fails if the record wasn't written by this program: a record of another writer must not cancel a job.
     pub(crate) fn read(record: &Record, partition: u16) -> Result<Option<Self>, Fault> {
         let Some(value) = &record.value else {
             return Ok(None);
         };
-        let key = Key::read(&record.key).ok_or(Fault::Key);
+        let key = Key::parse(&record.key).ok_or(Fault::Key);
         if let Ok(Key {
             job,
             cancellation: Some(cancellation),
@@ -139,8 +142,8 @@
                 workspace,
                 cancellation,
             };
-            let is_own = **value == CANCELLED;
-            let cancelled = is_own.then_some(Self::Cancelled(cancelled));
+            let is_valid = **value == CANCELLATION_VALUE;
+            let cancelled = is_valid.then_some(Self::Cancelled(cancelled));
             return cancelled.ok_or(Fault::Form).map(Some);
         }
         let accepted: Accepted = record::decode(value).map_err(|_| Fault::Form)?;
@@ -152,7 +155,7 @@
             return Err(Fault::Id);
         }
         Ok(Some(Self::Accepted(Box::new(Accepted {
-            // Its node's own partition may have refused it.
+            // If the store refused the node's own partition, the record is in a different one than it names.
             partition,
             ..accepted
         }))))
--- a/crates/node/src/front/mod.rs
+++ b/crates/node/src/front/mod.rs
@@ -1,6 +1,6 @@
-//! Takes, shows and cancels jobs at any node.
+//! Serves callers on any node: submits, looks up and cancels jobs.
 //!
-//! `owner` is how a node asks and tells the owner, `kept` how jobs stand on record.
+//! `owner` sends requests to the cell's owner; `kept` encodes and decodes the records of jobs and cancellations.
 
 mod kept;
 mod owner;
@@ -54,7 +54,7 @@
     intake::{
         self,
         Intake,
-        Kept, //
+        Outcome, //
     },
     message::{
         Absent,
@@ -69,42 +69,44 @@
     shared::Shared,
 };
 
-/// For so long after the store last told of it a configuration is taken for the newest. A new one has to be in
-/// force within 2 s; a quiet store tells each 1 s that there is none, and a slow one 1.4 s later.
-const CONFIG_FRESH: Duration = Duration::from_millis(2_500);
+/// The age, since the store last confirmed it, up to which a configuration counts as the newest.
+///
+/// A new configuration must be in force within 2 s. An idle store confirms every 1 s that there is none, and a slow
+/// store does so up to 1.4 s later.
+const MAX_FRESH_CONFIG_AGE: Duration = Duration::from_millis(2_500);
 
-/// Why a call did not get what it asked for.
+/// The reason why a caller's request failed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Refusal {
-    /// The node doesn't know the configuration, or not of late. Nothing was done.
+    /// The node has no configuration, or none that was confirmed recently. The request had no effect.
     #[error("the node does not know the present configuration")]
     NotReady,
-    /// The call shows no key of a workspace, or one that is not in force. Nothing was done.
+    /// The request carries no workspace key, or one that isn't valid. The request had no effect.
     #[error("the call shows no key that is in force")]
     Unauthorized,
-    /// There is no such queue. Nothing was done.
+    /// The queue doesn't exist. The request had no effect.
     #[error("there is no such queue")]
     NoQueue,
-    /// The job can't be run by anybody. Nothing was done.
+    /// The job specification is invalid. The request had no effect.
     #[error("the job is not valid: {0}")]
     Invalid(#[from] Invalid),
-    /// The store is away. The job was not taken and never runs.
+    /// The store is unavailable. The job wasn't stored and never runs.
     #[error("the store is away; the job was not taken")]
     NotKept,
-    /// Whether the job was taken can't be told in time.
+    /// The outcome isn't known before the deadline: the job may or may not be stored.
     #[error("whether it was taken can't be told in time")]
     Unknown,
-    /// Nobody who knows the jobs can be reached. Nothing was done.
+    /// The owner of the cell can't be reached. The request had no effect.
     #[error("the owner of the cell can't be reached")]
     NoOwner,
-    /// There is no such job.
+    /// The job doesn't exist.
     #[error("there is no such job")]
     NoJob,
 }
 
 impl Refusal {
-    /// Returns the bare word, for logs and counters.
-    pub const fn word(&self) -> &'static str {
+    /// Returns the label of this reason in logs and metrics.
+    pub const fn label(&self) -> &'static str {
         match self {
             Self::NotReady => "not-ready",
             Self::Unauthorized => "unauthorized",
@@ -118,12 +120,12 @@
     }
 }
 
-/// Takes, shows and cancels jobs; cheap to clone.
+/// Submits, looks up and cancels jobs for callers; cheap to clone.
 pub struct Front<P: Platform> {
     shared: Arc<Shared<P>>,
     intake: Intake,
     refusals: Arc<Mutex<Refusals>>,
-    /// The workspace of the callers that it serves, where they have one.
+    /// The workspace of the served callers, if they have one.
     workspace: Option<Arc<Workspace>>,
 }
 
@@ -148,48 +150,50 @@
         }
     }
 
-    /// Returns what serves the callers of a workspace.
-    pub fn of(&self, workspace: Option<Arc<Workspace>>) -> Self {
+    /// Returns a handle that serves the callers of a workspace.
+    pub fn for_workspace(&self, workspace: Option<Arc<Workspace>>) -> Self {
         Self {
             workspace,
             ..self.clone()
         }
     }
 
-    /// Returns what serves the callers who show a key, or none, at an ingress.
+    /// Authenticates a request at an ingress, with or without a key, and returns a handle that serves its caller.
     ///
     /// # Errors
     ///
-    /// Fails where the call shows no key that is in force and needs one, and where this node can't tell.
+    /// Fails if the request needs a valid key and has none, or if this node's configuration is too old to decide.
     pub fn authenticate(
         &self,
         config: &Config,
         ingress: &Ingress,
         key: Option<&KeyDigest>,
     ) -> Result<Self, Refusal> {
-        if config.directory.is_some() && self.is_outdated() {
-            self.report_key("not-ready", config, key);
+        if config.directory.is_some() && self.is_config_outdated() {
+            self.log_authentication("not-ready", config, key);
             return Err(Refusal::NotReady);
         }
         match config.authenticate(ingress, key) {
-            Ok(workspace) => Ok(self.of(workspace)),
+            Ok(workspace) => Ok(self.for_workspace(workspace)),
             Err(_) => {
-                let refusal = self.unless_stale(Refusal::Unauthorized);
-                self.report_key(refusal.word(), config, key);
+                let refusal = self.not_ready_if_stale(Refusal::Unauthorized);
+                self.log_authentication(refusal.label(), config, key);
                 Err(refusal)
             }
         }
     }
 
-    /// Returns whether this node's configuration may be older than what others have in force: the store left this node
-    /// alone some time ago. While it is away for all there is no newer one.
-    fn is_outdated(&self) -> bool {
+    /// Returns whether this node's configuration may be older than the one in force on other nodes.
+    ///
+    /// This is the case if the store has been unreachable for this node alone for some time. While the store is
+    /// unavailable for all nodes, there is no newer configuration, and only the revocation bound applies.
+    fn is_config_outdated(&self) -> bool {
         let is_alone = self.shared.is_alone.load(Ordering::Relaxed);
         let age = self.shared.config_read.borrow().elapsed();
-        (is_alone && age >= CONFIG_FRESH) || self.shared.revocation.forbids(age)
+        (is_alone && age >= MAX_FRESH_CONFIG_AGE) || self.shared.revocation.forbids(age)
     }
 
-    fn report_key(&self, outcome: &'static str, config: &Config, key: Option<&KeyDigest>) {
+    fn log_authentication(&self, outcome: &'static str, config: &Config, key: Option<&KeyDigest>) {
         self.shared.meter.request("authenticate", outcome);
         if !self.shared.meter.may_log("key") {
             return;
@@ -200,43 +204,43 @@
             "outcome" => outcome);
     }
 
-    fn viewer(&self) -> Option<&WorkspaceName> {
+    fn workspace_name(&self) -> Option<&WorkspaceName> {
         self.workspace.as_ref().map(|workspace| &workspace.name)
     }
 
-    /// Returns the configuration in force here, once there is one.
+    /// Returns the configuration in force on this node, once there is one.
     pub fn config(&self) -> Option<Arc<Config>> {
         self.shared.config.borrow().clone()
     }
 
-    /// Returns whether callers should be sent here.
+    /// Returns whether the load balancer should send callers to this node.
     pub fn is_ready(&self) -> bool {
         self.config().is_some()
             && !self.shared.is_leaving()
-            && !self.shared.store.is_away()
+            && !self.shared.store.is_unavailable()
             && self.shared.claim.borrow().is_some()
     }
 
-    /// Returns what to tell a caller whose queue the configuration in force here doesn't have.
+    /// Returns the refusal for a caller whose queue isn't in this node's configuration.
     ///
-    /// Out of an old configuration it says nothing of the queue, which may have come since.
+    /// This is [`Refusal::NotReady`] if the configuration is stale, because the queue may have been added since.
     pub fn missing_queue(&self) -> Refusal {
-        self.unless_stale(Refusal::NoQueue)
+        self.not_ready_if_stale(Refusal::NoQueue)
     }
 
-    /// Returns what to tell a caller by a configuration, unless there may be a newer one.
-    fn unless_stale(&self, refusal: Refusal) -> Refusal {
-        match self.shared.config_read.borrow().elapsed() < CONFIG_FRESH {
+    /// Returns `refusal`, which follows from the configuration, or [`Refusal::NotReady`] if the configuration is stale.
+    fn not_ready_if_stale(&self, refusal: Refusal) -> Refusal {
+        match self.shared.config_read.borrow().elapsed() < MAX_FRESH_CONFIG_AGE {
             true => refusal,
             false => Refusal::NotReady,
         }
     }
 
-    /// Takes a job; on success its record is kept.
+    /// Submits a job; on success, its record is stored.
     ///
     /// # Errors
     ///
-    /// Fails where the job was not taken, or where that can't be told by `deadline`.
+    /// Fails if the job wasn't stored, or if the outcome isn't known by `deadline`.
     pub async fn submit(
         &self,
         queue: &QueueName,
@@ -246,7 +250,7 @@
     ) -> Result<(), Refusal> {
         let began = Instant::now();
         let result = self.try_submit(queue, job, spec, deadline).await;
-        self.report("submit", job, queue, began.elapsed(), &result);
+        self.log_request("submit", job, queue, began.elapsed(), &result);
         result
     }
 
@@ -276,27 +280,27 @@
             return Err(Refusal::NotKept);
         };
         let record = Record {
-            key: Key::acceptance(job, self.viewer().cloned()).to_string(),
+            key: Key::acceptance(job, self.workspace_name().cloned()).to_string(),
             value: Some(value.into()),
         };
         let began = Instant::now();
         let is_announced = self.announce(&accepted);
-        let kept = self.intake.keep(&self.shared, record, deadline).await;
-        if !matches!(kept, Kept::In(_)) && is_announced {
-            self.tell_once(Question::Withdrawn(job));
+        let outcome = self.intake.write(&self.shared, record, deadline).await;
+        if !matches!(outcome, Outcome::Stored(_)) && is_announced {
+            self.notify_owner_once(Question::Withdrawn(job));
         }
-        match kept {
-            // Its own partition may have refused it.
-            Kept::In(partition) => accepted.partition = partition,
-            Kept::No => return Err(Refusal::NotKept),
-            Kept::Unknown => return Err(Refusal::Unknown),
+        match outcome {
+            // If the store refused this node's own partition, the record is in another one.
+            Outcome::Stored(partition) => accepted.partition = partition,
+            Outcome::NotStored => return Err(Refusal::NotKept),
+            Outcome::Unknown => return Err(Refusal::Unknown),
         }
         self.shared.meter.accepted(began.elapsed());
-        self.tell(Question::Accepted(Box::new(accepted)));
+        self.notify_owner(Question::Accepted(Box::new(accepted)));
         Ok(())
     }
 
-    /// Returns how long the caller of a job that was refused should wait before it comes back.
+    /// Returns how long the caller of a refused job should wait before it retries.
     pub fn come_back(&self, job: JobId) -> Duration {
         let is_alone = self.shared.is_alone.load(Ordering::Relaxed);
         let mut refusals = self.refusals.lock().unwrap_or_else(PoisonError::into_inner);
@@ -307,38 +311,38 @@
     ///
     /// # Errors
     ///
-    /// Fails where nobody knows the job, or nobody who could know it can be reached.
+    /// Fails if the owner doesn't know the job, or if the owner can't be reached.
     pub async fn look(&self, job: JobId) -> Result<State, Refusal> {
-        let reply = self.ask_owner(|asked| self.question(job, asked));
+        let reply = self.ask_owner(|asked| self.state_question(job, asked));
         match reply.await? {
             Reply::State(state) => Ok(state),
             Reply::Absent(absent) => {
-                self.report_absent(job, absent);
+                self.log_absent_job(job, absent);
                 Err(Refusal::NoJob)
             }
             _ => Err(Refusal::NoOwner),
         }
     }
 
-    fn question(&self, job: JobId, asked: Duration) -> Question {
+    fn state_question(&self, job: JobId, asked: Duration) -> Question {
         Question::Look {
             job,
-            viewer: self.viewer().cloned(),
+            viewer: self.workspace_name().cloned(),
             asked,
         }
     }
 
-    /// Returns how many jobs of a queue have begun nothing.
+    /// Returns the number of jobs in a queue of which no step has started.
     ///
     /// # Errors
     ///
-    /// Fails where there is no such queue or the owner can't be reached.
+    /// Fails if the queue doesn't exist or the owner can't be reached.
     pub async fn pending(&self, queue: &QueueName) -> Result<u32, Refusal> {
         let config = self.config().ok_or(Refusal::NotReady)?;
         if !config.queues.contains_key(queue) {
             return Err(self.missing_queue());
         }
-        let viewer = self.viewer().cloned();
+        let viewer = self.workspace_name().cloned();
         let reply = self.ask_owner(|_| Question::Pending(queue.clone(), viewer.clone()));
         match reply.await? {
             Reply::Pending(count) => Ok(count),
@@ -348,12 +352,12 @@
 
     /// Cancels a job.
     ///
-    /// That is on record when this returns, whether anybody knows the job or not: it may turn up later, and must not
-    /// start then.
+    /// When this returns, the cancellation is stored even if the job is unknown: its record may become visible later,
+    /// and the job must not start then.
     ///
     /// # Errors
     ///
-    /// Fails where there is no such job, or where the cancellation could not be kept.
+    /// Fails if the job doesn't exist or the cancellation couldn't be stored.
     pub async fn cancel(
         &self,
         queue: &QueueName,
@@ -362,12 +366,14 @@
     ) -> Result<(), Refusal> {
         let began = Instant::now();
         let result = self.try_cancel(job, deadline).await;
-        self.report("cancel", job, queue, began.elapsed(), &result);
+        self.log_request("cancel", job, queue, began.elapsed(), &result);
         result
     }
 
     async fn try_cancel(&self, job: JobId, deadline: Instant) -> Result<(), Refusal> {
-        let found = self.ask_once(&self.question(job, Duration::ZERO)).await;
+        let found = self
+            .ask_owner_once(&self.state_question(job, Duration::ZERO))
+            .await;
         let cancellation = match &found {
             Some(Reply::State(state)) if state.is_final() => return Ok(()),
             Some(Reply::State(_)) => Cancellation::Seen,
@@ -375,45 +381,46 @@
         };
         let cancelled = Cancelled {
             job,
-            workspace: self.viewer().cloned(),
+            workspace: self.workspace_name().cloned(),
             cancellation,
         };
         let record = kept::cancellation(&cancelled);
-        match self.intake.keep(&self.shared, record, deadline).await {
-            Kept::In(_) => {}
-            Kept::No => return Err(Refusal::NotKept),
-            Kept::Unknown => return Err(Refusal::Unknown),
+        match self.intake.write(&self.shared, record, deadline).await {
+            Outcome::Stored(_) => {}
+            Outcome::NotStored => return Err(Refusal::NotKept),
+            Outcome::Unknown => return Err(Refusal::Unknown),
         }
-        self.tell(Question::Cancelled(cancelled));
+        self.notify_owner(Question::Cancelled(cancelled));
         match found {
             Some(Reply::Absent(absent)) => {
-                self.report_absent(job, absent);
+                self.log_absent_job(job, absent);
                 Err(Refusal::NoJob)
             }
             _ => Ok(()),
         }
     }
 
-    /// Tells the owner of a job whose record is on its way, where the store takes its time; returns whether it
-    /// does.
+    /// Announces a job to the owner before its record is stored, if the store is slow.
+    ///
+    /// Returns whether the job was announced.
     fn announce(&self, accepted: &Accepted) -> bool {
         if !self.shared.store.is_slow() {
             return false;
         }
-        self.tell_once(Question::Announced(Box::new(accepted.clone())));
+        self.notify_owner_once(Question::Announced(Box::new(accepted.clone())));
         true
     }
 
-    fn report_absent(&self, job: JobId, absent: Absent) {
+    fn log_absent_job(&self, job: JobId, absent: Absent) {
         if self.shared.meter.may_log("no-job") {
             slog::info!(self.shared.log, "no-job"; "job" => %job, "epoch" => %absent.epoch,
                 "view_ms" => millis(absent.view));
         }
     }
 
-    fn report(
+    fn log_request(
         &self,
-        what: &'static str,
+        call: &'static str,
         job: JobId,
         queue: &QueueName,
         took: Duration,
@@ -421,16 +428,16 @@
     ) {
         let outcome = match result {
             Ok(()) => "accepted",
-            Err(refusal) => refusal.word(),
+            Err(refusal) => refusal.label(),
         };
-        self.shared.meter.request(what, outcome);
+        self.shared.meter.request(call, outcome);
         if !self.shared.meter.may_log("request") {
             return;
         }
         let version = self.config().map_or(0, |config| config.version);
-        slog::info!(self.shared.log, "request"; "call" => what, "job" => %job,
+        slog::info!(self.shared.log, "request"; "call" => call, "job" => %job,
             "queue" => queue.as_str(), "config" => version,
-            "workspace" => self.viewer().map_or("", WorkspaceName::as_str),
+            "workspace" => self.workspace_name().map_or("", WorkspaceName::as_str),
             "store_failing_ms" => millis(self.shared.store.failing_for()),
             "store_usual_ms" => millis(self.shared.store.usual()),
             "took_ms" => millis(took), "outcome" => outcome);
--- a/crates/node/src/front/owner.rs
+++ b/crates/node/src/front/owner.rs
@@ -1,4 +1,4 @@
-//! What a node asks the owner, and tells it.
+//! Requests and notifications to the owner of the cell.
 
 use std::time::Duration;
 
@@ -23,40 +23,41 @@
     port::Platform,
 };
 
-/// How long a call to the owner may take before it is tried anew.
-const OWNER_CALL: Duration = Duration::from_millis(600);
-/// The pause before the owner is asked again.
-const OWNER_AGAIN: Duration = Duration::from_millis(50);
-/// How long a question about a job waits for an owner; callers ask again by themselves.
-const OWNER_WAIT: Duration = Duration::from_millis(1_500);
-/// How often the owner is told of an acceptance; after that it reads of it in the store.
-const TELL_TIMES: u32 = 6;
-/// For so long an owner may be replaced without this node knowing: it greets the owner each 0.7 s at most, and
-/// a frozen or cut-off one may stay silent for as long again.
-const REPLACED: Duration = Duration::from_millis(1_500);
+/// The timeout of one call to the owner.
+const OWNER_CALL_TIMEOUT: Duration = Duration::from_millis(600);
+/// The pause between two calls to the owner.
+const OWNER_RETRY_PAUSE: Duration = Duration::from_millis(50);
+/// How long a request waits for a reachable owner. Callers retry by themselves after that.
+const MAX_OWNER_WAIT: Duration = Duration::from_millis(1_500);
+/// How many attempts to notify the owner may fail. After that, the owner learns of the record when it reads the store.
+const MAX_NOTIFICATION_FAILURES: u32 = 6;
+/// How long a change of ownership may go unnoticed on this node: it sends a greeting to the owner every 0.7 s at most,
+/// and a frozen or disconnected owner may stay silent for as long again.
+const MAX_REPLACEMENT_DELAY: Duration = Duration::from_millis(1_500);
 
 impl<P: Platform> Front<P> {
-    /// Asks the owner, again where it can't be reached, for as long as callers should wait.
+    /// Sends a question to the owner and retries for up to [`MAX_OWNER_WAIT`] while the owner can't be reached.
     ///
-    /// The question is made anew for each try, with how long ago the first was.
+    /// `question` builds the question for each attempt from the time that has passed since the first one.
     pub(super) async fn ask_owner(
         &self,
         question: impl Fn(Duration) -> Question,
     ) -> Result<Reply, Refusal> {
         let began = Instant::now();
-        let until = began + OWNER_WAIT;
+        let deadline = began + MAX_OWNER_WAIT;
         loop {
-            if let Some(reply) = self.ask_once(&question(began.elapsed())).await {
+            if let Some(reply) = self.ask_owner_once(&question(began.elapsed())).await {
                 return Ok(reply);
             }
-            if Instant::now() + OWNER_AGAIN >= until {
+            if Instant::now() + OWNER_RETRY_PAUSE >= deadline {
                 return Err(Refusal::NoOwner);
             }
-            sleep(OWNER_AGAIN).await;
+            sleep(OWNER_RETRY_PAUSE).await;
         }
     }
 
-    pub(super) async fn ask_once(&self, question: &Question) -> Option<Reply> {
+    /// Sends a question to the owner once; returns `None` if the owner is unknown or didn't answer.
+    pub(super) async fn ask_owner_once(&self, question: &Question) -> Option<Reply> {
         if let Some(seat) = self.shared.seat() {
             return owner::accept(&seat, question.clone()).await;
         }
@@ -64,35 +65,35 @@
         if address == self.shared.address {
             return None;
         }
-        let reply = message::ask(&self.shared.rpc, address, question, OWNER_CALL).await;
+        let reply = message::ask(&self.shared.rpc, address, question, OWNER_CALL_TIMEOUT).await;
         reply
             .ok()
             .filter(|reply| !matches!(reply, Reply::NotOwner { .. }))
     }
 
-    /// Tells the owner something that it can do without.
-    pub(super) fn tell_once(&self, question: Question) {
+    /// Sends the owner a notification in the background, without retries.
+    pub(super) fn notify_owner_once(&self, question: Question) {
         let front = self.clone();
         tokio::spawn(async move {
-            let _ = front.ask_once(&question).await;
+            let _ = front.ask_owner_once(&question).await;
         });
     }
 
-    /// Tells the owner of a record, without holding the caller up; the next owner as well, where the cell
-    /// changes hands a moment later.
+    /// Notifies the owner of a stored record in the background, with retries; notifies the next owner too if the
+    /// ownership changes shortly afterwards.
     ///
-    /// A word may reach an owner that was replaced without knowing it yet, after its successor has read what
-    /// is on record. The successor would hear of it only when it reads the partition again, up to 2 s later,
-    /// and a cancellation has to be in force within 3 s.
-    pub(super) fn tell(&self, question: Question) {
+    /// The notification may reach an owner that has been replaced without knowing it, after its successor has read the
+    /// stored records. The successor would learn of the record only when it reads the partition again, up to 2 s later,
+    /// but a cancellation must take effect within 3 s.
+    pub(super) fn notify_owner(&self, question: Question) {
         let front = self.clone();
         tokio::spawn(async move {
             let mut failures = 0;
-            while failures < TELL_TIMES {
+            while failures < MAX_NOTIFICATION_FAILURES {
                 let epoch = front.shared.epoch();
-                if front.ask_once(&question).await.is_none() {
+                if front.ask_owner_once(&question).await.is_none() {
                     failures += 1;
-                    sleep(OWNER_AGAIN * 4).await;
+                    sleep(OWNER_RETRY_PAUSE * 4).await;
                 } else if !front.is_replaced(epoch).await {
                     return;
                 }
@@ -100,10 +101,10 @@
         });
     }
 
-    /// Waits for a moment whether another owner comes after the one of an epoch.
+    /// Waits up to [`MAX_REPLACEMENT_DELAY`] for a claim with a higher epoch and returns whether there is one.
     async fn is_replaced(&self, epoch: Epoch) -> bool {
         let mut claims = self.shared.claim.subscribe();
         let newer = claims.wait_for(|claim| claim.as_ref().is_some_and(|c| c.epoch > epoch));
-        timeout(REPLACED, newer).await.is_ok()
+        timeout(MAX_REPLACEMENT_DELAY, newer).await.is_ok()
     }
 }
--- a/crates/node/src/hand.rs
+++ b/crates/node/src/hand.rs
@@ -1,4 +1,4 @@
-//! Gives orders to workers on behalf of the owner, and reports what came of them.
+//! Sends orders to workers on behalf of the owner and reports the results to it.
 
 use std::{
     net::SocketAddr,
@@ -30,38 +30,39 @@
     shared::Shared,
 };
 
-/// How long reports are gathered: a busy node has one each 2 ms, and each call between nodes costs the
-/// owner as much as some twenty reports in it.
-const GATHER: Duration = Duration::from_millis(8);
-/// How many reports go into one call at most; an inventory takes some 500 bytes.
-const MOST_GATHERED: usize = 64;
-/// How long the owner may take to take reports in, and how often they are sent.
-const TELL_PATIENCE: Duration = Duration::from_millis(300);
-const TELL_TIMES: u32 = 2;
-/// How many reports may wait; the owner takes what is left out for unanswered.
-const QUEUE: usize = 4_096;
+/// How long reports are collected into a batch: a busy node has one report every 2 ms, and each call between nodes
+/// costs the owner as much as about twenty reports in it.
+const REPORT_BATCH_DELAY: Duration = Duration::from_millis(8);
+/// The maximum number of reports in one call. A report with an inventory takes about 500 bytes.
+const MAX_REPORTS_PER_CALL: usize = 64;
+/// The timeout of a call that sends reports to the owner.
+const REPORT_CALL_TIMEOUT: Duration = Duration::from_millis(300);
+/// How many times a batch of reports is sent at most.
+const MAX_REPORT_ATTEMPTS: u32 = 2;
+/// The maximum number of reports in the queue. The owner treats orders whose reports are dropped as unanswered.
+const MAX_QUEUED_REPORTS: usize = 4_096;
 
-/// Orders of one owner for one node to give.
+/// Orders that one node sends to workers on behalf of an owner.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct Orders {
-    /// The ownership that they belong to.
+    /// The epoch of the owner.
     pub(crate) epoch: Epoch,
-    /// Where the reports go.
+    /// The address to send the reports to.
     pub(crate) owner: SocketAddr,
-    /// Each with the number that its report carries.
+    /// The orders, each with the number that its report carries.
     pub(crate) orders: Vec<(u64, Order)>,
 }
 
-/// What came of some orders.
+/// The results of orders, as sent to the owner.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct Reports {
-    /// The ownership that gave the orders.
+    /// The epoch of the owner that issued the orders.
     pub(crate) epoch: Epoch,
-    /// Each with the number of its order.
+    /// The reports, each with the number of its order.
     pub(crate) reports: Vec<(u64, Report)>,
 }
 
-/// A report on its way to the owner that gave the order.
+/// A report that is queued for the owner that issued the order.
 struct Outgoing {
     epoch: Epoch,
     owner: SocketAddr,
@@ -69,13 +70,13 @@
     report: Report,
 }
 
-/// Gives orders on behalf of owners.
-pub(crate) struct Hand<P: Platform> {
+/// Sends orders to workers on behalf of owners; cheap to clone.
+pub(crate) struct Dispatcher<P: Platform> {
     shared: Arc<Shared<P>>,
     outgoing: mpsc::Sender<Outgoing>,
 }
 
-impl<P: Platform> Clone for Hand<P> {
+impl<P: Platform> Clone for Dispatcher<P> {
     fn clone(&self) -> Self {
         Self {
             shared: self.shared.clone(),
@@ -84,15 +85,17 @@
     }
 }
 
-impl<P: Platform> Hand<P> {
+impl<P: Platform> Dispatcher<P> {
     pub(crate) fn start(shared: Arc<Shared<P>>) -> Self {
-        let (outgoing, queue) = mpsc::channel(QUEUE);
-        tokio::spawn(report(shared.clone(), queue));
+        let (outgoing, queue) = mpsc::channel(MAX_QUEUED_REPORTS);
+        tokio::spawn(send_reports(shared.clone(), queue));
         Self { shared, outgoing }
     }
 
-    /// Takes orders; false where this node knows of a later owner, and nothing was done.
-    pub(crate) fn take(&self, orders: Orders) -> bool {
+    /// Sends orders to workers in the background.
+    ///
+    /// Returns `false` without sending any if this node knows of a later owner.
+    pub(crate) fn dispatch(&self, orders: Orders) -> bool {
         let Orders {
             epoch,
             owner,
@@ -102,10 +105,10 @@
             return false;
         }
         for (number, order) in orders {
-            let hand = self.clone();
+            let dispatcher = self.clone();
             tokio::spawn(async move {
                 let report = order
-                    .carry_out(&hand.shared.platform, &hand.shared.meter)
+                    .carry_out(&dispatcher.shared.platform, &dispatcher.shared.meter)
                     .await;
                 let outgoing = Outgoing {
                     epoch,
@@ -113,8 +116,8 @@
                     number,
                     report,
                 };
-                if hand.outgoing.try_send(outgoing).is_err() {
-                    hand.shared.meter.report_lost("queue-full");
+                if dispatcher.outgoing.try_send(outgoing).is_err() {
+                    dispatcher.shared.meter.report_lost("queue-full");
                 }
             });
         }
@@ -122,34 +125,39 @@
     }
 }
 
-/// Sends reports to the owners that wait for them.
-async fn report<P: Platform>(shared: Arc<Shared<P>>, mut queue: mpsc::Receiver<Outgoing>) {
-    let mut gathered = Vec::new();
-    while queue.recv_many(&mut gathered, MOST_GATHERED).await > 0 {
-        if gathered.len() < MOST_GATHERED {
-            sleep(GATHER).await;
-            while gathered.len() < MOST_GATHERED
+/// Sends queued reports in batches to the owners that issued the orders.
+async fn send_reports<P: Platform>(shared: Arc<Shared<P>>, mut queue: mpsc::Receiver<Outgoing>) {
+    let mut batch = Vec::new();
+    while queue.recv_many(&mut batch, MAX_REPORTS_PER_CALL).await > 0 {
+        if batch.len() < MAX_REPORTS_PER_CALL {
+            sleep(REPORT_BATCH_DELAY).await;
+            while batch.len() < MAX_REPORTS_PER_CALL
                 && let Ok(more) = queue.try_recv()
             {
-                gathered.push(more);
+                batch.push(more);
             }
         }
         let mut calls: HashMap<(SocketAddr, Epoch), Vec<(u64, Report)>> = HashMap::default();
-        for outgoing in gathered.drain(..) {
+        for outgoing in batch.drain(..) {
             let key = (outgoing.owner, outgoing.epoch);
             let reports = calls.entry(key).or_default();
             reports.push((outgoing.number, outgoing.report));
         }
         for ((owner, epoch), reports) in calls {
-            tokio::spawn(tell(shared.clone(), owner, Reports { epoch, reports }));
+            tokio::spawn(send_batch(
+                shared.clone(),
+                owner,
+                Reports { epoch, reports },
+            ));
         }
     }
 }
 
-async fn tell<P: Platform>(shared: Arc<Shared<P>>, owner: SocketAddr, reports: Reports) {
+/// Sends a batch of reports to an owner, with retries.
+async fn send_batch<P: Platform>(shared: Arc<Shared<P>>, owner: SocketAddr, reports: Reports) {
     let question = Question::Reports(reports);
-    for _ in 0..TELL_TIMES {
-        if message::ask(&shared.rpc, owner, &question, TELL_PATIENCE)
+    for _ in 0..MAX_REPORT_ATTEMPTS {
+        if message::ask(&shared.rpc, owner, &question, REPORT_CALL_TIMEOUT)
             .await
             .is_ok()
         {
--- a/crates/node/src/health.rs
+++ b/crates/node/src/health.rs
@@ -1,4 +1,4 @@
-//! Whether the store answers this node.
+//! Tracks whether and how fast the store answers this node.
 
 use std::{
     collections::BTreeMap,
@@ -19,25 +19,29 @@
     report::millis, //
 };
 
-/// A store that has not answered for so many times of what its calls usually take counts as away, within the
-/// two bounds below.
-const AWAY_TIMES: u32 = 8;
-/// The least such time. Each node has several calls a second and a lost answer is asked for again after 0.1 s,
-/// so half a second of silence is no chance; callers of a node that is cut off come back elsewhere 1.1 s
-/// sooner than with the longest.
-const AWAY_LEAST: Duration = Duration::from_millis(500);
-/// The longest. A store that is slow takes up to 1.4 s, and what it takes late is worth more than a refusal.
-const AWAY_MOST: Duration = Duration::from_millis(1_600);
-
-/// A store whose calls usually take longer is slow; they take 9 ms, and 0.35 s on slow days.
-const SLOW: Duration = Duration::from_millis(40);
-
-/// An answer is overdue after so many times of what calls usually take.
-const OVERDUE: u32 = 4;
-/// No answer is overdue before this: the usual one takes 8 ms, a busy processor some tens more.
-const LEAST_PATIENCE: Duration = Duration::from_millis(100);
-
-/// A call of the store that is on its way; dropped, it counts as given up.
+/// The store counts as unavailable once it has been failing for this multiple of its typical latency, clamped to
+/// [`MIN_UNAVAILABLE_TIME`] and [`MAX_UNAVAILABLE_TIME`].
+const UNAVAILABLE_FACTOR: u32 = 8;
+/// The shortest failing time after which the store counts as unavailable.
+///
+/// Each node makes several calls per second, and a call is retried 0.1 s after its answer is lost, so half a second of
+/// silence doesn't happen by chance. Callers of a disconnected node retry on another node 1.1 s sooner than with
+/// [`MAX_UNAVAILABLE_TIME`].
+const MIN_UNAVAILABLE_TIME: Duration = Duration::from_millis(500);
+/// The longest failing time after which the store counts as unavailable. A slow store takes up to 1.4 s, and a late
+/// success is worth more than a refusal.
+const MAX_UNAVAILABLE_TIME: Duration = Duration::from_millis(1_600);
+
+/// The typical latency from which on the store counts as slow. It is 9 ms normally and 0.35 s when the store is slow.
+const SLOW_LATENCY: Duration = Duration::from_millis(40);
+
+/// An answer is overdue after this multiple of the typical latency, but not before [`MIN_OVERDUE_TIME`].
+const OVERDUE_FACTOR: u32 = 4;
+/// The shortest time after which an answer is overdue. The typical latency is 8 ms, and a busy processor adds a few
+/// tens of milliseconds.
+const MIN_OVERDUE_TIME: Duration = Duration::from_millis(100);
+
+/// A store call in flight. Dropping it before it has ended abandons the call.
 #[derive(Debug)]
 pub(crate) struct Call {
     id: u64,
@@ -47,7 +51,7 @@
 }
 
 impl Call {
-    /// Returns how long ago the call was made.
+    /// Returns the time since the call was made.
     pub(crate) fn took(&self) -> Duration {
         self.began.elapsed()
     }
@@ -55,12 +59,11 @@
 
 impl Drop for Call {
     fn drop(&mut self) {
-        self.health.give_up(self);
+        self.health.abandon(self);
     }
 }
 
-/// Whether the store answers this node, judged by finished calls and by those without an answer; cheap
-/// to clone.
+/// The health of the store as seen from this node, from finished and unanswered calls; cheap to clone.
 #[derive(Clone, Debug)]
 pub(crate) struct StoreHealth {
     state: Arc<Mutex<State>>,
@@ -69,35 +72,35 @@
 
 #[derive(Debug)]
 struct State {
-    next: u64,
-    /// From when on an answer to each call is due.
-    waiting: BTreeMap<u64, Instant>,
-    answered: Instant,
-    /// Since when calls have failed without a success in between.
-    failing: Option<Instant>,
-    /// How long an answered call takes, of late.
-    typical: Duration,
-    /// When the store answered again after it had been away.
-    regained: Instant,
+    next_id: u64,
+    /// The calls in flight, each with the time from which on its answer is due.
+    in_flight: BTreeMap<u64, Instant>,
+    last_answer: Instant,
+    /// The start of the present series of failures; `None` after a success.
+    failing_since: Option<Instant>,
+    /// The moving average of the latency of answered calls.
+    typical_latency: Duration,
+    /// When the store last answered after an outage.
+    recovered_at: Instant,
 }
 
 impl State {
-    /// Returns how long an answer may take before it is overdue.
-    fn patience(&self) -> Duration {
-        (self.typical * OVERDUE).max(LEAST_PATIENCE)
+    /// Returns the time after which an answer is overdue.
+    fn overdue_time(&self) -> Duration {
+        (self.typical_latency * OVERDUE_FACTOR).max(MIN_OVERDUE_TIME)
     }
 }
 
 impl StoreHealth {
-    /// Takes the store for well; `log` is told of each change.
+    /// Creates the state of a healthy store; each change is written to `log`.
     pub(crate) fn new(log: Logger) -> Self {
         let state = State {
-            next: 0,
-            waiting: BTreeMap::new(),
-            answered: Instant::now(),
-            failing: None,
-            typical: Duration::ZERO,
-            regained: Instant::now(),
+            next_id: 0,
+            in_flight: BTreeMap::new(),
+            last_answer: Instant::now(),
+            failing_since: None,
+            typical_latency: Duration::ZERO,
+            recovered_at: Instant::now(),
         };
         Self {
             state: Arc::new(Mutex::new(state)),
@@ -109,13 +112,13 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Notes that a call is made that may take `wait` until something happens.
+    /// Registers a call that is about to be made, to which the store may delay its answer by `wait`.
     pub(crate) fn begin(&self, purpose: &'static str, wait: Duration) -> Call {
         let began = Instant::now();
         let mut state = self.state();
-        state.next += 1;
-        let id = state.next;
-        state.waiting.insert(id, began + wait);
+        state.next_id += 1;
+        let id = state.next_id;
+        state.in_flight.insert(id, began + wait);
         Call {
             id,
             purpose,
@@ -124,16 +127,16 @@
         }
     }
 
-    /// Notes that a call is not waited for any more; one whose answer is overdue has failed.
-    fn give_up(&self, call: &Call) {
+    /// Removes a call that nobody waits for any more; it has failed if its answer is overdue.
+    fn abandon(&self, call: &Call) {
         let mut state = self.state();
-        // A call that has ended is not among them.
-        let Some(due) = state.waiting.remove(&call.id) else {
+        // A call that has ended is no longer in flight.
+        let Some(due) = state.in_flight.remove(&call.id) else {
             return;
         };
-        let is_overdue = due + state.patience() <= Instant::now();
-        if is_overdue && state.failing.is_none() && state.answered <= call.began {
-            state.failing = Some(due.max(state.answered));
+        let is_overdue = due + state.overdue_time() <= Instant::now();
+        if is_overdue && state.failing_since.is_none() && state.last_answer <= call.began {
+            state.failing_since = Some(due.max(state.last_answer));
             self.log_failure(call, "given-up");
         }
     }
@@ -142,78 +145,79 @@
         slog::warn!(self.log, "store-failing"; "why" => why, "purpose" => call.purpose);
     }
 
-    /// Notes what came of a call.
+    /// Records the result of a call.
     pub(crate) fn end<T>(&self, call: &Call, result: &Result<T, Error>) {
         let mut state = self.state();
-        let due = state.waiting.remove(&call.id);
+        let due = state.in_flight.remove(&call.id);
         let Err(error @ (Error::Refused(_) | Error::Unanswered)) = result else {
-            state.answered = Instant::now();
+            state.last_answer = Instant::now();
             if let Some(due) = due {
-                let took = state.answered.saturating_duration_since(due);
-                state.typical = (state.typical * 3 + took) / 4;
+                let took = state.last_answer.saturating_duration_since(due);
+                state.typical_latency = (state.typical_latency * 3 + took) / 4;
             }
-            if let Some(since) = state.failing.take() {
-                if since.elapsed() >= AWAY_LEAST {
-                    state.regained = state.answered;
+            if let Some(since) = state.failing_since.take() {
+                if since.elapsed() >= MIN_UNAVAILABLE_TIME {
+                    state.recovered_at = state.last_answer;
                 }
                 slog::info!(self.log, "store-answers"; "after_ms" => millis(since.elapsed()));
             }
             return;
         };
-        if state.failing.is_some() || state.answered > call.began {
-            // Others were answered since, so this answer was lost on its way.
+        if state.failing_since.is_some() || state.last_answer > call.began {
+            // Later calls were answered, so only this answer was lost.
             return;
         }
-        let due = due.unwrap_or(call.began).max(state.answered);
-        state.failing = Some(due.min(Instant::now()));
+        let due = due.unwrap_or(call.began).max(state.last_answer);
+        state.failing_since = Some(due.min(Instant::now()));
         self.log_failure(call, error.word());
     }
 
-    /// Returns for how long the store has owed an answer without giving any.
+    /// Returns how long the store has been failing: the time since the first failure or unanswered due call.
     pub(crate) fn failing_for(&self) -> Duration {
         let state = self.state();
-        let oldest = state.waiting.values().min();
-        let silent = oldest.map(|due| (*due).max(state.answered));
-        let since = [state.failing, silent].into_iter().flatten().min();
+        let oldest = state.in_flight.values().min();
+        let silent = oldest.map(|due| (*due).max(state.last_answer));
+        let since = [state.failing_since, silent].into_iter().flatten().min();
         since.map_or(Duration::ZERO, |since| {
             Instant::now().saturating_duration_since(since)
         })
     }
 
-    /// Returns whether the store has answered within some time, and owes nothing since.
+    /// Returns whether the store has answered within `time` and no call has failed since.
     pub(crate) fn has_answered_within(&self, time: Duration) -> bool {
         let state = self.state();
-        state.failing.is_none() && state.answered.elapsed() <= time
+        state.failing_since.is_none() && state.last_answer.elapsed() <= time
     }
 
-    /// Returns whether calls have failed without a success in between.
+    /// Returns whether a call has failed since the last success.
     pub(crate) fn is_failing(&self) -> bool {
-        self.state().failing.is_some()
+        self.state().failing_since.is_some()
     }
 
-    /// Returns how long an answered call takes, of late.
+    /// Returns the moving average of the latency of answered calls.
     pub(crate) fn usual(&self) -> Duration {
-        self.state().typical
+        self.state().typical_latency
     }
 
-    /// Returns when the store answered this node again after it had last been away.
+    /// Returns when the store last answered this node after an outage.
     pub(crate) fn regained(&self) -> Instant {
-        self.state().regained
+        self.state().recovered_at
     }
 
-    /// Returns whether the store answers this node, but takes its time.
+    /// Returns whether the store answers this node slowly.
     pub(crate) fn is_slow(&self) -> bool {
-        self.usual() >= SLOW && !self.is_failing()
+        self.usual() >= SLOW_LATENCY && !self.is_failing()
     }
 
-    /// Returns how long an answer may take before it is overdue.
+    /// Returns the time after which an answer is overdue.
     pub(crate) fn patience(&self) -> Duration {
-        self.state().patience()
+        self.state().overdue_time()
     }
 
-    /// Returns whether the store counts as away for this node.
-    pub(crate) fn is_away(&self) -> bool {
-        let away = (self.usual() * AWAY_TIMES).clamp(AWAY_LEAST, AWAY_MOST);
-        self.failing_for() >= away
+    /// Returns whether the store counts as unavailable for this node.
+    pub(crate) fn is_unavailable(&self) -> bool {
+        let limit =
+            (self.usual() * UNAVAILABLE_FACTOR).clamp(MIN_UNAVAILABLE_TIME, MAX_UNAVAILABLE_TIME);
+        self.failing_for() >= limit
     }
 }
--- a/crates/node/src/intake.rs
+++ b/crates/node/src/intake.rs
@@ -1,8 +1,8 @@
-//! Groups acceptances and cancellations into appends.
+//! Writes the records of accepted jobs and cancellations to the store, in batches.
 //!
-//! Each node has one append on its way; what comes meanwhile goes into the next one. An append
-//! without an answer is sent again as it was: the records stand under keys, so a second copy changes
-//! nothing. Only a record that was never on its way can be refused as not kept.
+//! Each node has one append in flight; records that arrive meanwhile go into the next one. An unanswered append is
+//! retried unchanged: it is idempotent, because each record has a key. A record is reported as not stored only if it
+//! was never sent or if the store refused it.
 
 use std::{
     hash::{
@@ -50,60 +50,60 @@
     shared::Shared,
 };
 
-/// How many records wait for one partition at most.
-const QUEUE: usize = 1_024;
-/// How many records go into one append at most; jobs have some kilobytes, calls take two megabytes.
-const MOST_GROUPED: usize = 128;
-/// The pause before an append without an answer is sent again.
-const AGAIN: Duration = Duration::from_millis(50);
-/// How long an append without an answer is tried: the platform carries it out up to 6 s late.
-const MOST_TRIED: Duration = Duration::from_secs(6);
-/// Where a store that refuses a partition has not answered otherwise for this long, it is away as a whole and
-/// another partition is not tried.
-const ELSEWHERE: Duration = Duration::from_millis(500);
-/// How often a record that waits is looked at.
-const LOOK: Duration = Duration::from_millis(100);
-
-/// What became of a record.
+/// The maximum number of records in the queue.
+const MAX_QUEUED_RECORDS: usize = 1_024;
+/// The maximum number of records in one append. A job takes a few kilobytes, and a call carries up to two megabytes.
+const MAX_RECORDS_PER_APPEND: usize = 128;
+/// The pause before an unanswered append is retried.
+const RETRY_PAUSE: Duration = Duration::from_millis(50);
+/// How long an unanswered append is retried: the platform may execute an append up to 6 s late.
+const MAX_RETRY_TIME: Duration = Duration::from_secs(6);
+/// If the store refuses a partition and has been failing for this long, the whole store counts as unavailable and no
+/// other partition is tried.
+const OUTAGE_THRESHOLD: Duration = Duration::from_millis(500);
+/// How often a waiting caller checks whether the store is still available.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
+
+/// The outcome of writing a record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Kept {
-    /// The store keeps it, in this partition.
-    In(u16),
-    /// It was never sent, or the store said that it did nothing.
-    No,
-    /// Nobody can tell.
+pub(crate) enum Outcome {
+    /// The record is stored in this partition.
+    Stored(u16),
+    /// The record was never sent, or the store refused it.
+    NotStored,
+    /// It isn't known whether the record is stored.
     Unknown,
 }
 
-/// A record waits for its group.
+/// The state of a record that waits in the queue.
 const QUEUED: u8 = 0;
-/// A record is in a group that was or will be sent.
+/// The state of a record in a batch that has been or will be sent.
 const SENT: u8 = 1;
-/// A record was withdrawn and will never be sent.
+/// The state of a record that was withdrawn and will never be sent.
 const WITHDRAWN: u8 = 2;
 
-/// Takes a record back; false where it has been sent.
-fn withdraw(place: &AtomicU8) -> bool {
-    place
+/// Withdraws a queued record; returns `false` if it has been sent.
+fn withdraw(state: &AtomicU8) -> bool {
+    state
         .compare_exchange(QUEUED, WITHDRAWN, Ordering::AcqRel, Ordering::Acquire)
         .is_ok()
 }
 
-/// Marks a record as sent; false where it was withdrawn.
-fn send(place: &AtomicU8) -> bool {
-    place
+/// Marks a record as sent; returns `false` if it was withdrawn.
+fn mark_sent(state: &AtomicU8) -> bool {
+    state
         .compare_exchange(QUEUED, SENT, Ordering::AcqRel, Ordering::Acquire)
         .is_ok()
 }
 
-/// A record on its way in.
+/// A queued record.
 struct Entry {
     record: Record,
-    place: Arc<AtomicU8>,
-    done: oneshot::Sender<Kept>,
+    state: Arc<AtomicU8>,
+    done: oneshot::Sender<Outcome>,
 }
 
-/// The way into the store for jobs and cancellations.
+/// A handle to the task that writes jobs and cancellations to the store; cheap to clone.
 #[derive(Clone)]
 pub(crate) struct Intake {
     entries: mpsc::Sender<Entry>,
@@ -111,7 +111,7 @@
 
 /// Returns the partition that a node writes to.
 ///
-/// A job that is handed in twice may stand in two of them; it is one job by its id all the same.
+/// A job that is submitted twice may have records in two partitions. Its id identifies it as one job.
 pub(crate) fn partition(node: &NodeName, spread: Spread) -> u16 {
     let count = match spread.is_wide() {
         true => JOB_PARTITIONS,
@@ -123,78 +123,80 @@
 }
 
 impl Intake {
-    /// Starts the task that appends.
+    /// Starts the task that appends records to the store.
     pub(crate) fn start<P: Platform>(shared: &Arc<Shared<P>>) -> Self {
-        let (entries, queue) = mpsc::channel(QUEUE);
+        let (entries, queue) = mpsc::channel(MAX_QUEUED_RECORDS);
         tokio::spawn(run(shared.clone(), queue));
         Self { entries }
     }
 
-    /// Keeps a record and tells what became of it, at the latest when `deadline` comes.
+    /// Writes a record and returns the outcome by `deadline` at the latest.
     ///
-    /// While the store gives no answer, what has not left yet is refused at once, and of what has left the
-    /// caller is told that nobody can tell: elsewhere or a little later it may be taken, under the same id.
-    pub(crate) async fn keep<P: Platform>(
+    /// While the store is unavailable, a record that hasn't been sent is [`Outcome::NotStored`] at once, and one that
+    /// has been sent is [`Outcome::Unknown`]: the caller may retry under the same id, later or on another node.
+    pub(crate) async fn write<P: Platform>(
         &self,
         shared: &Shared<P>,
         record: Record,
         deadline: Instant,
-    ) -> Kept {
-        if shared.store.is_away() {
-            return Kept::No;
+    ) -> Outcome {
+        if shared.store.is_unavailable() {
+            return Outcome::NotStored;
         }
         let (done, mut answer) = oneshot::channel();
-        let place = Arc::new(AtomicU8::new(QUEUED));
+        let state = Arc::new(AtomicU8::new(QUEUED));
         let entry = Entry {
             record,
-            place: place.clone(),
+            state: state.clone(),
             done,
         };
         if self.entries.try_send(entry).is_err() {
-            return Kept::No;
+            return Outcome::NotStored;
         }
         loop {
-            let until = deadline.min(Instant::now() + LOOK);
-            match timeout_at(until, &mut answer).await {
-                Ok(Ok(kept)) => return kept,
-                Ok(Err(_)) => return Kept::Unknown,
+            let next_poll = deadline.min(Instant::now() + POLL_INTERVAL);
+            match timeout_at(next_poll, &mut answer).await {
+                Ok(Ok(outcome)) => return outcome,
+                Ok(Err(_)) => return Outcome::Unknown,
                 Err(_) => {}
             }
-            if Instant::now() >= deadline || shared.store.is_away() {
-                return match withdraw(&place) {
-                    true => Kept::No,
-                    false => Kept::Unknown,
+            if Instant::now() >= deadline || shared.store.is_unavailable() {
+                return match withdraw(&state) {
+                    true => Outcome::NotStored,
+                    false => Outcome::Unknown,
                 };
             }
         }
     }
 }
 
+/// Appends queued records, one batch at a time.
 async fn run<P: Platform>(shared: Arc<Shared<P>>, mut queue: mpsc::Receiver<Entry>) {
-    let mut group = Vec::new();
-    while queue.recv_many(&mut group, MOST_GROUPED).await > 0 {
-        group.retain(|entry: &Entry| send(&entry.place));
-        if group.is_empty() {
+    let mut batch = Vec::new();
+    while queue.recv_many(&mut batch, MAX_RECORDS_PER_APPEND).await > 0 {
+        batch.retain(|entry: &Entry| mark_sent(&entry.state));
+        if batch.is_empty() {
             continue;
         }
-        let records = group.iter().map(|entry| entry.record.clone()).collect();
+        let records = batch.iter().map(|entry| entry.record.clone()).collect();
         let partition = partition(&shared.name, shared.spread());
-        let kept = append(&shared, partition, records).await;
-        for entry in group.drain(..) {
+        let outcome = append(&shared, partition, records).await;
+        for entry in batch.drain(..) {
             // The caller may have stopped waiting.
-            let _ = entry.done.send(kept);
+            let _ = entry.done.send(outcome);
         }
     }
 }
 
-/// Appends records to a node's own partition, or to the next one where the store refuses that.
+/// Appends records to a node's own partition, or to the next partition if the store refuses the first.
 ///
-/// A refusal did nothing, so the records may stand elsewhere. The store may refuse single partitions: with a part
-/// of them away for 3.5 s, two of five jobs were refused that another partition would have taken.
-async fn append<P: Platform>(shared: &Shared<P>, partition: u16, records: Vec<Record>) -> Kept {
-    let kept = append_to(shared, partition, records.clone()).await;
-    if kept != Kept::No || shared.store.failing_for() >= ELSEWHERE {
-        return kept;
+/// A refused append has no effect, so the records can go to another partition. The store may refuse single partitions:
+/// with some of them unavailable for 3.5 s and no second attempt, two of five jobs were refused that another partition
+/// would have accepted.
+async fn append<P: Platform>(shared: &Shared<P>, partition: u16, records: Vec<Record>) -> Outcome {
+    let outcome = append_to(shared, partition, records.clone()).await;
+    if outcome != Outcome::NotStored || shared.store.failing_for() >= OUTAGE_THRESHOLD {
+        return outcome;
     }
     let count = match partition < FIRST_PARTITIONS {
         true => FIRST_PARTITIONS,
@@ -203,24 +205,29 @@
     append_to(shared, (partition + 1) % count, records).await
 }
 
-async fn append_to<P: Platform>(shared: &Shared<P>, partition: u16, records: Vec<Record>) -> Kept {
+/// Appends records to one partition and retries while no answer arrives.
+async fn append_to<P: Platform>(
+    shared: &Shared<P>,
+    partition: u16,
+    records: Vec<Record>,
+) -> Outcome {
     let append = Append {
         topic: Topic::Jobs(partition),
         records,
         condition: Condition::None,
     };
-    let until = Instant::now() + MOST_TRIED;
-    let mut refused = Kept::No;
+    let deadline = Instant::now() + MAX_RETRY_TIME;
+    let mut failure = Outcome::NotStored;
     loop {
         match shared.append("accept", append.clone()).await {
-            Ok(_) => return Kept::In(partition),
-            Err(Error::Refused(_)) if refused == Kept::No => return Kept::No,
-            // An earlier copy may still be carried out.
-            Err(_) => refused = Kept::Unknown,
+            Ok(_) => return Outcome::Stored(partition),
+            Err(Error::Refused(_)) if failure == Outcome::NotStored => return Outcome::NotStored,
+            // An earlier attempt may still take effect.
+            Err(_) => failure = Outcome::Unknown,
         }
-        if Instant::now() >= until {
-            return refused;
+        if Instant::now() >= deadline {
+            return failure;
         }
-        sleep(AGAIN).await;
+        sleep(RETRY_PAUSE).await;
     }
 }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,30 +1,30 @@
 //! A node of a cell.
 //!
-//! All nodes run the same program. Each takes callers' jobs and puts them on record; one of them
-//! owns the cell at a time and decides; the others ask for advice on its behalf. Whatever the
-//! platform offers comes through the [`port::Platform`] that the node is made with.
+//! All nodes run the same program. Each node accepts jobs from callers and writes their records to the store. One node
+//! at a time owns the cell and makes its scheduling decisions; the others ask the advice service and send orders to
+//! workers on its behalf. A node reaches the platform through the [`port::Platform`] that it is built with.
 //!
-//! | module | what it does |
+//! | module | responsibility |
 //! |---|---|
-//! | [`comeback`] | when a caller that was refused should come back |
-//! | `edition` | the configuration by word of the owner |
-//! | `evacuation` | which data centres the operator has evacuated |
-//! | [`front`] | takes, shows and cancels jobs at any node |
-//! | `health` | whether the store answers this node |
-//! | `hand` | gives orders to workers on behalf of the owner |
-//! | `hedge` | sends an append again whose answer is overdue |
-//! | `intake` | groups acceptances and cancellations into appends |
-//! | `member` | who owns the cell, and when this node claims it |
-//! | `operator` | how closely this node follows what the operator writes |
-//! | `order` | orders to workers, and what came of them |
-//! | `owner` | the owner's actor, its takeover, and what it reads and writes |
+//! | [`comeback`] | how long a refused caller should wait before it retries |
+//! | `edition` | reads the configuration from the owner while the store is silent |
+//! | `evacuation` | the data centres that the operator has evacuated |
+//! | [`front`] | submits, looks up and cancels jobs for callers |
+//! | `health` | tracks whether and how fast the store answers this node |
+//! | `hand` | sends orders to workers on behalf of the owner and reports the results |
+//! | `hedge` | sends another copy of a store call whose answer is overdue |
+//! | `intake` | writes jobs and cancellations to the store in batches |
+//! | `member` | follows the ownership of the cell and claims it |
+//! | `operator` | how current this node's copy of the operator's records is |
+//! | `order` | orders to workers and their results |
+//! | `owner` | the owner's actor, its takeover, and its reads and writes of the store |
 //! | `watch` | follows the configuration and the list of workers |
-//! | `message` | what nodes ask each other |
-//! | `pulse` | how late this process gets its processor |
+//! | `message` | the messages between nodes |
+//! | `pulse` | measures how late timers and events run in this process |
 //! | `report` | logs and metrics |
-//! | [`revocation`] | for how long a node may go by keys while it can't read the configuration |
-//! | [`share`] | which node gives the orders to which worker |
-//! | [`succession`] | who should own the cell next, and when an owner should let go |
+//! | [`revocation`] | how long a node may accept keys while it can't read the configuration |
+//! | [`share`] | assigns workers to the nodes that send their orders |
+//! | [`succession`] | decides which node should own the cell next and when an owner should give up |
 
 pub mod comeback;
 mod edition;
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -1,4 +1,4 @@
-//! The node itself: its parts, what it answers other nodes, and its end.
+//! Starts and stops a node and serves the requests of its peers.
 
 use std::{
     io,
@@ -45,7 +45,7 @@
 use crate::{
     edition,
     front::Front,
-    hand::Hand,
+    hand::Dispatcher,
     health::StoreHealth,
     intake::Intake,
     member,
@@ -72,67 +72,67 @@
         self,
         Greeting, //
     },
-    watch as follow,
+    watch as store_watch,
 };
 
-/// A node that has not said that it is there for this long gets no calls for advice.
-const PEER_GONE: Duration = Duration::from_millis(1_600);
-/// How often nodes that went away are noticed; new ones are at once.
-const SWEEP: Duration = Duration::from_millis(400);
-/// The least time between two changes of the nodes that the engine is told: all greet a new owner within a second.
-const SWEEP_GAP: Duration = Duration::from_millis(25);
-/// The part of its descriptors that a node has for connections of other nodes.
-const PEERS_PART: u32 = 4;
-/// How often lines that were left out of the log are counted.
-const LEFT_OUT: Duration = Duration::from_secs(1);
+/// How long a peer may send no greeting before it is dropped and gets no more requests for advice.
+const PEER_TIMEOUT: Duration = Duration::from_millis(1_600);
+/// The interval between checks for peers that are gone; new peers are noticed at once.
+const PEER_CHECK_INTERVAL: Duration = Duration::from_millis(400);
+/// The minimum time between two updates of the engine's list of peers: all peers greet a new owner within a second.
+const MIN_PEER_UPDATE_INTERVAL: Duration = Duration::from_millis(25);
+/// One in this many of a node's file descriptors is for connections of its peers.
+const PEER_DESCRIPTOR_DIVISOR: u32 = 4;
+/// The interval between reports of suppressed log lines.
+const SUPPRESSED_LINES_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The ways in which a node can fail to start.
+/// An error that prevents a node from starting.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The address for other nodes can't be listened on.
-    #[error("can't listen on {address} for other nodes")]
+    /// The address for peer connections can't be listened on.
+    #[error("can't listen on {address} for peer connections")]
     Listen {
-        /// The address as given.
+        /// The configured address.
         address: SocketAddr,
-        /// What the system said.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// The system gives no thread.
-    #[error("the system gives no thread")]
+    /// A thread can't be spawned.
+    #[error("can't spawn a thread")]
     Thread(#[source] io::Error),
 }
 
-/// Which node this is.
+/// The identity and the resources of a node.
 #[derive(Clone, Debug)]
 pub struct Identity {
-    /// Its name, the same over all its lives.
+    /// The name, which stays the same across restarts.
     pub name: NodeName,
-    /// Where it answers other nodes.
+    /// The address for peer connections.
     pub address: SocketAddr,
-    /// Tells this life from earlier ones.
+    /// The incarnation, which tells this run of the process from earlier ones.
     pub incarnation: u64,
-    /// How much of a processor it may use.
+    /// The processor time that the node may use.
     pub processor: Millicores,
-    /// How much its link carries.
+    /// The bandwidth of the node's network link.
     pub link: Bandwidth,
-    /// How many files and connections it may have open.
+    /// The maximum number of open files and connections.
     pub descriptors: u32,
 }
 
-/// What a node is made of.
+/// The components and settings that a node is built from.
 #[derive(Debug)]
 pub struct Parts<P> {
-    /// Which node.
+    /// The identity and resources of the node.
     pub identity: Identity,
-    /// What the platform promises of its workers.
+    /// The bounds that the platform guarantees for its workers.
     pub bounds: Bounds,
-    /// For how long nodes may go by keys while they can't read the configuration.
+    /// How long nodes may accept keys while they can't read the configuration.
     pub revocation: Revocation,
-    /// The platform.
+    /// The platform interface.
     pub platform: P,
-    /// Where the log goes.
+    /// The logger.
     pub log: Logger,
-    /// The metrics.
+    /// The metrics recorder.
     pub meter: Meter,
 }
 
@@ -144,11 +144,11 @@
 }
 
 impl<P: Platform> Node<P> {
-    /// Starts a node; it claims the cell when nobody else owns it.
+    /// Starts a node; it claims the cell when no other node owns it.
     ///
     /// # Errors
     ///
-    /// Fails where the address for other nodes can't be listened on.
+    /// Fails if the address for peer connections can't be listened on or a thread can't be spawned.
     pub fn start(parts: Parts<P>) -> Result<Self, Error> {
         let Identity {
             name,
@@ -195,14 +195,14 @@
             is_alone: AtomicBool::new(false),
         });
         let intake = Intake::start(&shared);
-        tokio::spawn(follow::follow_operator(shared.clone()));
-        tokio::spawn(edition::hear(shared.clone()));
+        tokio::spawn(store_watch::follow_operator(shared.clone()));
+        tokio::spawn(edition::poll_owner(shared.clone()));
         tokio::spawn(member::run(shared.clone()));
-        tokio::spawn(count_left_out(shared.clone()));
+        tokio::spawn(log_suppressed_lines(shared.clone()));
         tokio::spawn(pulse::run(shared.clone()));
-        let answering = Answering::new(shared.clone());
-        tokio::spawn(answering.clone().sweep());
-        tokio::spawn(answering.run(calls));
+        let peer_service = PeerService::new(shared.clone());
+        tokio::spawn(peer_service.clone().track_peers());
+        tokio::spawn(peer_service.run(calls));
         let front = Front::new(shared.clone(), intake);
         Ok(Self {
             shared,
@@ -211,49 +211,50 @@
         })
     }
 
-    /// Returns what serves callers.
+    /// Returns the handle that serves callers.
     pub fn front(&self) -> Front<P> {
         self.front.clone()
     }
 
-    /// Takes no more ownership and gives up the one it has; callers are served on.
+    /// Makes the node give up its ownership and claim no more; it still serves callers.
     pub fn leave(&self) {
         self.shared.is_leaving.store(true, Ordering::Relaxed);
         self.shared.acting.send_modify(|_| {});
         self.shared.vacant.notify_waiters();
     }
 
-    /// Waits until the ownership is given up, for as long as `patience`.
+    /// Waits until the node has given up its ownership, for `patience` at most.
     pub async fn disowned(&self, patience: Duration) {
         let mut acting = self.shared.acting.subscribe();
-        let gone = acting.wait_for(Option::is_none);
-        // Past its patience the process ends all the same.
-        let _ = tokio::time::timeout(patience, gone).await;
+        let released = acting.wait_for(Option::is_none);
+        // After the timeout, the process ends anyway.
+        let _ = tokio::time::timeout(patience, released).await;
     }
 
-    /// Returns how many nodes have greeted this one as the owner of late.
+    /// Returns the number of nodes that have recently greeted this node as the owner.
     pub async fn greeted_by(&self) -> usize {
         self.shared.greetings.lock().await.len()
     }
 
-    /// Stops answering other nodes.
+    /// Stops serving peers; requests in progress get up to `drain` to finish.
     pub async fn stop(self, drain: Duration) {
         drop(self.server.close(drain).await);
     }
 }
 
-/// Returns the bounds of the server for other nodes: all of a cell keep a connection to its owner.
+/// Returns the limits of the peer server. All nodes of a cell keep a connection to its owner.
 fn peer_limits(descriptors: u32) -> rpc::ServerLimits {
     rpc::ServerLimits {
-        connections: usize::try_from(descriptors / PEERS_PART)
+        connections: usize::try_from(descriptors / PEER_DESCRIPTOR_DIVISOR)
             .unwrap_or(usize::MAX)
             .max(1),
         ..rpc::ServerLimits::default()
     }
 }
 
-async fn count_left_out<P: Platform>(shared: Arc<Shared<P>>) {
-    let mut ticks = interval(LEFT_OUT);
+/// Logs the number of suppressed log lines of each kind, for as long as the process runs.
+async fn log_suppressed_lines<P: Platform>(shared: Arc<Shared<P>>) {
+    let mut ticks = interval(SUPPRESSED_LINES_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         ticks.tick().await;
@@ -263,43 +264,43 @@
     }
 }
 
-/// Answers other nodes.
-struct Answering<P: Platform> {
+/// Serves the requests of peers.
+struct PeerService<P: Platform> {
     shared: Arc<Shared<P>>,
-    hand: Hand<P>,
-    /// Rung when a node is heard that was not there.
-    news: Arc<Notify>,
+    dispatcher: Dispatcher<P>,
+    /// Notified when a peer is new or has changed.
+    peer_change: Arc<Notify>,
 }
 
-impl<P: Platform> Clone for Answering<P> {
+impl<P: Platform> Clone for PeerService<P> {
     fn clone(&self) -> Self {
         Self {
             shared: self.shared.clone(),
-            hand: self.hand.clone(),
-            news: self.news.clone(),
+            dispatcher: self.dispatcher.clone(),
+            peer_change: self.peer_change.clone(),
         }
     }
 }
 
-impl<P: Platform> Answering<P> {
+impl<P: Platform> PeerService<P> {
     fn new(shared: Arc<Shared<P>>) -> Self {
         Self {
-            hand: Hand::start(shared.clone()),
+            dispatcher: Dispatcher::start(shared.clone()),
             shared,
-            news: Arc::default(),
+            peer_change: Arc::default(),
         }
     }
 
     async fn run(self, mut calls: mpsc::Receiver<rpc::Incoming>) {
         while let Some(incoming) = calls.recv().await {
-            let answering = self.clone();
+            let peer_service = self.clone();
             tokio::spawn(async move {
                 let Some(question) = message::question(&incoming.call) else {
                     return;
                 };
-                let reply = answering.reply(question).await;
+                let reply = peer_service.reply(question).await;
                 if let Some(answer) = message::answer(&reply) {
-                    // The caller may be gone.
+                    // The caller may have given up.
                     let _ = incoming.answer.send(answer);
                 }
             });
@@ -310,15 +311,15 @@
         let shared = &self.shared;
         shared.meter.peer_call(question.word());
         match question {
-            Question::Hello(greeting) => self.hello(greeting).await,
+            Question::Hello(greeting) => self.record_greeting(greeting).await,
             Question::Advise {
                 step,
                 workers,
                 patience,
             } => Reply::Advised(shared.platform.advise(step, workers, patience).await),
             Question::Store => Reply::Store(member::vouch(shared).await),
-            Question::Configuration(known) => Reply::Configuration(edition::tell(shared, known)),
-            Question::Orders(orders) => match self.hand.take(orders) {
+            Question::Configuration(known) => Reply::Configuration(edition::current(shared, known)),
+            Question::Orders(orders) => match self.dispatcher.dispatch(orders) {
                 true => Reply::Noted,
                 false => self.not_owner(),
             },
@@ -345,7 +346,8 @@
         }
     }
 
-    async fn hello(&self, greeting: Greeting) -> Reply {
+    /// Answers a greeting and, if this node is the owner, records the peer.
+    async fn record_greeting(&self, greeting: Greeting) -> Reply {
         let shared = &self.shared;
         let acting = shared.acting.borrow().clone();
         let Some(acting) = acting else {
@@ -354,9 +356,9 @@
         let peer = Peer::from(&greeting);
         let now = Instant::now();
         let mut greetings = shared.greetings.lock().await;
-        let before = greetings.insert(greeting.node.clone(), (greeting, now));
-        if before.is_none_or(|(before, _)| Peer::from(&before) != peer) {
-            self.news.notify_one();
+        let previous = greetings.insert(greeting.node.clone(), (greeting, now));
+        if previous.is_none_or(|(previous, _)| Peer::from(&previous) != peer) {
+            self.peer_change.notify_one();
         }
         Reply::Owner(acting.claim, operator::extent(shared))
     }
@@ -368,41 +370,41 @@
         }
     }
 
-    /// Tells the engine which nodes are there, whenever that changes.
-    async fn sweep(self) {
-        let mut told: Option<(u32, Vec<Peer>)> = None;
-        let mut ticks = interval(SWEEP);
+    /// Drops peers that are gone and sends the engine the list of peers whenever it changes.
+    async fn track_peers(self) {
+        let mut last_sent: Option<(u32, Vec<Peer>)> = None;
+        let mut ticks = interval(PEER_CHECK_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         let mut ownership = self.shared.acting.subscribe();
         loop {
             tokio::select! {
                 _ = ticks.tick() => {}
-                () = self.news.notified() => {}
-                // The sender lives as long as this task.
+                () = self.peer_change.notified() => {}
+                // This can't fail: the sender outlives this task.
                 _ = ownership.changed() => {}
             }
             let acting = self.shared.acting.borrow().clone();
             let Some((acting, control)) =
                 acting.and_then(|acting| Some((acting.claim, acting.seat?.control)))
             else {
-                told = None;
+                last_sent = None;
                 continue;
             };
             let mut greetings = self.shared.greetings.lock().await;
-            greetings.retain(|_, (_, at)| at.elapsed() < PEER_GONE);
+            greetings.retain(|_, (_, at)| at.elapsed() < PEER_TIMEOUT);
             drop(greetings);
             let peers = self.shared.greeted().await;
             *self.shared.peers.lock().await = peers.clone();
-            let news = (acting.epoch.0, peers.clone());
-            if told.as_ref() == Some(&news) {
+            let update = (acting.epoch.0, peers.clone());
+            if last_sent.as_ref() == Some(&update) {
                 continue;
             }
             slog::info!(self.shared.log, "nodes"; "epoch" => %acting.epoch,
                 "count" => peers.len() + 1);
-            // The actor may be ending.
+            // The actor may be stopping.
             let _ = control.tell(Event::Peers(peers)).await;
-            told = Some(news);
-            sleep(SWEEP_GAP).await;
+            last_sent = Some(update);
+            sleep(MIN_PEER_UPDATE_INTERVAL).await;
         }
     }
 }
