--- a/crates/node/src/comeback.rs
+++ b/crates/node/src/comeback.rs
@@ -1,8 +1,7 @@
-//! When a caller that was refused should come back. Pure decisions.
+//! Decides how long a refused caller should wait before it retries. Does no I/O.
 //!
-//! They answer two loads: an outage of the store for all nodes, in which every return within the outage is
-//! wasted and callers return four times at most, and a machine that is cut off with a share of the callers on
-//! it, whom any other machine could serve at once.
+//! There are two cases. In an outage of the store for all nodes, every retry during the outage fails, and callers retry
+//! four times at most. If a single machine is disconnected, any other machine can serve its callers at once.
 
 use std::{
     collections::VecDeque,
@@ -12,15 +11,15 @@
 use fulmarpier_cell::id::JobId;
 use fulmarpier_state::alias::HashSet;
 
-/// The wait in an outage for all. Callers spread four returns over the 3 s that they have and take no longer
-/// first wait than this; longer ones were tried, and served nobody more (0.398 against 0.399 of the worth, 2 s
-/// and 3 s against 1 s, five plays each).
-const OUTAGE: Duration = Duration::from_secs(1);
-/// How many refused jobs are remembered: a node's share of the callers sends some 20 a second, and returns are
-/// over after 3 s.
-const REMEMBERED: usize = 1_024;
+/// The retry delay in an outage for all nodes.
+///
+/// Callers spread four retries over their 3 s deadline and accept no longer first delay than this. Longer delays don't
+/// help: 2 s and 3 s reach 0.398 of the possible value and 1 s reaches 0.399, in five simulations each.
+const OUTAGE_RETRY_DELAY: Duration = Duration::from_secs(1);
+/// The maximum number of remembered jobs. A node receives about 20 jobs per second, and their retries end after 3 s.
+const MAX_REMEMBERED_JOBS: usize = 1_024;
 
-/// The jobs that a node has refused of late.
+/// The jobs that a node has refused recently.
 #[derive(Debug, Default)]
 pub struct Refusals {
     jobs: HashSet<JobId>,
@@ -28,26 +27,26 @@
 }
 
 impl Refusals {
-    /// Notes that a job is refused, or that nobody can tell whether it was taken; returns how long its caller
-    /// should wait.
+    /// Records that a job was refused or that its outcome is unknown; returns how long its caller should wait before it
+    /// retries.
     ///
-    /// Where this node alone can't reach the store, the caller finds another at once. One that comes back
-    /// here has no other node to go to: it waits like all.
+    /// If only this node can't reach the store, the caller can retry on another node at once. A caller that retries on
+    /// this node has no other node to go to and waits as in an outage for all nodes.
     pub fn refuse(&mut self, job: JobId, is_alone: bool) -> Duration {
         let is_first = self.remember(job);
         match is_alone && is_first {
             true => Duration::ZERO,
-            false => OUTAGE,
+            false => OUTAGE_RETRY_DELAY,
         }
     }
 
-    /// Remembers a job; false where it was remembered before.
+    /// Adds a job; returns `false` if it is present already.
     fn remember(&mut self, job: JobId) -> bool {
         if !self.jobs.insert(job) {
             return false;
         }
         self.order.push_back(job);
-        if self.order.len() > REMEMBERED
+        if self.order.len() > MAX_REMEMBERED_JOBS
             && let Some(oldest) = self.order.pop_front()
         {
             self.jobs.remove(&oldest);
@@ -55,8 +54,8 @@
         true
     }
 
-    /// Returns when to come back where nothing is known of the job or the outage.
+    /// Returns the retry delay for requests whose job or outage isn't known.
     pub const fn usual() -> Duration {
-        OUTAGE
+        OUTAGE_RETRY_DELAY
     }
 }
--- a/crates/node/src/evacuation.rs
+++ b/crates/node/src/evacuation.rs
@@ -1,4 +1,4 @@
-//! Which data centres the operator has evacuated, as this node has read it.
+//! The data centres that the operator has evacuated, as this node has read them from the store.
 
 use fulmarpier_cell::{
     engine::Engine,
@@ -15,33 +15,33 @@
     shared::Shared, //
 };
 
-/// What the store has told.
+/// The evacuated data centres as last read from the store.
 #[derive(Clone, Debug)]
 pub(crate) struct Reading {
-    /// The data centres.
+    /// The evacuated data centres.
     pub(crate) evacuation: Evacuation,
-    /// When it last told that there is no change.
+    /// When the store last confirmed that this is the newest state.
     pub(crate) at: Instant,
 }
 
 impl Reading {
-    /// Tells the owner's engine.
+    /// Applies the reading to the owner's engine.
     pub(crate) fn tell(self, engine: &mut Engine, now: Timestamp) {
         let read = now.saturating_sub(self.at.elapsed());
         engine.evacuate(self.evacuation, read, now);
     }
 }
 
-/// How much of the operator's records was read.
+/// The part of the operator's records that was read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Scope {
-    /// The newest of each key: what isn't among them is taken back.
+    /// The newest record of each key. An evacuation that isn't among them has been revoked.
     Whole,
-    /// Those since the last reading.
+    /// The records since the last reading.
     More,
 }
 
-/// Takes in what was read just now; each change is told.
+/// Applies changes that were read just now and logs each data centre whose evacuation begins or ends.
 pub(crate) fn take<P: Platform>(shared: &Shared<P>, scope: Scope, changes: Vec<Change>) {
     let before = shared.evacuation.borrow().clone();
     let before = before.map(|reading| reading.evacuation).unwrap_or_default();
@@ -52,18 +52,18 @@
     for change in changes {
         evacuation.apply(change);
     }
-    tell(shared, &before, &evacuation);
+    log_changes(shared, &before, &evacuation);
     shared.evacuation.send_replace(Some(Reading {
         evacuation,
         at: Instant::now(),
     }));
 }
 
-fn tell<P: Platform>(shared: &Shared<P>, before: &Evacuation, after: &Evacuation) {
+fn log_changes<P: Platform>(shared: &Shared<P>, before: &Evacuation, after: &Evacuation) {
     let outcomes = [(after, before, "evacuated"), (before, after, "taken-back")];
-    for (these, others, outcome) in outcomes {
-        for data_centre in these.data_centres() {
-            if !others.covers(Some(data_centre)) {
+    for (present, absent, outcome) in outcomes {
+        for data_centre in present.data_centres() {
+            if !absent.covers(Some(data_centre)) {
                 slog::info!(shared.log, "evacuation"; "data_centre" => data_centre.as_str(),
                     "outcome" => outcome);
             }
--- a/crates/node/src/hedge.rs
+++ b/crates/node/src/hedge.rs
@@ -1,4 +1,4 @@
-//! Sends a call of the store again whose answer is overdue.
+//! Hedged calls to the store: sends another copy of a call whose answer is overdue.
 
 use std::{
     pin::pin,
@@ -23,23 +23,26 @@
     Platform, //
 };
 
-/// How many copies of an append are sent at most, the first included, where others do as well.
-const MOST_COPIES: u32 = 4;
-/// The longest time between two copies of an append that the whole cell waits for, and how long they are sent.
-const LONGEST_GAP: Duration = Duration::from_millis(400);
-const LIMIT: Duration = Duration::from_secs(3);
+/// The maximum number of copies of an unordered append, including the first.
+const MAX_COPIES: u32 = 4;
+/// The maximum time between two copies of an append, unless the caller's `patience` is longer. The whole cell waits for
+/// an ordered append.
+const MAX_COPY_GAP: Duration = Duration::from_millis(400);
+/// The timeout of an ordered append with all its copies.
+const ORDERED_APPEND_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Appends, with another copy each time that `patience` has passed, doubled from copy to copy.
+/// Appends to the store and sends another copy after `patience`, which doubles with each copy.
 ///
-/// With a third of the answers lost, an append takes some 0.1 s so; without it, it takes as long as a
-/// call may.
+/// With a third of the answers lost, an append takes about 0.1 s this way. Without copies, it takes up to the timeout
+/// of a call.
 ///
-/// An append that a writer's order tells from its repeats is sent on and on: a store that was silent answers none of the copies
-/// from before its return, and no start leaves before the owner's record is kept.
+/// An append with [`Condition::Writer`] can be told from its copies by its sequence number, so copies are sent until
+/// the timeout. A store that recovers from an outage answers none of the copies sent before, and no step starts before
+/// the owner's record is stored.
 ///
 /// # Errors
 ///
-/// [`Error::Refused`] only where every copy was refused; otherwise one of them may be carried out.
+/// Fails with [`Error::Refused`] only if every copy was refused; otherwise one of them may still take effect.
 pub(crate) async fn append<P: Platform>(
     platform: &P,
     append: &Append,
@@ -47,19 +50,20 @@
 ) -> Result<u64, Error> {
     let is_ordered = matches!(append.condition, Condition::Writer { .. });
     if !is_ordered {
-        return append_copies(platform, append, patience, MOST_COPIES).await;
+        return append_copies(platform, append, patience, MAX_COPIES).await;
     }
     let copies = append_copies(platform, append, patience, u32::MAX);
-    timeout(LIMIT, copies)
+    timeout(ORDERED_APPEND_TIMEOUT, copies)
         .await
         .unwrap_or(Err(Error::Unanswered))
 }
 
+/// Appends with up to `max_copies` copies of the call.
 async fn append_copies<P: Platform>(
     platform: &P,
     append: &Append,
     patience: Duration,
-    most: u32,
+    max_copies: u32,
 ) -> Result<u64, Error> {
     let mut copies = FuturesUnordered::new();
     copies.push(platform.append(append.clone()));
@@ -69,11 +73,11 @@
     loop {
         let finished = tokio::select! {
             finished = copies.next() => finished,
-            () = sleep_until(next), if sent < most => {
+            () = sleep_until(next), if sent < max_copies => {
                 platform.reconnect();
                 copies.push(platform.append(append.clone()));
                 let gap = patience.saturating_mul(2u32.saturating_pow(sent));
-                next = Instant::now() + gap.min(LONGEST_GAP.max(patience));
+                next = Instant::now() + gap.min(MAX_COPY_GAP.max(patience));
                 sent += 1;
                 continue;
             }
@@ -85,29 +89,31 @@
                     _ => error,
                 });
                 if matches!(failure, Some(Error::Refused(_))) && copies.is_empty() {
-                    // The store refuses: another copy would be refused like this one.
-                    sent = most;
+                    // The store would refuse another copy as well.
+                    sent = max_copies;
                 }
             }
             Some(settled) => return settled,
             None => return Err(failure.unwrap_or(Error::Unanswered)),
         }
-        if copies.is_empty() && sent >= most {
+        if copies.is_empty() && sent >= max_copies {
             return Err(failure.unwrap_or(Error::Unanswered));
         }
     }
 }
 
-/// Reads, with another copy once `patience` has passed after the first one's `wait`, and after `growth` times as long
-/// from copy to copy, for as long as `limit` beyond that. Only the first copy waits for something to happen.
+/// Reads from the store and sends another copy of the call while no answer arrives.
 ///
-/// A store that was silent answers no call from before its return. Nodes that had started meanwhile knew the
-/// configuration 1.9 s after it, with copies of their first call 0.2 s after it.
+/// The first copy lets the store delay its answer by `wait` until there is a record; the others don't. The second copy
+/// is sent when `patience` has passed after `wait`, and the gap grows by the factor `growth` with each copy. All copies
+/// together may take `wait + limit`.
+///
+/// A store that recovers from an outage answers no call made before. Without copies, nodes that start during an outage
+/// know the configuration 1.9 s after its end; with copies of their first call, 0.2 s after it.
 ///
 /// # Errors
 ///
-/// Fails with the first failure that is not a lost answer, and with [`Error::Unanswered`] once the limit is
-/// reached.
+/// Fails with the first error other than a missing answer, and with [`Error::Unanswered`] once the limit is reached.
 pub(crate) async fn read<P, T, F>(
     platform: &P,
     wait: Duration,
@@ -122,7 +128,7 @@
 {
     let mut copies = FuturesUnordered::new();
     copies.push(read(wait));
-    let mut over = pin!(sleep(wait + limit));
+    let mut deadline = pin!(sleep(wait + limit));
     let mut next = Instant::now() + wait + patience;
     loop {
         let finished = tokio::select! {
@@ -134,7 +140,7 @@
                 next += patience;
                 continue;
             }
-            () = &mut over => return Err(Error::Unanswered),
+            () = &mut deadline => return Err(Error::Unanswered),
         };
         match finished {
             Some(Err(Error::Unanswered)) if !copies.is_empty() => {}
