--- a/crates/node/src/front/owner.rs
+++ b/crates/node/src/front/owner.rs
@@ -31,7 +31,7 @@
 const MAX_OWNER_WAIT: Duration = Duration::from_millis(1_500);
 /// How many attempts to notify the owner may fail. After that, the owner learns of the record when it reads the store.
 const MAX_NOTIFICATION_FAILURES: u32 = 6;
-/// How long a change of ownership may go unnoticed on this node: it sends a greeting to the owner every 0.7 s at most,
+/// How long a change of ownership may go unnoticed on this node: it sends greetings to the owner at most 0.7 s apart,
 /// and a frozen or disconnected owner may stay silent for as long again.
 const MAX_REPLACEMENT_DELAY: Duration = Duration::from_millis(1_500);
 
--- a/crates/node/src/hedge.rs
+++ b/crates/node/src/hedge.rs
@@ -36,8 +36,8 @@
 /// With a third of the answers lost, an append takes about 0.1 s this way. Without copies, it takes up to the timeout
 /// of a call.
 ///
-/// An append with [`Condition::Writer`] can be told from its copies by its sequence number, so copies are sent until
-/// the timeout. A store that recovers from an outage answers none of the copies sent before, and no step starts before
+/// The store recognizes the copies of an append with [`Condition::Writer`] by the sequence number, so they are sent
+/// until the timeout. A store that recovers from an outage answers none of the copies sent before, and no step starts before
 /// the owner's record is stored.
 ///
 /// # Errors
