--- a/crates/node/src/message.rs
+++ b/crates/node/src/message.rs
@@ -1,4 +1,4 @@
-//! What nodes ask each other, carried by the call between peers.
+//! The requests and replies that nodes exchange, carried by the peer call of the wire protocol.
 
 use std::{
     net::SocketAddr,
@@ -41,55 +41,55 @@
     succession::Greeting, //
 };
 
-/// A question of one node to another.
+/// A request of one node to another.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) enum Question {
-    /// A node is there and asks the owner whether it still owns the cell.
+    /// The heartbeat of a node, which also asks the owner whether it still owns the cell.
     Hello(Greeting),
-    /// A job was handed in; its record is on its way.
+    /// A job was submitted; its record is being written.
     Announced(Box<Accepted>),
-    /// A job that was announced is not on record.
+    /// The record of an announced job was not stored.
     Withdrawn(JobId),
-    /// A job was accepted; its record is kept.
+    /// A job was accepted; its record is stored.
     Accepted(Box<Accepted>),
-    /// A job was cancelled; that is on record.
+    /// A job was cancelled; the cancellation is stored.
     Cancelled(Cancelled),
-    /// What is the state of a job?
+    /// Asks for the state of a job.
     Look {
         /// The job.
         job: JobId,
         /// The workspace of the caller.
         viewer: Option<WorkspaceName>,
-        /// How long ago the caller asked.
+        /// The time since the caller's request arrived.
         asked: Duration,
     },
-    /// How many jobs of a queue have begun nothing, as callers of a workspace see it?
+    /// Asks how many jobs of a queue have not started any task, as visible to callers of a workspace.
     Pending(QueueName, Option<WorkspaceName>),
-    /// Which workers may run a step?
+    /// Asks the advice service, through the other node, which workers may run a step.
     Advise {
         /// The step.
         step: StepId,
         /// The workers to ask about.
         workers: Vec<WorkerId>,
-        /// How long the asking may take.
+        /// The time limit for the advice call.
         patience: Duration,
     },
-    /// Does the store answer this node?
+    /// Asks whether the store answers the other node.
     Store,
-    /// Which configuration is in force there, where it is a later version than this one?
+    /// Asks for the configuration that the other node uses, if its version is later than this one.
     Configuration(u64),
-    /// Give these orders to workers.
+    /// Asks the other node to send these orders to workers.
     Orders(Orders),
-    /// What came of orders that the owner had this node give.
+    /// The results of orders that this node sent on behalf of the owner.
     Reports(Reports),
-    /// The owner has given the cell up.
+    /// The owner released the cell; carries the epoch of the ownership that ended.
     Vacant(Epoch),
-    /// The owner has handed the cell over under this claim, which is on record.
+    /// The owner handed the cell over under this claim, which is stored.
     Handed(Claim),
 }
 
 impl Question {
-    /// Returns the bare word, for counters.
+    /// Returns the name of the request, as metric labels have it.
     pub(crate) const fn word(&self) -> &'static str {
         match self {
             Self::Hello(_) => "hello",
@@ -110,64 +110,64 @@
     }
 }
 
-/// The answer to a [`Question`].
+/// The reply to a [`Question`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) enum Reply {
-    /// This node owns the cell under this claim, and has read so much of what the operator writes.
-    Owner(Claim, Option<Extent>),
+    /// This node owns the cell under this claim and has read the operator's records up to this position.
+    Owner(Claim, Option<ReadPosition>),
     /// This node doesn't own the cell.
     NotOwner {
-        /// The newest claim that it knows of.
+        /// The newest claim known to the node.
         claim: Option<Claim>,
-        /// Which life of the node answers.
+        /// The incarnation of the node that replies.
         incarnation: u64,
     },
-    /// It is taken in.
+    /// The request was processed; there is nothing to return.
     Noted,
     /// The state of a job.
     State(State),
-    /// The owner knows no such job.
+    /// The owner doesn't know the job.
     Absent(Absent),
-    /// A count of jobs.
+    /// The number of jobs that have not started any task.
     Pending(u32),
-    /// The workers that may run a step; `None` where the service gave no answer.
+    /// The workers that may run a step; `None` if the advice service did not answer.
     Advised(Option<Vec<Advised>>),
-    /// How long the store took to answer this node just now, if it did.
+    /// The latency of the store as just measured by this node; `None` if the store did not answer.
     Store(Option<Duration>),
-    /// What is known there of the configuration.
+    /// The configuration as this node knows it.
     Configuration(Edition),
 }
 
-/// How far a node has read what the operator writes.
+/// The position up to which a node has read the operator's records.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct Extent {
-    /// The offset of the next record.
+pub(crate) struct ReadPosition {
+    /// The offset of the next record to read.
     pub(crate) next: u64,
-    /// How long ago the store last told that there is none.
+    /// The time since the store last confirmed that there is no record at that offset.
     pub(crate) age: Duration,
 }
 
 /// A configuration as one node knows it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Edition {
-    /// Its version; zero where there is none.
+    /// The version; zero if the node has no configuration.
     pub(crate) version: u64,
-    /// How long ago the store last told that it is the newest.
+    /// The time since the store last confirmed that this version is the newest.
     pub(crate) age: Duration,
-    /// What the operator has written, as key and value, where whoever asks has an earlier version.
+    /// The operator's record as key and value; present only if the requesting node has an earlier version.
     pub(crate) record: Option<(String, Vec<u8>)>,
 }
 
-/// What an owner's word that it knows no such job rests on.
+/// How reliable an owner's reply is that it doesn't know a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Absent {
-    /// Under which claim it answers.
+    /// The epoch of the ownership under which the owner replies.
     pub(crate) epoch: Epoch,
-    /// For how long a job may have been on record that it has not read.
+    /// The longest time for which a job may have been stored without the owner having read its record.
     pub(crate) view: Duration,
 }
 
-/// Asks a node and waits for its answer.
+/// Sends a request to a node and waits for the reply.
 pub(crate) async fn ask(
     client: &rpc::Client,
     address: SocketAddr,
@@ -184,12 +184,12 @@
     match client.call(address, call, timeout).await? {
         Answer::Peer(reply) => postcard::from_bytes(&reply.message).map_err(malformed),
         _ => Err(rpc::Error::Malformed {
-            reason: "an answer to another call".to_owned(),
+            reason: "the answer belongs to a call of another kind".to_owned(),
         }),
     }
 }
 
-/// Reads a question out of a call; `None` where it is none.
+/// Decodes a request from a call; returns `None` if the call carries no valid request.
 pub(crate) fn question(call: &Call) -> Option<Question> {
     match call {
         Call::Peer(request) => postcard::from_bytes(&request.message).ok(),
@@ -197,7 +197,7 @@
     }
 }
 
-/// Writes a reply into an answer.
+/// Encodes a reply as the answer to a call.
 pub(crate) fn answer(reply: &Reply) -> Option<Answer> {
     let message = postcard::to_stdvec(reply).ok()?;
     let message = message.into();
--- a/crates/node/src/operator.rs
+++ b/crates/node/src/operator.rs
@@ -1,9 +1,9 @@
-//! How far this node has read what the operator writes, and how closely it has to follow.
+//! Tracks how far this node has read the operator's records, and decides how often it reads them.
 //!
-//! Every node reads that itself, and each call of the store has its price. The owner follows closely; it tells with each answer to
-//! a greeting how far it has read. A node that has read as far knows from its word that there is nothing newer, and has the store
-//! wait for long; one that has not reads at once. So a call whose answer is lost, or a connection that fell silent, is noticed by
-//! the next greeting.
+//! Every node reads these records itself, and each call of the store has a cost. The owner reads often and reports with
+//! each reply to a heartbeat how far it has read. A node that has read as far knows from this report that there is
+//! nothing newer, so it lets its calls wait at the store for long; a node that has not reads at once. This way a lost
+//! answer or a dead connection is noticed with the next heartbeat.
 
 use std::{
     future::pending,
@@ -20,113 +20,115 @@
 };
 
 use crate::{
-    message::Extent,
+    message::ReadPosition,
     port::Platform,
     shared::Shared, //
 };
 
-/// How long the store may wait for a change when the owner asks, by whose word the others go.
-const OWNER_WAIT: Duration = Duration::from_millis(500);
-/// The same where no word of the owner has come of late: a call that is lost is noticed only after this time, and a change has
-/// to be in force within 2 s.
-const ALONE_WAIT: Duration = Duration::from_millis(1_000);
-/// The same where it has. A store that leaves this node without an answer is noticed after this time, or by the first caller.
-const WAIT: Duration = Duration::from_millis(4_000);
-/// For so long a word of the owner is of late: nodes greet it each 0.7 s at least.
-const LATELY: Duration = Duration::from_millis(1_500);
-/// For so long an answer of the store may be on its way when the owner has its own already.
-const ON_THE_WAY: Duration = Duration::from_millis(100);
+/// The time for which a call of the owner waits at the store for a change. The other nodes rely on the owner's
+/// position.
+const OWNER_READ_WAIT: Duration = Duration::from_millis(500);
+/// The same for a node without a recent confirmation by the owner. A lost call is noticed only after this time, and a
+/// change has to be in force within 2 s.
+const UNCONFIRMED_READ_WAIT: Duration = Duration::from_millis(1_000);
+/// The same for a node with a recent confirmation by the owner. A store that doesn't answer this node is noticed after
+/// this time, or with the first request of a caller.
+const CONFIRMED_READ_WAIT: Duration = Duration::from_millis(4_000);
+/// The time for which a confirmation counts as recent. Nodes send a heartbeat to the owner at least every 0.7 s.
+const CONFIRMATION_VALIDITY: Duration = Duration::from_millis(1_500);
+/// The time for which the store's answer to this node may be later than that to the owner.
+const OWNER_LEAD_TOLERANCE: Duration = Duration::from_millis(100);
 
-/// How far this node has read, and what the owner has said of that.
+/// How far this node and the owner have read the operator's records.
 #[derive(Debug)]
 pub(crate) struct Reading {
-    /// The offset of the next record, once any was read.
-    next: watch::Sender<Option<u64>>,
-    /// The offset up to which the owner has read.
-    owner: watch::Sender<u64>,
-    /// When the owner last confirmed that this node has read as far.
-    confirmed: watch::Sender<Option<Instant>>,
+    /// The offset of the next record, once this node has read any.
+    next_offset: watch::Sender<Option<u64>>,
+    /// The offset of the next record as last reported by the owner.
+    owner_offset: watch::Sender<u64>,
+    /// When the owner last reported the same offset as this node has.
+    confirmed_at: watch::Sender<Option<Instant>>,
 }
 
 impl Default for Reading {
     fn default() -> Self {
         Self {
-            next: watch::Sender::new(None),
-            owner: watch::Sender::new(0),
-            confirmed: watch::Sender::new(None),
+            next_offset: watch::Sender::new(None),
+            owner_offset: watch::Sender::new(0),
+            confirmed_at: watch::Sender::new(None),
         }
     }
 }
 
-/// Notes that this node has read what the operator writes up to an offset just now.
-pub(crate) fn note<P: Platform>(shared: &Shared<P>, next: Option<u64>) {
-    shared.operator.next.send_replace(next);
+/// Records that this node has just read the operator's records up to an offset.
+pub(crate) fn record_read<P: Platform>(shared: &Shared<P>, next: Option<u64>) {
+    shared.operator.next_offset.send_replace(next);
 }
 
-/// Returns how far this node has read, and how long ago the store, or the owner, confirmed that there is no more.
-pub(crate) fn extent<P: Platform>(shared: &Shared<P>) -> Option<Extent> {
-    let next = *shared.operator.next.borrow();
-    next.map(|next| Extent {
+/// Returns how far this node has read, with the time since the store or the owner confirmed that there is no more.
+pub(crate) fn extent<P: Platform>(shared: &Shared<P>) -> Option<ReadPosition> {
+    let next = *shared.operator.next_offset.borrow();
+    next.map(|next| ReadPosition {
         next,
         age: shared.config_read.borrow().elapsed(),
     })
 }
 
-/// Takes the owner's word, which was asked for at a moment, how far it has read.
-pub(crate) fn confirm<P: Platform>(shared: &Shared<P>, owner: Extent, asked: Instant) {
+/// Processes the position reported by the owner in reply to a heartbeat sent at `asked`.
+pub(crate) fn confirm<P: Platform>(shared: &Shared<P>, owner: ReadPosition, asked: Instant) {
     let reading = &shared.operator;
-    reading.owner.send_replace(owner.next);
-    if *reading.next.borrow() != Some(owner.next) {
+    reading.owner_offset.send_replace(owner.next);
+    if *reading.next_offset.borrow() != Some(owner.next) {
         return;
     }
-    reading.confirmed.send_replace(Some(Instant::now()));
-    if let Some(told) = asked.checked_sub(owner.age) {
-        shared.note_operator_read(told);
+    reading.confirmed_at.send_replace(Some(Instant::now()));
+    if let Some(confirmed_at) = asked.checked_sub(owner.age) {
+        shared.confirm_operator_read(confirmed_at);
     }
 }
 
-/// Returns how long the store may wait for a change when this node asks next.
-pub(crate) fn wait<P: Platform>(shared: &Shared<P>) -> Duration {
+/// Returns the time for which the next call of this node waits at the store for a change.
+pub(crate) fn read_wait<P: Platform>(shared: &Shared<P>) -> Duration {
     let is_owner = shared.acting.borrow().is_some();
-    let confirmed = *shared.operator.confirmed.borrow();
+    let confirmed = *shared.operator.confirmed_at.borrow();
     match confirmed {
-        _ if is_owner => OWNER_WAIT,
-        Some(at) if at.elapsed() < LATELY => WAIT,
-        _ => ALONE_WAIT,
+        _ if is_owner => OWNER_READ_WAIT,
+        Some(at) if at.elapsed() < CONFIRMATION_VALIDITY => CONFIRMED_READ_WAIT,
+        _ => UNCONFIRMED_READ_WAIT,
     }
 }
 
-/// Waits until the store has to be asked at once, although a call may wait for a change there for so long.
-pub(crate) async fn overdue<P: Platform>(shared: &Shared<P>, wait: Duration) {
-    if wait <= ALONE_WAIT {
-        // The call itself ends soon enough.
+/// Waits until this node has to read again at once, although its present call would wait for longer.
+pub(crate) async fn wait_until_stale<P: Platform>(shared: &Shared<P>, wait: Duration) {
+    if wait <= UNCONFIRMED_READ_WAIT {
+        // The call ends soon enough by itself.
         return pending().await;
     }
     tokio::select! {
-        () = behind(shared) => {}
-        () = unconfirmed(shared) => {}
+        () = wait_until_owner_ahead(shared) => {}
+        () = wait_until_unconfirmed(shared) => {}
     }
 }
 
-/// Waits until the owner has read further for a while.
-async fn behind<P: Platform>(shared: &Shared<P>) {
-    let own = *shared.operator.next.borrow();
-    let mut owner = shared.operator.owner.subscribe();
-    // The sender lives as long as this task.
+/// Waits until the owner is ahead of this node and the store's answer to this node is overdue.
+async fn wait_until_owner_ahead<P: Platform>(shared: &Shared<P>) {
+    let own = *shared.operator.next_offset.borrow();
+    let mut owner = shared.operator.owner_offset.subscribe();
+    // The sender outlives this task.
     let _ = owner
         .wait_for(|owner| own.is_none_or(|own| own < *owner))
         .await;
-    sleep(ON_THE_WAY).await;
+    sleep(OWNER_LEAD_TOLERANCE).await;
 }
 
-/// Waits until neither the store nor the owner has confirmed for a while that there is nothing newer.
-async fn unconfirmed<P: Platform>(shared: &Shared<P>) {
+/// Waits until the last confirmation that there is nothing newer, by the store or the owner, is no longer recent.
+async fn wait_until_unconfirmed<P: Platform>(shared: &Shared<P>) {
     let mut confirmed = shared.config_read.subscribe();
     loop {
-        let until = *confirmed.borrow_and_update() + LATELY;
+        let until = *confirmed.borrow_and_update() + CONFIRMATION_VALIDITY;
         tokio::select! {
             () = sleep_until(until) => return,
-            // The sender lives as long as this task.
+            // The sender outlives this task.
             _ = confirmed.changed() => {}
         }
     }
--- a/crates/node/src/report.rs
+++ b/crates/node/src/report.rs
@@ -1,4 +1,4 @@
-//! Logs and metrics of a node.
+//! The logs and metrics of a node.
 
 use std::{
     cmp::Reverse,
@@ -41,19 +41,19 @@
     Rejected, //
 };
 
-/// How many lines of one kind are written a second; a busy second has some 400 decisions, and the
-/// rest is counted. A line is about 150 bytes.
-const LINES_A_SECOND: u32 = 120;
+/// The maximum number of log lines of one kind per second. A busy second has about 400 decisions; lines beyond the
+/// limit are only counted. A line has about 150 bytes.
+const MAX_LINES_PER_SECOND: u32 = 120;
 const SECOND: Duration = Duration::from_secs(1);
-/// How many letters of a key of another writer a line holds; keys have up to 255 bytes.
-const KEY_LETTERS: usize = 64;
+/// The number of characters to which a log line shortens a key of another writer. Keys have up to 255 bytes.
+const MAX_KEY_CHARS: usize = 64;
 
-/// Of how many workspaces there are gauges; a platform may have hundreds, and each takes six.
-const MOST_WORKSPACES: usize = 32;
+/// The maximum number of workspaces with gauges. A platform may have hundreds, and each takes six gauges.
+const MAX_WORKSPACES: usize = 32;
 
-/// How many lines of one kind were written in the present second.
+/// The number of log lines of one kind in the current period of one second.
 #[derive(Debug)]
-struct Budget {
+struct RateLimit {
     since: Instant,
     written: u32,
     left_out: u64,
@@ -75,10 +75,10 @@
     lost_reports: Counter<u64>,
     rejected: Counter<u64>,
     peer_calls: Counter<u64>,
-    budgets: Mutex<HashMap<&'static str, Budget>>,
+    rate_limits: Mutex<HashMap<&'static str, RateLimit>>,
 }
 
-/// The metrics of a node and the budgets of its log; cheap to clone.
+/// The metrics of a node and the rate limits of its log; cheap to clone.
 #[derive(Clone)]
 pub struct Meter(Arc<Inner>);
 
@@ -89,11 +89,11 @@
 }
 
 impl Meter {
-    /// Sets up the metrics.
+    /// Creates the metrics.
     ///
     /// # Errors
     ///
-    /// Fails where the exporter can't be built.
+    /// Fails if the exporter can't be built.
     pub fn new() -> Result<Self, MetricsError> {
         let registry = Registry::new("node", &[])?;
         let inner = Inner {
@@ -141,53 +141,53 @@
                 "fulmarpier_records_rejected",
                 "Records of other writers that were turned away, by topic and kind of fault.",
             ),
-            budgets: Mutex::default(),
+            rate_limits: Mutex::default(),
             registry,
         };
         Ok(Self(Arc::new(inner)))
     }
 
-    /// Returns all metrics as text.
+    /// Returns all metrics in the text format of the exporter.
     ///
     /// # Errors
     ///
-    /// Fails where an instrument can't be encoded.
+    /// Fails if an instrument can't be encoded.
     pub fn render(&self) -> Result<String, MetricsError> {
         self.0.registry.render()
     }
 
-    /// Returns whether a line of this kind is within its budget.
+    /// Counts a log line of this kind and returns whether it is within the rate limit.
     pub(crate) fn may_log(&self, kind: &'static str) -> bool {
         let now = Instant::now();
-        let Ok(mut budgets) = self.0.budgets.lock() else {
+        let Ok(mut rate_limits) = self.0.rate_limits.lock() else {
             return false;
         };
-        let budget = budgets.entry(kind).or_insert(Budget {
+        let limit = rate_limits.entry(kind).or_insert(RateLimit {
             since: now,
             written: 0,
             left_out: 0,
         });
-        if now.duration_since(budget.since) >= SECOND {
-            budget.since = now;
-            budget.written = 0;
+        if now.duration_since(limit.since) >= SECOND {
+            limit.since = now;
+            limit.written = 0;
         }
-        if budget.written < LINES_A_SECOND {
-            budget.written += 1;
+        if limit.written < MAX_LINES_PER_SECOND {
+            limit.written += 1;
             return true;
         }
-        budget.left_out += 1;
+        limit.left_out += 1;
         self.0.left_out.add(1, &[KeyValue::new("kind", kind)]);
         false
     }
 
-    /// Returns how many lines of each kind were left out since the last call.
+    /// Returns the number of lines of each kind that were left out since the last call.
     pub(crate) fn take_left_out(&self) -> Vec<(&'static str, u64)> {
-        let Ok(mut budgets) = self.0.budgets.lock() else {
+        let Ok(mut rate_limits) = self.0.rate_limits.lock() else {
             return Vec::new();
         };
-        let left = budgets
+        let left = rate_limits
             .iter_mut()
-            .map(|(kind, budget)| (*kind, std::mem::take(&mut budget.left_out)));
+            .map(|(kind, limit)| (*kind, std::mem::take(&mut limit.left_out)));
         left.filter(|(_, count)| *count > 0).collect()
     }
 
@@ -233,8 +233,8 @@
         self.0.lost_reports.add(1, &[KeyValue::new("reason", why)]);
     }
 
-    /// Counts a record that is turned away and writes its line.
-    pub(crate) fn reject(&self, log: &Logger, topic: &'static str, rejected: &Rejected) {
+    /// Counts and logs a rejected record.
+    pub(crate) fn record_rejected(&self, log: &Logger, topic: &'static str, rejected: &Rejected) {
         const KIND: &str = "record-rejected";
         let labels = [
             KeyValue::new("topic", topic),
@@ -246,11 +246,11 @@
         }
         slog::warn!(log, "record-rejected"; "topic" => topic,
             "key" => rejected.key.as_deref().map_or_else(String::new, shorten),
-            Known("offset", rejected.offset),
+            OptionalField("offset", rejected.offset),
             "fault" => rejected.fault.word(), "why" => %rejected.fault);
     }
 
-    /// Sets the gauges of what the owner believes.
+    /// Sets the gauges that describe the state of the owner's engine.
     pub(crate) fn believed(&self, counts: &Counts, epoch: u64, view: Duration) {
         let gauges: [(&'static str, usize); 10] = [
             ("jobs", counts.jobs),
@@ -276,11 +276,11 @@
         }
     }
 
-    /// Sets the gauges of what the workspaces with the largest limits have running.
+    /// Sets the gauges of usage and limits for the workspaces with the largest limits.
     pub(crate) fn workspaces(&self, mut usage: Vec<WorkspaceUsage>) {
         let memory = |size: Option<Resources>| size.map_or(0, |size| size.memory.get());
         usage.sort_by_key(|usage| Reverse(memory(usage.limit)));
-        usage.truncate(MOST_WORKSPACES);
+        usage.truncate(MAX_WORKSPACES);
         for usage in &usage {
             for (kind, size) in [("used", Some(usage.used)), ("limit", usage.limit)] {
                 for (resource, amount) in size.into_iter().flat_map(amounts) {
@@ -295,9 +295,9 @@
         }
     }
 
-    /// Counts a decision and writes its line.
+    /// Counts and logs a decision.
     pub(crate) fn note(&self, log: &Logger, note: &Note) {
-        let (kind, reason) = summary(note);
+        let (kind, reason) = kind_and_reason(note);
         let labels = [KeyValue::new("kind", kind), KeyValue::new("reason", reason)];
         self.0.decisions.add(1, &labels);
         match note {
@@ -307,12 +307,12 @@
             _ => {}
         }
         if self.may_log(kind) {
-            write(log, note);
+            write_line(log, note);
         }
     }
 }
 
-/// Returns the amount of each resource, with its name and unit.
+/// Returns the amount of each resource with its name, which includes the unit.
 fn amounts(size: Resources) -> [(&'static str, u64); 3] {
     [
         ("cpu_millicores", size.cpu.get().into()),
@@ -321,23 +321,24 @@
     ]
 }
 
-/// A field that is left out where its figure isn't known.
-struct Known(&'static str, Option<u64>);
+/// A numeric log field that is omitted if the value is unknown.
+struct OptionalField(&'static str, Option<u64>);
 
-impl slog::KV for Known {
+impl slog::KV for OptionalField {
     fn serialize(
         &self,
         _: &slog::Record<'_>,
         serializer: &mut dyn slog::Serializer,
     ) -> slog::Result {
         match self.1 {
-            Some(figure) => serializer.emit_u64(self.0, figure),
+            Some(value) => serializer.emit_u64(self.0, value),
             None => Ok(()),
         }
     }
 }
 
-const fn summary(note: &Note) -> (&'static str, &'static str) {
+/// Returns the kind and the reason of a decision, as metric labels.
+const fn kind_and_reason(note: &Note) -> (&'static str, &'static str) {
     match note {
         Note::Placed { .. } => ("placed", ""),
         Note::NotStarted { why, .. } => ("not-started", why),
@@ -354,18 +355,18 @@
     }
 }
 
-/// Returns the beginning of a key, without letters that could end a line or forge a field.
+/// Returns the beginning of a key, with characters escaped that could end a log line or forge a field.
 fn shorten(key: &str) -> String {
-    let letters = key.chars().take(KEY_LETTERS);
-    letters.flat_map(char::escape_default).collect()
+    let chars = key.chars().take(MAX_KEY_CHARS);
+    chars.flat_map(char::escape_default).collect()
 }
 
-/// Returns the whole milliseconds of a span, as the log writes them.
-pub(crate) fn millis(span: Duration) -> u64 {
-    u64::try_from(span.as_millis()).unwrap_or(u64::MAX)
+/// Returns a duration in whole milliseconds, as used in log fields.
+pub(crate) fn millis(duration: Duration) -> u64 {
+    u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
 }
 
-fn write(log: &Logger, note: &Note) {
+fn write_line(log: &Logger, note: &Note) {
     match note {
         Note::Placed {
             task,
@@ -405,14 +406,14 @@
             ticket,
         } => slog::info!(log, "preempting"; "step" => %step, "worker" => worker.as_str(),
             "wanted" => wanted, "fits" => fits, "victims" => victims,
-            Known("ticket_ms", ticket.map(millis))),
+            OptionalField("ticket_ms", ticket.map(millis))),
         Note::Worker {
             worker,
             incarnation,
             belief,
             heard,
         } => slog::info!(log, "worker"; "worker" => worker.as_str(), "belief" => belief,
-            Known("incarnation", incarnation.map(|incarnation| incarnation.0)),
+            OptionalField("incarnation", incarnation.map(|incarnation| incarnation.0)),
             "heard_ms" => heard.map_or(-1, |age| i64::try_from(age.as_millis()).unwrap_or(-1))),
         Note::Lost {
             task,
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -1,4 +1,4 @@
-//! What the parts of one node share.
+//! The state that the components of a node share.
 
 use std::{
     net::SocketAddr,
@@ -69,14 +69,14 @@
     succession::Greeting, //
 };
 
-/// The engine's actor, once this node owns the cell and has taken it over.
+/// The ownership of the cell by this node.
 pub(crate) struct Acting<P: Platform> {
     pub(crate) claim: Claim,
-    /// Absent while the takeover reads the store.
+    /// The engine's actor; `None` until the takeover has read the store.
     pub(crate) seat: Option<Seat<P>>,
 }
 
-/// The engine's actor, and how much it has read.
+/// The engine's actor, and how far it has read the job records.
 pub(crate) struct Seat<P: Platform> {
     pub(crate) control: ActorRef<Control<P>>,
     pub(crate) view: View,
@@ -100,27 +100,27 @@
     }
 }
 
-/// A read whose answer takes longer is sent again: stores that were seen to be slow took 0.24 s.
-const READ: Duration = Duration::from_millis(350);
-/// Readings of topics that may hold much are sent again after so many times as long each time, at 0.35, 1.05 and 2.45 s:
-/// some megabytes over a link of 10 Mbit/s took 2 s, and each copy takes as much of the link again.
-const MUCH_GROWTH: u32 = 2;
-/// How long reading may take, with all copies; a call of the platform takes 3 s at most.
-const READ_LIMIT: Duration = Duration::from_millis(3_000);
+/// A read is sent again if its answer takes longer than this. Slow stores have been measured to take 0.24 s.
+const READ_RETRY_DELAY: Duration = Duration::from_millis(350);
+/// The factor by which the delay grows between the copies of a read of a large topic, which are sent after 0.35, 1.05
+/// and 2.45 s. A few megabytes take 2 s over a link of 10 Mbit/s, and each copy takes as much of the link again.
+const LARGE_TOPIC_DELAY_FACTOR: u32 = 2;
+/// The time limit of a read with all its copies. A call of the platform takes 3 s at most.
+const READ_TIMEOUT: Duration = Duration::from_millis(3_000);
 
-/// The nodes that have greeted this one as the owner, each with when it last did.
+/// The last heartbeat that this node, as the owner, received from each other node, with its time of arrival.
 pub(crate) type Greetings = Mutex<HashMap<NodeName, (Greeting, Instant)>>;
 
-/// What the parts of one node share; cheap to clone.
+/// The state that the components of a node share, kept behind an `Arc`.
 pub(crate) struct Shared<P: Platform> {
     pub(crate) name: NodeName,
     pub(crate) address: SocketAddr,
     pub(crate) incarnation: u64,
-    /// How strong the node is among others.
+    /// The capacity of this node as an owner, see [`strength`](crate::succession::strength).
     pub(crate) strength: Millicores,
-    /// How many files and connections it may have open.
+    /// The number of files and connections that the process may have open.
     pub(crate) descriptors: u32,
-    /// When this life of it began.
+    /// When this incarnation of the node started.
     pub(crate) began: Instant,
     pub(crate) bounds: Bounds,
     pub(crate) revocation: Revocation,
@@ -129,58 +129,58 @@
     pub(crate) clock: Clock,
     pub(crate) log: Logger,
     pub(crate) meter: Meter,
-    /// The configuration in force here, once one is known.
+    /// The configuration in force on this node, once one is known.
     pub(crate) config: watch::Sender<Option<Arc<Config>>>,
-    /// What the operator has written of it.
+    /// The operator's record from which that configuration was decoded.
     pub(crate) config_record: watch::Sender<Option<Record>>,
-    /// When the store last told this node, or the owner, which configuration is the newest.
+    /// When the store last confirmed, to this node or to the owner, which configuration is the newest.
     pub(crate) config_read: watch::Sender<Instant>,
-    /// How far what the operator writes was read.
+    /// How far this node has read the operator's records.
     pub(crate) operator: operator::Reading,
-    /// Which data centres are evacuated, once the store has told this node.
+    /// The evacuated data centres, once this node has read them from the store.
     pub(crate) evacuation: watch::Sender<Option<evacuation::Reading>>,
-    /// The newest claim that is known here.
+    /// The newest claim known to this node.
     pub(crate) claim: watch::Sender<Option<Claim>>,
-    /// The strength of the strongest owner that was known here, in thousandths of a core.
+    /// The strength of the strongest owner known to this node so far, in thousandths of a core.
     pub(crate) strongest: AtomicU32,
-    /// This node's own ownership.
+    /// The ownership of the cell by this node, if it is the owner.
     pub(crate) acting: watch::Sender<Option<Acting<P>>>,
-    /// The nodes that the owner knows, but for itself.
+    /// The nodes known to the owner, except the owner itself.
     pub(crate) peers: Mutex<Vec<Peer>>,
     pub(crate) is_leaving: AtomicBool,
-    /// Rung when the owner may be gone.
+    /// Notified when the owner may be gone.
     pub(crate) vacant: Notify,
-    /// Rung when the owner's actor finds that it stood still.
+    /// Notified when the owner's actor finds that it did not run for a while.
     pub(crate) stalled: Notify,
-    /// What the other nodes told of themselves when they last greeted this one as the owner.
+    /// The last heartbeats of the other nodes to this one as the owner.
     pub(crate) greetings: Greetings,
     pub(crate) pulse: Pulse,
     pub(crate) store: StoreHealth,
-    /// What the store told this node when another one asked.
+    /// The result of the last store probe that was made at the request of another node.
     pub(crate) probe: member::Probe,
-    /// Whether the store is away for this node alone, as far as that can be told.
+    /// Whether the store appears to be unreachable from this node only.
     pub(crate) is_alone: AtomicBool,
 }
 
 impl<P: Platform> Shared<P> {
     /// Appends to the store.
     ///
-    /// An append that can be sent twice without harm is, where its answer is overdue: it may be lost.
+    /// If the answer is overdue, the call may be lost, so an append that is safe to repeat is sent again.
     pub(crate) async fn append(&self, purpose: &'static str, append: Append) -> Result<u64, Error> {
         let call = self.store.begin(purpose, Duration::ZERO);
         let result = match append.condition {
-            // A second copy would find that the topic has moved, by the first one.
+            // A second copy would fail because the first one has moved the end of the topic.
             Condition::EndsAt(_) => self.platform.append(append).await,
             Condition::None | Condition::Writer { .. } => {
-                let patience = self.store.patience();
-                hedge::append(&self.platform, &append, patience).await
+                let retry_delay = self.store.patience();
+                hedge::append(&self.platform, &append, retry_delay).await
             }
         };
-        self.end(&call, purpose, &result);
+        self.finish_call(&call, purpose, &result);
         result
     }
 
-    /// Reads on from an offset.
+    /// Reads records from an offset on. Waits up to `wait` for a record if there is none.
     pub(crate) async fn read(
         &self,
         purpose: &'static str,
@@ -190,28 +190,37 @@
     ) -> Result<Page, Error> {
         let call = self.store.begin(purpose, wait);
         let read = |wait| self.platform.read(topic, from, wait);
-        let patience = READ.max(self.store.patience());
-        let result = hedge::read(&self.platform, wait, patience, 1, READ_LIMIT, read).await;
-        self.end_read(&call, purpose, &result);
+        let retry_delay = READ_RETRY_DELAY.max(self.store.patience());
+        let result = hedge::read(&self.platform, wait, retry_delay, 1, READ_TIMEOUT, read).await;
+        self.finish_read(&call, purpose, &result);
         result
     }
 
     /// Reads the newest record of each key.
     pub(crate) async fn newest(&self, purpose: &'static str, topic: Topic) -> Result<Page, Error> {
         let call = self.store.begin(purpose, Duration::ZERO);
-        let growth = match topic {
+        let delay_factor = match topic {
             Topic::Claims | Topic::Configuration => 1,
-            Topic::Jobs(_) | Topic::Progress | Topic::Workers => MUCH_GROWTH,
+            Topic::Jobs(_) | Topic::Progress | Topic::Workers => LARGE_TOPIC_DELAY_FACTOR,
         };
-        let patience = READ.max(self.store.patience());
+        let retry_delay = READ_RETRY_DELAY.max(self.store.patience());
         let read = |_| self.platform.newest(topic);
-        let none = Duration::ZERO;
-        let result = hedge::read(&self.platform, none, patience, growth, READ_LIMIT, read).await;
-        self.end_read(&call, purpose, &result);
+        let no_wait = Duration::ZERO;
+        let result = hedge::read(
+            &self.platform,
+            no_wait,
+            retry_delay,
+            delay_factor,
+            READ_TIMEOUT,
+            read,
+        )
+        .await;
+        self.finish_read(&call, purpose, &result);
         result
     }
 
-    /// Reads a part of the newest records, behind a key; returns the key to read on behind, where there are more.
+    /// Reads a part of the newest records, starting after a key. Returns the key after which to continue, if there
+    /// are more.
     pub(crate) async fn newest_after(
         &self,
         purpose: &'static str,
@@ -220,26 +229,26 @@
     ) -> Result<(Page, Option<String>), Error> {
         let call = self.store.begin(purpose, Duration::ZERO);
         let result = self.platform.newest_after(topic, after).await;
-        self.end(&call, purpose, &result);
+        self.finish_call(&call, purpose, &result);
         for rejected in result.iter().flat_map(|(page, _)| &page.rejected) {
             self.turn_away(purpose, rejected);
         }
         result
     }
 
-    fn end_read(&self, call: &Call, purpose: &'static str, result: &Result<Page, Error>) {
-        self.end(call, purpose, result);
+    fn finish_read(&self, call: &Call, purpose: &'static str, result: &Result<Page, Error>) {
+        self.finish_call(call, purpose, result);
         for rejected in result.iter().flat_map(|page| &page.rejected) {
             self.turn_away(purpose, rejected);
         }
     }
 
-    /// Turns a record away: the one place where that is counted and told.
+    /// Counts and logs a rejected record. Every rejection passes through this function.
     pub(crate) fn turn_away(&self, topic: &'static str, rejected: &Rejected) {
-        self.meter.reject(&self.log, topic, rejected);
+        self.meter.record_rejected(&self.log, topic, rejected);
     }
 
-    fn end<T>(&self, call: &Call, purpose: &'static str, result: &Result<T, Error>) {
+    fn finish_call<T>(&self, call: &Call, purpose: &'static str, result: &Result<T, Error>) {
         self.meter.store_call(purpose, call.took(), result);
         self.store.end(call, result);
     }
@@ -248,17 +257,18 @@
         self.is_leaving.load(Ordering::Relaxed)
     }
 
-    /// Returns the engine's actor where this node owns the cell and is at work.
+    /// Returns the engine's actor if this node owns the cell and has completed its takeover.
     pub(crate) fn control(&self) -> Option<ActorRef<Control<P>>> {
         Some(self.seat()?.control)
     }
 
-    /// Returns the engine's actor with its view of the record, where this node owns the cell and is at work.
+    /// Returns the engine's actor and how far it has read the job records, if this node owns the cell and has
+    /// completed its takeover.
     pub(crate) fn seat(&self) -> Option<Seat<P>> {
         self.acting.borrow().as_ref()?.seat.clone()
     }
 
-    /// Returns this node as others know it.
+    /// Returns the description of this node that other nodes use.
     pub(crate) fn peer(&self) -> Peer {
         Peer {
             node: self.name.clone(),
@@ -268,7 +278,7 @@
         }
     }
 
-    /// Returns the nodes that have greeted this one as the owner.
+    /// Returns the nodes that sent heartbeats to this one as the owner.
     pub(crate) async fn greeted(&self) -> Vec<Peer> {
         let greetings = self.greetings.lock().await;
         let mut peers: Vec<Peer> = greetings
@@ -279,7 +289,7 @@
         peers
     }
 
-    /// Returns what this node tells of itself.
+    /// Returns the content of a heartbeat of this node.
     pub(crate) fn greeting(&self) -> Greeting {
         Greeting {
             node: self.name.clone(),
@@ -293,54 +303,55 @@
         }
     }
 
-    /// Notes when the store told, here or elsewhere, that what this node has read of the operator's is the newest.
-    pub(crate) fn note_operator_read(&self, told: Instant) {
+    /// Records when the store confirmed, to this node or another, that this node has read the operator's newest
+    /// records.
+    pub(crate) fn confirm_operator_read(&self, confirmed_at: Instant) {
         self.config_read.send_if_modified(|read| {
-            let is_news = told > *read;
-            *read = told.max(*read);
-            is_news
+            let is_later = confirmed_at > *read;
+            *read = confirmed_at.max(*read);
+            is_later
         });
         self.evacuation.send_if_modified(|reading| {
-            let reading = reading.as_mut().filter(|reading| reading.at < told);
-            let is_news = reading.is_some();
+            let reading = reading.as_mut().filter(|reading| reading.at < confirmed_at);
+            let is_later = reading.is_some();
             if let Some(reading) = reading {
-                reading.at = told;
+                reading.at = confirmed_at;
             }
-            is_news
+            is_later
         });
     }
 
-    /// Notes the newest claim that is known here.
+    /// Records the newest claim known to this node.
     pub(crate) fn note_claim(&self, claim: Claim) {
         self.strongest
             .fetch_max(claim.strength.get(), Ordering::Relaxed);
         self.claim.send_replace(Some(claim));
     }
 
-    /// Notes how far jobs are spread by the newest renewal of the claim that is known here.
+    /// Records how many partitions jobs are spread over by the newest renewal of the claim known to this node.
     pub(crate) fn note_spread(&self, renewed: &Claim) {
         self.claim.send_if_modified(|claim| {
             let known = claim.as_mut().filter(|claim| claim.epoch == renewed.epoch);
             if let Some(known) = known {
                 known.spread = renewed.spread;
             }
-            // Nobody waits for this change.
+            // No task waits for this change.
             false
         });
     }
 
-    /// Returns how far jobs are spread, as far as is known here.
+    /// Returns how many partitions jobs are spread over, as far as this node knows.
     pub(crate) fn spread(&self) -> Spread {
         let claim = self.claim.borrow();
         claim.as_ref().map(|claim| claim.spread).unwrap_or_default()
     }
 
-    /// Returns the strength of the strongest owner that was known here.
+    /// Returns the strength of the strongest owner known to this node so far.
     pub(crate) fn strongest(&self) -> Millicores {
         Millicores(self.strongest.load(Ordering::Relaxed))
     }
 
-    /// Returns the highest ownership that is known here.
+    /// Returns the highest epoch known to this node.
     pub(crate) fn epoch(&self) -> fulmarpier_cell::id::Epoch {
         let claim = self.claim.borrow();
         claim
--- a/crates/node/src/watch.rs
+++ b/crates/node/src/watch.rs
@@ -1,4 +1,5 @@
-//! Follows what the operator writes, and on the owner the list of workers and the jobs.
+//! Readers that follow topics of the store. Every node follows the operator's records; the owner also follows the list
+//! of workers and the jobs.
 
 use std::{
     pin::pin,
@@ -41,26 +42,27 @@
     shared::Shared,
 };
 
-/// The pause after a failed call, half to whole; refused calls are priced like others.
-const PAUSE: Duration = Duration::from_millis(250);
+/// The maximum delay before a failed call is retried. Refused calls cost as much as others, so retries must not be
+/// frequent.
+const MAX_RETRY_DELAY: Duration = Duration::from_millis(250);
 
-/// Reads a topic on, from its newest records or from where it was read last.
+/// A reader of a topic that starts with the newest record of each key and then continues from the last offset read.
 pub(crate) struct Reader {
     topic: Topic,
     purpose: &'static str,
     next: Option<u64>,
 }
 
-/// What a read brought.
+/// The result of a read.
 pub(crate) enum Batch {
-    /// The newest record of every key; what isn't among them is gone.
+    /// The newest record of every key; keys that are not among them were removed.
     Whole(Page),
     /// The records since the last read.
     More(Page),
 }
 
 impl Reader {
-    /// Makes a reader that begins with the newest records.
+    /// Creates a reader that starts with the newest records.
     pub(crate) const fn new(topic: Topic, purpose: &'static str) -> Self {
         Self {
             topic,
@@ -69,12 +71,13 @@
         }
     }
 
-    /// Reads on from an offset, unless one before it was named already.
+    /// Starts the reader at an offset, unless it already has one.
     pub(crate) fn begin_at(&mut self, next: u64) {
         self.next.get_or_insert(next);
     }
 
-    /// Reads once. After a gap in the history it begins with the newest records again.
+    /// Reads once. If the store no longer has the records from the offset on, the next read starts with the newest
+    /// records again.
     pub(crate) async fn read<P: Platform>(
         &mut self,
         shared: &Shared<P>,
@@ -102,27 +105,27 @@
     }
 }
 
-/// Waits between half of the pause and the whole, so that nodes don't call together.
+/// Waits for between half of the maximum delay and all of it, so that nodes don't retry at the same time.
 pub(crate) async fn pause() {
-    sleep(PAUSE.mul_f64(random_range(0.5..=1.0))).await;
+    sleep(MAX_RETRY_DELAY.mul_f64(random_range(0.5..=1.0))).await;
 }
 
-/// What a record of the operator's says.
-enum Told {
-    /// The configuration, with what the operator has written for nodes that can't read it themselves.
+/// The content of a record of the operator.
+enum Update {
+    /// The configuration, with the record itself for nodes that can't read the store.
     Config(Config, Record),
-    /// Whether a data centre is evacuated.
+    /// The start or end of the evacuation of a data centre.
     Evacuation(Change),
 }
 
-/// Follows what the operator writes for as long as the process runs.
+/// Follows the operator's records for as long as the process runs.
 pub(crate) async fn follow_operator<P: Platform>(shared: Arc<Shared<P>>) {
     let mut reader = Reader::new(Topic::Configuration, "configuration");
     let mut wait = Duration::ZERO;
     loop {
         let batch = {
             let read = pin!(reader.read(&shared, wait));
-            match select(read, pin!(operator::overdue(&shared, wait))).await {
+            match select(read, pin!(operator::wait_until_stale(&shared, wait))).await {
                 Either::Left((batch, _)) => batch,
                 Either::Right(_) => {
                     wait = Duration::ZERO;
@@ -132,78 +135,83 @@
         };
         let read = match batch {
             Ok(Batch::Whole(page)) => {
-                let settled = settle(&shared, page).await;
+                let settled = replace_invalid(&shared, page).await;
                 if settled.is_err() {
                     reader = Reader::new(Topic::Configuration, "configuration");
                 }
-                settled.map(|told| (Scope::Whole, told))
+                settled.map(|updates| (Scope::Whole, updates))
             }
-            // The last one that could be read stays in force where another can't.
+            // If a record can't be decoded, the last one that could be stays in force.
             Ok(Batch::More(page)) => {
-                let read = |record: &Record| read(&shared, record);
-                let read = recall::read(&shared, "configuration", page, read);
+                let decode = |record: &Record| decode(&shared, record);
+                let read = recall::read(&shared, "configuration", page, decode);
                 Ok((Scope::More, read.found))
             }
             Err(error) => Err(error),
         };
         wait = match read {
-            // A store that comes back answers such a call at once, and one that waits only after its wait: whoever asks
-            // for a queue meanwhile is told that this node doesn't know.
+            // After an outage the store answers a call with no wait at once, but a waiting call only at the end of its
+            // wait. Until then callers that name a queue would be told that this node doesn't know the queues.
             Err(_) => Duration::ZERO,
             Ok(_) if shared.store.is_failing() => Duration::ZERO,
-            Ok(_) => operator::wait(&shared),
+            Ok(_) => operator::read_wait(&shared),
         };
         match read {
-            Ok((scope, told)) => {
-                take(&shared, scope, told);
-                operator::note(&shared, reader.next);
+            Ok((scope, updates)) => {
+                apply(&shared, scope, updates);
+                operator::record_read(&shared, reader.next);
             }
             Err(_) => pause().await,
         }
     }
 }
 
-/// Puts the last record that can be read in the place of one that can't: a node that starts must not wait for the next
-/// one.
-async fn settle<P: Platform>(shared: &Shared<P>, page: Page) -> Result<Vec<Told>, Error> {
+/// Replaces each record that can't be decoded by the last one under its key that can, so that a starting node doesn't
+/// have to wait for the next valid record.
+async fn replace_invalid<P: Platform>(
+    shared: &Shared<P>,
+    page: Page,
+) -> Result<Vec<Update>, Error> {
     let own = Own {
         key: |_| true,
-        read: &|record| read(shared, record),
+        read: &|record| decode(shared, record),
     };
     let topic = Topic::Configuration;
     let settled = recall::settle(shared, topic, "configuration", page, own).await;
     settled.map(|settled| settled.found)
 }
 
-fn read<P: Platform>(shared: &Shared<P>, record: &Record) -> Result<Option<Told>, Fault> {
+/// Decodes a record of the operator; `None` if it removes its key or holds something else.
+fn decode<P: Platform>(shared: &Shared<P>, record: &Record) -> Result<Option<Update>, Fault> {
     if let Some(config) = shared.platform.configuration(record)? {
-        return Ok(Some(Told::Config(config, record.clone())));
+        return Ok(Some(Update::Config(config, record.clone())));
     }
     let change = shared.platform.evacuation(record)?;
-    Ok(change.map(Told::Evacuation))
+    Ok(change.map(Update::Evacuation))
 }
 
-/// Takes in what was read just now; a call that waits for a change tells at its end that there was none.
-fn take<P: Platform>(shared: &Shared<P>, scope: Scope, told: Vec<Told>) {
+/// Applies the records of a read that has just ended. The end of a waiting call without records confirms that nothing
+/// changed.
+fn apply<P: Platform>(shared: &Shared<P>, scope: Scope, updates: Vec<Update>) {
     shared.config_read.send_replace(Instant::now());
     let mut changes = Vec::new();
-    for told in told {
-        match told {
-            Told::Config(config, record) => take_config(shared, config, record),
-            Told::Evacuation(change) => changes.push(change),
+    for update in updates {
+        match update {
+            Update::Config(config, record) => take_config(shared, config, record),
+            Update::Evacuation(change) => changes.push(change),
         }
     }
     evacuation::take(shared, scope, changes);
 }
 
-/// Puts a configuration in force here; an older one than the present changes nothing.
+/// Puts a configuration in force on this node, unless its version is no later than the current one.
 pub(crate) fn take_config<P: Platform>(shared: &Shared<P>, config: Config, record: Record) {
-    let present = shared.config.borrow().as_ref().map(|config| config.version);
-    if present.is_some_and(|present| present >= config.version) {
+    let current = shared.config.borrow().as_ref().map(|config| config.version);
+    if current.is_some_and(|current| current >= config.version) {
         return;
     }
     slog::info!(shared.log, "configuration"; "version" => config.version,
-        "before" => present.unwrap_or(0), "queues" => config.queues.len(),
+        "before" => current.unwrap_or(0), "queues" => config.queues.len(),
         "pools" => config.pools.len());
     shared.config_record.send_replace(Some(record));
     shared.config.send_replace(Some(Arc::new(config)));
