--- a/crates/node/src/order.rs
+++ b/crates/node/src/order.rs
@@ -1,4 +1,4 @@
-//! Orders to workers, and what came of them.
+//! Orders to workers and the reports on their results.
 
 use std::time::Duration;
 
@@ -44,27 +44,27 @@
     Start(Box<Start>),
     /// Stop a task.
     Stop(Stop),
-    /// Let a filling task work at a share.
+    /// Run a best-effort task at a share of its processor.
     Pace(Pace),
-    /// Extend the lease and tell what is there.
+    /// Extend the lease and return the inventory.
     Hold(Hold),
 }
 
-/// What came of an order.
+/// The result of an order.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) enum Report {
-    /// Of an order to start.
+    /// The result of an order to start.
     Started(WorkerId, TaskId, Run, StartAnswer),
-    /// Of an order to stop.
+    /// The result of an order to stop.
     Stopped(WorkerId, TaskId, Run, StopAnswer),
-    /// Of an order to pace, with the share.
+    /// The result of an order to run at a share, with the share in percent.
     Paced(WorkerId, TaskId, Run, u8, StopAnswer),
-    /// Of a call for an inventory that was made at this time.
+    /// The result of a request for an inventory that was made at this time.
     Held(WorkerId, Timestamp, HoldAnswer),
 }
 
 impl Order {
-    /// Returns where it goes.
+    /// Returns the destination.
     pub(crate) fn to(&self) -> &Destination {
         match self {
             Self::Start(order) => &order.to,
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Returns how long it takes at most until it is answered or given up.
+    /// Returns the time after which an order without an answer is abandoned.
     pub(crate) fn patience(&self) -> Duration {
         match self {
             Self::Start(_) | Self::Stop(_) | Self::Pace(_) => ORDER,
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Returns what an order comes to that may or may not be carried out.
+    /// Returns the report on an order without an answer, which may or may not take effect.
     pub(crate) fn unanswered(&self) -> Report {
         let worker = self.to().worker.clone();
         match self {
@@ -98,7 +98,7 @@
         }
     }
 
-    /// Returns what an order comes to that certainly never leaves.
+    /// Returns the report on an order that is certain never to be sent.
     pub(crate) fn unsent(&self) -> Report {
         match self {
             Self::Start(order) => {
@@ -109,9 +109,9 @@
         }
     }
 
-    /// Gives the order and waits for its answer.
+    /// Sends the order and waits for the answer.
     pub(crate) async fn carry_out<P: Platform>(self, platform: &P, meter: &Meter) -> Report {
-        let began = Instant::now();
+        let started_at = Instant::now();
         let (kind, report, outcome) = match self {
             Self::Start(order) => {
                 let (worker, task, run) = (order.to.worker.clone(), order.task, order.run);
@@ -139,7 +139,7 @@
                 ("hold", Report::Held(worker, asked, answer), outcome)
             }
         };
-        meter.worker_call(kind, began.elapsed(), outcome);
+        meter.worker_call(kind, started_at.elapsed(), outcome);
         report
     }
 }
--- a/crates/node/src/port.rs
+++ b/crates/node/src/port.rs
@@ -1,4 +1,4 @@
-//! What a node needs of its platform: a store, workers and an advice service.
+//! The interface between a node and its platform: the store, the workers and the advice service.
 
 use std::{
     collections::BTreeSet,
@@ -31,34 +31,36 @@
     },
 };
 
-/// How long a worker may take to answer an order: it answers within milliseconds or not at all, and the most
-/// urgent jobs have 650 ms to spare.
+/// The timeout of an order to a worker. Workers answer within milliseconds or not at all, and the most urgent jobs
+/// have only 650 ms of slack.
 pub const ORDER: Duration = Duration::from_millis(250);
-/// How much longer than it was told to wait a worker may take for its inventory.
+/// The time that a worker may take for its inventory beyond the wait requested of it.
 pub const INVENTORY: Duration = Duration::from_millis(800);
 
-/// Into how many partitions jobs fall. Each node writes to one of them. A partition carries out one append at a time, in 3 ms
-/// and on slow days in 0.3 s, which nodes should not wait for one by one; it refuses what would wait for 2 s.
+/// The number of partitions that job records are spread over. Each node writes to one of them.
+///
+/// A partition executes one append at a time and refuses appends that would wait for 2 s. An append usually takes 3 ms
+/// but can take 0.3 s, so nodes that share a partition would delay each other.
 pub const JOB_PARTITIONS: u16 = 48;
-/// Into how many of them the jobs of a small cell fall.
+/// The number of partitions that the job records of a small cell are spread over.
 pub const FIRST_PARTITIONS: u16 = 16;
 
-/// What the store keeps, each with the newest record of every key.
+/// The topics of the store. Each topic keeps at least the newest record of every key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Topic {
-    /// Jobs that were accepted or cancelled, in partitions by job.
+    /// Accepted and cancelled jobs, partitioned by job.
     Jobs(u16),
-    /// How far jobs have come, and the workers that were used; written by the owner alone.
+    /// The progress of jobs and the workers that were used; written only by the owner.
     Progress,
-    /// Who owns the cell.
+    /// The claims, which say who owns the cell.
     Claims,
-    /// The operator's configuration, and which data centres are evacuated; read only.
+    /// The operator's configuration and the evacuated data centres; read-only.
     Configuration,
-    /// What workers report of themselves; read only.
+    /// The registrations of the workers; read-only.
     Workers,
 }
 
-/// A record under its key; without a value the key is removed.
+/// A keyed record. A record without a value removes the key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Record {
     /// The key.
@@ -67,71 +69,71 @@
     pub value: Option<Bytes>,
 }
 
-/// What must hold for an append to be carried out.
+/// The precondition of an append.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Condition {
-    /// Nothing.
+    /// No precondition.
     None,
     /// The topic ends at this offset.
     EndsAt(u64),
-    /// No writer of a higher epoch has written, and this is the writer's next append; the same
-    /// append sent again is carried out once.
+    /// No writer with a higher epoch has appended, and this is the writer's next append in sequence. An append
+    /// that is sent again takes effect only once.
     Writer {
         /// The writer's epoch.
         epoch: Epoch,
-        /// The place of the append in the writer's own order.
+        /// The sequence number of the append among those of the writer.
         sequence: u64,
     },
 }
 
-/// Records to append, all or none.
+/// Records to append atomically.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Append {
-    /// Where.
+    /// The topic to append to.
     pub topic: Topic,
-    /// What; nothing only raises the writer's epoch.
+    /// The records; an append without records only raises the writer's epoch.
     pub records: Vec<Record>,
-    /// What must hold.
+    /// The precondition.
     pub condition: Condition,
 }
 
 /// The ways in which a call of the store can fail.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
-    /// It was not carried out, and will not be.
+    /// The call was not executed and will not be.
     #[error("the store refused: {0}")]
     Refused(&'static str),
-    /// No answer came: it may have been carried out, or may be later.
+    /// No answer arrived: the call may have been executed or may still be.
     #[error("the store gave no answer; the effect is unknown")]
     Unanswered,
-    /// The topic ends elsewhere; nothing was appended.
-    #[error("the topic ends at {end}")]
+    /// The topic doesn't end at the expected offset; nothing was appended.
+    #[error("the topic ends at offset {end}")]
     Moved {
-        /// Where it ends.
+        /// The offset at which the topic ends.
         end: u64,
     },
-    /// A writer of a higher epoch has written.
+    /// A writer with a higher epoch has appended.
     #[error("a later writer has taken over")]
     Fenced,
-    /// The writer's order was broken; nothing was appended.
-    #[error("the store expects append {expected}")]
+    /// The sequence number of the append was not the next one; nothing was appended.
+    #[error("the store expects the append with sequence number {expected}")]
     Sequence {
-        /// The place that it expects.
+        /// The sequence number that the store expects.
         expected: u64,
     },
-    /// The records asked for are no longer kept.
-    #[error("the store keeps records only from {first} on")]
+    /// The requested records are no longer stored.
+    #[error("the store keeps records only from offset {first} on")]
     Forgotten {
-        /// The first record that is kept.
+        /// The offset of the first stored record.
         first: u64,
     },
-    /// The answer can't be read.
-    #[error("the store's answer can't be read: {0}")]
+    /// The answer can't be decoded.
+    #[error("the store's answer can't be decoded: {0}")]
     Malformed(String),
 }
 
 impl Error {
-    /// Returns the bare word, for logs and counters.
+    /// Returns the name of the error, as logs and metric labels have it.
     pub const fn word(&self) -> &'static str {
         match self {
             Self::Refused(why) => why,
@@ -145,43 +147,43 @@
     }
 }
 
-/// What is wrong with a record of another writer: nothing that it says is used.
+/// The reason for which a record of another writer is invalid. Nothing in an invalid record is used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, thiserror::Error)]
 pub enum Fault {
-    /// Its key can't be read.
+    /// The key can't be decoded.
     #[error("its key can't be read")]
     Key,
-    /// Its value can't be read.
+    /// The value can't be decoded.
     #[error("its value can't be read")]
     Value,
-    /// Its value is not of the expected form.
+    /// The value doesn't have the expected structure.
     #[error("its value is not of the expected form")]
     Form,
-    /// Its id is not that of its key, or none that an order could carry.
+    /// The id differs from that in the key, or can't be put into an order.
     #[error("its id is not that of its key, or can't be used")]
     Id,
-    /// It has no address that can be used.
+    /// The record has no usable address.
     #[error("it has no address that can be used")]
     Address,
-    /// It has no state that is known.
+    /// The record has no known state.
     #[error("it has no state that is known")]
     State,
-    /// It has no pool that is configured.
+    /// The record names no configured pool.
     #[error("it has no pool that is configured")]
     Pool,
-    /// It has no capacity that a worker may have.
+    /// The record has no capacity that is valid for a worker.
     #[error("it has no capacity that a worker may have")]
     Capacity,
-    /// It has no labels.
+    /// The record has no labels.
     #[error("it has no labels")]
     Labels,
-    /// It names no data centre.
+    /// The record names no data centre.
     #[error("it names no data centre")]
     DataCentre,
 }
 
 impl Fault {
-    /// Returns the bare word, for logs and counters.
+    /// Returns the name of the fault, as logs and metric labels have it.
     pub const fn word(self) -> &'static str {
         match self {
             Self::Key => "key",
@@ -198,19 +200,19 @@
     }
 }
 
-/// A record that is turned away; its neighbours hold.
+/// A record that is ignored as invalid. The other records of the page stay valid.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Rejected {
-    /// Its key, where one can be read.
+    /// The key, if it can be decoded.
     pub key: Option<String>,
-    /// Where it stands, where that is known.
+    /// The offset, if it is known.
     pub offset: Option<u64>,
-    /// What is wrong with it.
+    /// The reason for which the record is invalid.
     pub fault: Fault,
 }
 
 impl Rejected {
-    /// Turns a record away that was read from a page.
+    /// Returns the rejection of a record of a page.
     pub fn record(record: &Record, fault: Fault) -> Self {
         Self {
             key: Some(record.key.clone()),
@@ -220,32 +222,32 @@
     }
 }
 
-/// Records, from where to read on, and where the topic ended.
+/// Records of a topic, with the offset to continue from and the end of the topic.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Page {
-    /// The records, in order.
+    /// The valid records, in order.
     pub records: Vec<Record>,
-    /// The records between them that can't be read.
+    /// The records between them that can't be decoded.
     pub rejected: Vec<Rejected>,
-    /// The offset to read on from.
+    /// The offset from which to continue reading.
     pub next: u64,
-    /// Where the topic ended; a call gives a part of what there is where that is much.
+    /// The end of the topic when the page was made. A call returns only a part of a long topic.
     pub end: u64,
 }
 
 impl Page {
-    /// Returns whether nothing was left to read when the page was made.
+    /// Returns whether the page reaches the end of the topic.
     pub const fn is_last(&self) -> bool {
         self.next >= self.end
     }
 }
 
-/// The platform as a node uses it. No method retries; each gives up after a time of its own.
+/// The platform as a node uses it. No method retries, and each has its own timeout.
 pub trait Platform: Clone + Send + Sync + 'static {
-    /// Appends records; returns where the topic ends behind them.
+    /// Appends records and returns the end offset of the topic after them.
     fn append(&self, append: Append) -> impl Future<Output = Result<u64, Error>> + Send;
 
-    /// Reads on from an offset; waits up to `wait` for a record.
+    /// Reads records from an offset on. Waits up to `wait` for a record if there is none.
     fn read(
         &self,
         topic: Topic,
@@ -256,30 +258,31 @@
     /// Reads the newest record of each key.
     fn newest(&self, topic: Topic) -> impl Future<Output = Result<Page, Error>> + Send;
 
-    /// Reads a part of the newest records, behind a key; returns the key to read on behind, where there are more.
+    /// Reads a part of the newest records, starting after a key. Returns the key after which to continue, if there
+    /// are more.
     fn newest_after(
         &self,
         topic: Topic,
         after: Option<&str>,
     ) -> impl Future<Output = Result<(Page, Option<String>), Error>> + Send;
 
-    /// Has further calls of the store connect anew: an answer is overdue, and connections may have fallen
-    /// silent.
+    /// Makes further calls of the store use new connections. Used when an answer is overdue, because the existing
+    /// connections may be dead.
     fn reconnect(&self);
 
-    /// Orders a start.
+    /// Orders a worker to start a run of a task.
     fn start(&self, order: Start) -> impl Future<Output = StartAnswer> + Send;
 
-    /// Orders a stop.
+    /// Orders a worker to stop a run of a task.
     fn stop(&self, order: Stop) -> impl Future<Output = StopAnswer> + Send;
 
-    /// Orders a pace.
+    /// Orders a worker to run a best-effort task at a share of its processor.
     fn pace(&self, order: Pace) -> impl Future<Output = StopAnswer> + Send;
 
     /// Extends a worker's lease and asks for its inventory.
     fn hold(&self, order: Hold) -> impl Future<Output = HoldAnswer> + Send;
 
-    /// Asks which of some workers may run a step; `None` where no answer came.
+    /// Asks the advice service which of the given workers may run a step; `None` if there was no answer.
     fn advise(
         &self,
         step: StepId,
@@ -287,29 +290,29 @@
         patience: Duration,
     ) -> impl Future<Output = Option<Vec<Advised>>> + Send;
 
-    /// Returns for how long the machine was suspended since the process began.
+    /// Returns the total time for which the machine was suspended since the process started.
     fn suspended(&self) -> Duration;
 
-    /// Reads a configuration out of its record; `None` where the record is another one.
+    /// Decodes a configuration from its record; `None` if the record holds something else.
     ///
     /// # Errors
     ///
-    /// Fails where it can't be read.
+    /// Fails if the configuration can't be decoded.
     fn configuration(&self, record: &Record) -> Result<Option<Config>, Fault>;
 
-    /// Reads what the operator says of a data centre out of a record among those of the configuration; `None` where the
-    /// record is another one.
+    /// Decodes a change of the evacuation of a data centre from a record of the configuration topic; `None` if the
+    /// record holds something else.
     ///
     /// # Errors
     ///
-    /// Fails where it can't be read, or names no data centre.
+    /// Fails if the change can't be decoded or names no data centre.
     fn evacuation(&self, record: &Record) -> Result<Option<evacuation::Change>, Fault>;
 
-    /// Reads what a worker reports of itself, given the pools that are configured.
+    /// Decodes the registration of a worker, given the configured pools.
     ///
     /// # Errors
     ///
-    /// Fails where it names no worker to use.
+    /// Fails if the record is no valid registration.
     fn registration(
         &self,
         record: &Record,
--- a/crates/node/src/recall.rs
+++ b/crates/node/src/recall.rs
@@ -1,4 +1,4 @@
-//! The last good record of a key whose newest one is another writer's.
+//! Replaces the newest record of a key by the last valid one if another writer has put an invalid record there.
 
 use std::{
     collections::{
@@ -21,41 +21,42 @@
     shared::Shared,
 };
 
-/// Which records of a topic are of use to this program, and how they are read.
+/// How the records of a topic that belong to this program are recognised and decoded.
 pub(crate) struct Own<'a, T> {
-    /// Whether they stand under a key.
+    /// Returns whether records under a key belong to this program.
     pub(crate) key: fn(&str) -> bool,
-    /// Reads a record under such a key; `None` where the key is removed.
+    /// Decodes a record under such a key; `None` if the record removes the key.
     pub(crate) read: &'a (dyn Fn(&Record) -> Result<Option<T>, Fault> + Sync),
 }
 
-/// The records of a page that are of use, each read once: at a takeover a weak node has thousands of them before it.
+/// The decoded records of a page. Each record is decoded only once, because a weak node has to decode thousands of them
+/// during a takeover.
 pub(crate) struct Settled<T> {
-    /// What they say.
+    /// The decoded values.
     pub(crate) found: Vec<T>,
-    /// The others, for which no earlier record could be found either.
+    /// The invalid records that no earlier valid record replaces.
     pub(crate) rejected: Vec<Rejected>,
-    /// Whether nothing was left to read when the page was made.
+    /// Whether the page reaches the end of the topic.
     pub(crate) is_last: bool,
 }
 
-/// Reads the records of a page, and turns away those that can't be read.
+/// Decodes the records of a page and rejects those that can't be decoded.
 pub(crate) fn read<P: Platform, T>(
     shared: &Shared<P>,
     purpose: &'static str,
     page: Page,
-    read: impl Fn(&Record) -> Result<Option<T>, Fault>,
+    decode: impl Fn(&Record) -> Result<Option<T>, Fault>,
 ) -> Settled<T> {
     let is_last = page.is_last();
     let mut rejected = page.rejected;
     let mut found = Vec::with_capacity(page.records.len());
     for record in &page.records {
-        match read(record) {
-            Ok(read) => found.extend(read),
+        match decode(record) {
+            Ok(value) => found.extend(value),
             Err(fault) => {
-                let turned_away = Rejected::record(record, fault);
-                shared.turn_away(purpose, &turned_away);
-                rejected.push(turned_away);
+                let invalid = Rejected::record(record, fault);
+                shared.turn_away(purpose, &invalid);
+                rejected.push(invalid);
             }
         }
     }
@@ -66,12 +67,12 @@
     }
 }
 
-/// Reads the newest records of a topic. Those that are of no use are turned away, and the last ones under the same keys
-/// that the store still keeps and that are take their place.
+/// Decodes the newest records of a topic. Invalid records are rejected and replaced by the last valid records under the
+/// same keys that the store still has.
 ///
 /// # Errors
 ///
-/// Fails where the store doesn't give its history.
+/// Fails if the history of the topic can't be read.
 pub(crate) async fn settle<P: Platform, T: Send>(
     shared: &Shared<P>,
     topic: Topic,
@@ -87,12 +88,12 @@
     });
     let keys = settled.rejected.iter();
     let keys = keys.filter_map(|rejected| rejected.key.clone());
-    // What stands under other keys has never been of use, and a long history takes seconds to read.
+    // Records under other keys never belong to this program, and a long history takes seconds to read.
     let wanted: BTreeSet<String> = keys.filter(|key| (own.key)(key)).collect();
     if wanted.is_empty() {
         return Ok(settled);
     }
-    let last = last_own(shared, topic, purpose, &wanted, own).await?;
+    let last = last_valid(shared, topic, purpose, &wanted, own).await?;
     settled.rejected.retain(|rejected| {
         let key = rejected.key.as_ref();
         key.is_none_or(|key| !last.contains_key(key))
@@ -101,8 +102,9 @@
     Ok(settled)
 }
 
-/// Reads all that the store still keeps of a topic, for the last records of use under some keys.
-async fn last_own<P: Platform, T: Send>(
+/// Reads the whole history that the store still has of a topic, and returns the last valid record under each of the
+/// wanted keys.
+async fn last_valid<P: Platform, T: Send>(
     shared: &Shared<P>,
     topic: Topic,
     purpose: &'static str,
@@ -126,8 +128,8 @@
         let records = page.records.into_iter();
         let records = records.filter(|record| wanted.contains(&record.key));
         last.extend(records.filter_map(|record| {
-            let read = (own.read)(&record).ok()?;
-            Some((record.key, read))
+            let value = (own.read)(&record).ok()?;
+            Some((record.key, value))
         }));
     }
 }
--- a/crates/node/src/revocation.rs
+++ b/crates/node/src/revocation.rs
@@ -1,22 +1,23 @@
-//! For how long a node that can't read the configuration may go by the keys that it knows. A pure decision.
+//! Limits the time for which a node that can't read the configuration may accept the API keys that it knows.
 //!
-//! It answers an outage of the store: no node learns of a key that was taken away before it.
+//! During an outage of the store no node learns that a key has been revoked.
 
 use std::time::Duration;
 
-/// A key has to be refused so long before the bound: its call is on its way for a moment yet.
-const SLACK: Duration = Duration::from_millis(500);
+/// The margin by which keys are refused before the limit, because a request takes some time after its key is checked.
+const REQUEST_MARGIN: Duration = Duration::from_millis(500);
 
-/// What the platform asks of nodes that can't read the configuration.
+/// The limit that the platform sets for nodes that can't read the configuration.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Revocation {
-    /// How old the configuration may get before nobody is served by its keys; `None` lets it get as old as the outage.
+    /// The age of the configuration from which on its keys are refused; `None` sets no limit.
     pub within: Option<Duration>,
 }
 
 impl Revocation {
-    /// Returns whether nobody may be served by a configuration that was last confirmed so long ago.
+    /// Returns whether the keys of a configuration must be refused, given the time since it was last confirmed.
     pub fn forbids(&self, age: Duration) -> bool {
-        self.within.is_some_and(|within| age + SLACK >= within)
+        self.within
+            .is_some_and(|within| age + REQUEST_MARGIN >= within)
     }
 }
--- a/crates/node/src/share.rs
+++ b/crates/node/src/share.rs
@@ -1,6 +1,7 @@
-//! Which node gives the orders to which worker. A pure decision.
+//! Decides which node sends the orders to which worker. Pure functions.
 //!
-//! It answers fleets of any size: a node has connections to each worker that it gives orders to, and only so many descriptors.
+//! A node keeps connections to each worker that it sends orders to and has a limited number of file descriptors, so
+//! in a large fleet the owner distributes the workers over several nodes.
 
 use std::{
     hash::{
@@ -29,38 +30,39 @@
     outranks, //
 };
 
-/// Up to so many workers the owner gives all orders itself: 48 workers take 6% of a core there, and an
-/// order through another node takes some milliseconds and a second message.
-const ALONE: usize = 96;
-/// How many other nodes give orders at least, where there are so many: the fewer, the more orders and reports go into one call.
-const LEAST_NODES: usize = 3;
-/// How many descriptors of a node go with each worker that it gives orders to: up to four connections at a time, and as much
-/// again for its callers, its peers and workers whose node is gone.
-const DESCRIPTORS: u32 = 8;
-/// The owner decides beside its orders, so it counts for a quarter of its processor.
-const OWNER_PART: u32 = 4;
-
-/// For this long the owner gives the orders of a node that did not take them: until the node has greeted
-/// it again, or is known to be gone.
-const AVOID: Duration = Duration::from_secs(2);
-
-/// A node that can give orders.
+/// The number of workers up to which the owner sends all orders itself. 48 workers take 6% of a core of the owner, and
+/// an order that goes through another node takes a few milliseconds more and a second message.
+const MAX_OWNER_ONLY_WORKERS: usize = 96;
+/// The minimum number of other nodes that send orders, if there are that many. The fewer they are, the more orders and
+/// reports share one call.
+const MIN_NODES: usize = 3;
+/// The number of descriptors that a node needs for each worker that it sends orders to: up to four concurrent
+/// connections, and as many again for its callers, its peers and the workers of nodes that are gone.
+const DESCRIPTORS_PER_WORKER: u32 = 8;
+/// The divisor of the owner's processor as a weight. The owner also makes the decisions, so it gets fewer workers.
+const OWNER_WEIGHT_DIVISOR: u32 = 4;
+
+/// The time for which the owner itself sends the orders of a node that did not accept them. It suffices for the next
+/// heartbeat of the node, or for the owner to notice that the node is gone.
+const AVOIDANCE: Duration = Duration::from_secs(2);
+
+/// A node that can send orders to workers.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Peer {
     /// Its name.
     pub node: NodeName,
-    /// Where it answers.
+    /// The address at which it answers other nodes.
     pub address: SocketAddr,
-    /// How much of a processor it may use.
+    /// The processor capacity that it may use.
     pub processor: Millicores,
-    /// How many files and connections it may have open.
+    /// The number of files and connections that it may have open.
     pub descriptors: u32,
 }
 
 impl Peer {
-    /// Returns to how many workers it can give orders.
-    fn carries(&self) -> usize {
-        usize::try_from(self.descriptors / DESCRIPTORS).unwrap_or(usize::MAX)
+    /// Returns the number of workers that it can send orders to.
+    fn max_workers(&self) -> usize {
+        usize::try_from(self.descriptors / DESCRIPTORS_PER_WORKER).unwrap_or(usize::MAX)
     }
 }
 
@@ -75,76 +77,77 @@
     }
 }
 
-/// The nodes that give orders, each with its part of the workers.
+/// The assignment of workers to the nodes that send their orders.
 #[derive(Debug, Default)]
 pub struct Share {
     owner: Option<Peer>,
-    /// The nodes that it doesn't outrank, the strongest first.
-    strong: Vec<Peer>,
-    /// How many of these give orders; it only rises.
-    count: usize,
-    /// Who gives orders to a worker, as long as the nodes are the same.
-    chosen: HashMap<WorkerId, Option<SocketAddr>>,
-    /// Nodes that did not take orders, and until when the owner gives theirs.
+    /// The nodes that the owner doesn't outrank, the strongest first.
+    candidates: Vec<Peer>,
+    /// The number of candidates, from the first on, that send orders. It only grows until the nodes change.
+    active_count: usize,
+    /// The node of each worker, cached until the nodes or their number change; `None` stands for the owner.
+    assigned: HashMap<WorkerId, Option<SocketAddr>>,
+    /// The nodes that did not accept orders, each with the time until which the owner sends theirs.
     avoided: HashMap<SocketAddr, Instant>,
 }
 
 impl Share {
-    /// Makes one of an owner that knows these nodes.
+    /// Creates the assignment of an owner that knows the given other nodes.
     pub fn new(owner: Peer, peers: Vec<Peer>) -> Self {
         let mut share = Self::default();
         share.renew(owner, peers);
         share
     }
 
-    /// Says which nodes there are beside the owner now; of equals those that give orders already go on.
+    /// Replaces the owner and the other nodes. Among equally strong nodes, those that already send orders are
+    /// preferred.
     pub fn renew(&mut self, owner: Peer, peers: Vec<Peer>) {
-        let giving: Vec<Peer> = self.strong.drain(..).take(self.count).collect();
-        let strong = peers
+        let active: Vec<Peer> = self.candidates.drain(..).take(self.active_count).collect();
+        let candidates = peers
             .into_iter()
             .filter(|peer| !outranks(owner.processor, peer.processor));
-        self.strong = strong.collect();
-        self.strong
-            .sort_by_key(|peer| (std::cmp::Reverse(peer.processor), !giving.contains(peer)));
+        self.candidates = candidates.collect();
+        self.candidates
+            .sort_by_key(|peer| (std::cmp::Reverse(peer.processor), !active.contains(peer)));
         self.owner = Some(owner);
-        self.count = 0;
-        self.chosen.clear();
+        self.active_count = 0;
+        self.assigned.clear();
     }
 
-    /// Returns the node that gives the orders to a worker; `None` where the owner does.
+    /// Returns the node that sends the orders to a worker; `None` if that is the owner.
     ///
-    /// Each node gets workers in proportion to its processor, and keeps them when another comes or goes.
+    /// Each node gets workers in proportion to its processor and keeps them when another node comes or goes.
     pub fn node_of(&mut self, worker: &WorkerId, workers: usize) -> Option<SocketAddr> {
-        if workers <= ALONE || self.strong.is_empty() {
+        if workers <= MAX_OWNER_ONLY_WORKERS || self.candidates.is_empty() {
             return None;
         }
-        let wanted = self.wanted(workers);
-        if wanted > self.count {
-            self.count = wanted;
-            self.chosen.clear();
+        let required = self.required_nodes(workers);
+        if required > self.active_count {
+            self.active_count = required;
+            self.assigned.clear();
         }
-        if let Some(chosen) = self.chosen.get(worker) {
-            return chosen.filter(|node| !self.is_avoided(*node));
+        if let Some(assigned) = self.assigned.get(worker) {
+            return assigned.filter(|node| !self.is_avoided(*node));
         }
         let best = self.choose(worker);
-        self.chosen.insert(worker.clone(), best);
+        self.assigned.insert(worker.clone(), best);
         best.filter(|node| !self.is_avoided(*node))
     }
 
-    /// Returns how many nodes beside the owner have to give orders to so many workers.
-    fn wanted(&self, workers: usize) -> usize {
-        let mut carried = 0;
-        for (count, peer) in self.strong.iter().enumerate() {
-            if count >= LEAST_NODES && carried >= workers {
+    /// Returns the number of nodes besides the owner that are needed to send orders to the given number of workers.
+    fn required_nodes(&self, workers: usize) -> usize {
+        let mut capacity = 0;
+        for (count, peer) in self.candidates.iter().enumerate() {
+            if count >= MIN_NODES && capacity >= workers {
                 return count;
             }
-            carried += peer.carries();
+            capacity += peer.max_workers();
         }
-        self.strong.len()
+        self.candidates.len()
     }
 
     fn choose(&self, worker: &WorkerId) -> Option<SocketAddr> {
-        let nodes = self.strong.iter().take(self.count);
+        let nodes = self.candidates.iter().take(self.active_count);
         let best = nodes.chain(&self.owner).max_by(|one, other| {
             let one = self.score(one, worker);
             one.total_cmp(&self.score(other, worker))
@@ -163,27 +166,31 @@
         until.is_some_and(|until| Instant::now() < *until)
     }
 
-    /// Has the owner give the orders of a node for a while; false where it does already.
+    /// Makes the owner send the orders of a node for a while. Returns false if it already does.
     pub fn avoid(&mut self, node: SocketAddr) -> bool {
-        let is_news = !self.is_avoided(node);
-        self.avoided.insert(node, Instant::now() + AVOID);
-        is_news
+        let is_new = !self.is_avoided(node);
+        self.avoided.insert(node, Instant::now() + AVOIDANCE);
+        is_new
     }
 
-    /// Scores a node for a worker: a number between zero and one, drawn by their names, whose root of
-    /// the node's weight is compared.
+    /// Returns the score of a node for a worker, by weighted rendezvous hashing: the hash of both names as a number
+    /// between zero and one, whose logarithm is divided by the weight of the node.
     fn score(&self, peer: &Peer, worker: &WorkerId) -> f64 {
         let mut hasher = FxHasher::default();
         (peer.node.as_str(), worker.as_str()).hash(&mut hasher);
-        let drawn = (mix(hasher.finish()) >> 11) as f64 / (1u64 << 53) as f64;
-        let part = if self.is_owner(peer) { OWNER_PART } else { 1 };
-        let weight = f64::from(peer.processor.get() / part).max(1.0);
-        drawn.max(f64::MIN_POSITIVE).ln() / weight
+        let uniform = (mix(hasher.finish()) >> 11) as f64 / (1u64 << 53) as f64;
+        let divisor = if self.is_owner(peer) {
+            OWNER_WEIGHT_DIVISOR
+        } else {
+            1
+        };
+        let weight = f64::from(peer.processor.get() / divisor).max(1.0);
+        uniform.max(f64::MIN_POSITIVE).ln() / weight
     }
 }
 
-/// Spreads the bits of a hash evenly, by the finaliser of SplitMix64: names that differ in a digit have hashes that are alike, and
-/// one node would get twice the workers of another.
+/// Mixes the bits of a hash with the finaliser of SplitMix64. Without it, names that differ in one digit have similar
+/// hashes, and one node would get twice as many workers as another.
 const fn mix(hash: u64) -> u64 {
     let hash = (hash ^ (hash >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let hash = (hash ^ (hash >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/crates/node/tests/comeback.rs
+++ b/crates/node/tests/comeback.rs
@@ -1,4 +1,4 @@
-//! When refused callers come back, and what they get then.
+//! The delay after which refused callers retry, and whether a node serves them in time.
 
 use std::time::Duration;
 
@@ -7,22 +7,22 @@
 use rstest::rstest;
 
 const SECOND: Duration = Duration::from_secs(1);
-/// How long a caller waits for its answer, and how often it returns.
+/// The deadline of a caller, and the number of its retries.
 const DEADLINE: Duration = Duration::from_secs(3);
-const RETURNS: usize = 4;
-/// Before a caller returns at once it has a new connection made.
-const AT_ONCE: Duration = Duration::from_millis(100);
+const RETRIES: usize = 4;
+/// The time of a retry without delay, for which the caller opens a new connection.
+const RECONNECT: Duration = Duration::from_millis(100);
 
-/// Plays a caller whose returns reach the nodes in turn; returns when it is served.
+/// Simulates a caller whose attempts reach the nodes in turn; returns when it is served, or `None` if it isn't.
 fn served_after(refusals: &mut Refusals, job: u64, is_cut: &[bool]) -> Option<Duration> {
     let mut at = Duration::ZERO;
-    for attempt in 0..=RETURNS {
+    for attempt in 0..=RETRIES {
         if !is_cut[attempt % is_cut.len()] {
             return Some(at);
         }
-        // Where every node is cut off none of them is alone.
-        let is_alone = is_cut.iter().any(|cut| !cut) || is_cut.len() == 1;
-        at += refusals.refuse(JobId(job), is_alone).max(AT_ONCE);
+        // If every node is cut off from the store, none of them is isolated on its own.
+        let is_isolated = is_cut.iter().any(|cut| !cut) || is_cut.len() == 1;
+        at += refusals.refuse(JobId(job), is_isolated).max(RECONNECT);
         if at >= DEADLINE {
             return None;
         }
@@ -31,11 +31,11 @@
 }
 
 #[rstest]
-#[case::the_other_serves(&[true, false], Some(AT_ONCE))]
-#[case::one_of_three_serves(&[true, true, false], Some(AT_ONCE + SECOND))]
-#[case::none_serves(&[true, true], None)]
-#[case::nobody_else_is_there(&[true], None)]
-fn callers_of_a_node_that_is_cut_off_are_served_elsewhere(
+#[case::of_two_nodes_the_other_serves(&[true, false], Some(RECONNECT))]
+#[case::of_three_nodes_one_serves(&[true, true, false], Some(RECONNECT + SECOND))]
+#[case::of_two_nodes_none_serves(&[true, true], None)]
+#[case::there_is_no_other_node(&[true], None)]
+fn callers_of_an_isolated_node_are_served_elsewhere(
     #[case] is_cut: &[bool],
     #[case] expected: Option<Duration>,
 ) {
@@ -46,14 +46,14 @@
 }
 
 #[test]
-fn in_an_outage_for_all_returns_are_spread_over_what_the_caller_has() {
+fn in_an_outage_for_all_nodes_retries_are_spread_over_the_deadline() {
     let mut refusals = Refusals::default();
-    let waits = [(); RETURNS].map(|()| refusals.refuse(JobId(1), false));
-    assert_eq!(waits, [SECOND; RETURNS]);
+    let delays = [(); RETRIES].map(|()| refusals.refuse(JobId(1), false));
+    assert_eq!(delays, [SECOND; RETRIES]);
 }
 
 #[test]
-fn a_caller_that_comes_back_to_the_same_node_doesn_t_spend_its_returns_there() {
+fn a_caller_that_retries_at_the_same_node_is_delayed() {
     let mut refusals = Refusals::default();
     assert_eq!(refusals.refuse(JobId(1), true), Duration::ZERO);
     assert_eq!(refusals.refuse(JobId(1), true), SECOND);
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn what_is_remembered_is_bounded() {
+fn the_number_of_remembered_jobs_is_bounded() {
     let mut refusals = Refusals::default();
     for job in 0..5_000 {
         refusals.refuse(JobId(job), true);
