--- a/crates/node/src/pulse.rs
+++ b/crates/node/src/pulse.rs
@@ -1,5 +1,5 @@
-//! How late this process gets its processor: timers that fire late, events that wait in the mailbox, and a machine that is
-//! suspended.
+//! Measures how late this process gets processor time: how late timers fire, how long events wait in the mailbox of the
+//! owner's actor, and for how long the machine was suspended.
 
 use std::{
     sync::{
@@ -22,12 +22,13 @@
     succession::Lag, //
 };
 
-/// A shorter suspension is not told from clocks that are read apart; what rests on leases allows for more.
-const LEAST_SLEPT: Duration = Duration::from_millis(100);
-/// How often the timers are looked at; each look costs a wake-up.
-const LOOK: Duration = Duration::from_millis(100);
+/// The shortest suspension that is detected. A shorter one can't be told from the time between the readings of two
+/// clocks; everything that depends on leases tolerates more.
+const MIN_SUSPENSION: Duration = Duration::from_millis(100);
+/// The interval at which the delay of timers is measured. Each measurement costs a wake-up.
+const TIMER_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The lags of one process; cheap to clone.
+/// The lags of this process; cheap to clone.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Pulse {
     timers: Arc<Mutex<Lag>>,
@@ -35,71 +36,72 @@
 }
 
 impl Pulse {
-    fn with<T>(lag: &Mutex<Lag>, f: impl FnOnce(&mut Lag) -> T) -> T {
+    fn with_lag<T>(lag: &Mutex<Lag>, f: impl FnOnce(&mut Lag) -> T) -> T {
         f(&mut lag.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
-    /// Notes how long an event waited for the owner's actor.
+    /// Records for how long an event waited for the owner's actor.
     pub(crate) fn note_event(&self, waited: Duration) {
-        Self::with(&self.mailbox, |lag| lag.note(waited));
+        Self::with_lag(&self.mailbox, |lag| lag.record(waited));
     }
 
-    /// Forgets how long events have waited: another ownership begins.
+    /// Discards the recorded waits of events. Called when another ownership begins.
     pub(crate) fn forget_events(&self) {
-        Self::with(&self.mailbox, |lag| *lag = Lag::default());
+        Self::with_lag(&self.mailbox, |lag| *lag = Lag::default());
     }
 
-    /// Returns how late the timers are.
+    /// Returns the median delay with which timers fire.
     pub(crate) fn timers(&self) -> Duration {
-        Self::with(&self.timers, |lag| lag.get())
+        Self::with_lag(&self.timers, |lag| lag.median())
     }
 
-    /// Returns how late the events of the owner's actor are, or the timers where those are later.
+    /// Returns the median wait of events for the owner's actor, or that of timers if it is longer.
     pub(crate) fn owner(&self) -> Duration {
-        let events = Self::with(&self.mailbox, |lag| lag.get());
+        let events = Self::with_lag(&self.mailbox, |lag| lag.median());
         events.max(self.timers())
     }
 
-    /// Returns the longest wait of an event since this was last asked.
+    /// Returns the longest wait of an event since the last call.
     pub(crate) fn take_worst(&self) -> Duration {
-        Self::with(&self.mailbox, Lag::take_worst)
+        Self::with_lag(&self.mailbox, Lag::take_largest)
     }
 }
 
-/// Returns how long the machine was suspended since this was last asked with the same total, if it was.
+/// Returns for how long the machine was suspended since the last call with the same `total`, which this updates; `None`
+/// if it was not suspended.
 pub(crate) fn slept<P: Platform>(platform: &P, total: &mut Duration) -> Option<Duration> {
     let now = platform.suspended();
-    let slept = now.saturating_sub(*total);
+    let suspension = now.saturating_sub(*total);
     *total = now.max(*total);
-    (slept >= LEAST_SLEPT).then_some(slept)
+    (suspension >= MIN_SUSPENSION).then_some(suspension)
 }
 
-/// Looks at the timers for as long as the process runs.
+/// Measures the delay of timers and detects suspensions, for as long as the process runs.
 pub(crate) async fn run<P: Platform>(shared: Arc<Shared<P>>) {
     let mut suspended = shared.platform.suspended();
     loop {
-        let due = Instant::now() + LOOK;
+        let due = Instant::now() + TIMER_CHECK_INTERVAL;
         sleep_until(due).await;
         let late = due.elapsed();
-        Pulse::with(&shared.pulse.timers, |lag| lag.note(late));
-        if let Some(slept) = slept(&shared.platform, &mut suspended) {
-            wake(&shared, slept);
+        Pulse::with_lag(&shared.pulse.timers, |lag| lag.record(late));
+        if let Some(suspension) = slept(&shared.platform, &mut suspended) {
+            handle_resume(&shared, suspension);
         }
     }
 }
 
-/// Has nothing be asserted of what was read before the machine was suspended.
-fn wake<P: Platform>(shared: &Shared<P>, slept: Duration) {
-    slog::warn!(shared.log, "woke"; "slept_ms" => millis(slept));
+/// Handles the end of a suspension: what was read before it counts as older by its length, and an owner is notified.
+fn handle_resume<P: Platform>(shared: &Shared<P>, suspension: Duration) {
+    slog::warn!(shared.log, "woke"; "slept_ms" => millis(suspension));
     if shared.acting.borrow().is_some() {
         shared.stalled.notify_one();
     }
-    // Where the clock doesn't reach back so far, what was read is as old as the clock.
-    let age = |at: &mut Instant| *at = at.checked_sub(slept).unwrap_or(*at);
-    shared.config_read.send_modify(age);
+    // If the clock can't represent a time that long ago, the time of reading stays as it is.
+    let make_older = |at: &mut Instant| *at = at.checked_sub(suspension).unwrap_or(*at);
+    shared.config_read.send_modify(make_older);
     shared.evacuation.send_modify(|reading| {
         if let Some(reading) = reading {
-            age(&mut reading.at);
+            make_older(&mut reading.at);
         }
     });
 }
--- a/crates/node/src/succession.rs
+++ b/crates/node/src/succession.rs
@@ -1,7 +1,7 @@
-//! Who should own the cell next, and when an owner should let go of it. Pure decisions.
+//! Decides which node should own the cell next and when an owner should release it. Pure functions.
 //!
-//! They answer four loads: a fleet whose small nodes would own what only large ones can carry, a machine
-//! that turns slow beneath the owner, machines that are restarted one after the other, and a backlog that makes
+//! The decisions cover four situations: a fleet in which small nodes would own a cell that only large ones can handle,
+//! a machine that becomes slow while its node is the owner, a rolling restart of the machines, and a backlog that makes
 //! every owner slow.
 
 use std::{
@@ -20,65 +20,69 @@
 };
 use tokio::time::Instant;
 
-/// The link that goes with a whole core, in bits a second. An owner moves some 9 Mbit/s for each core that it
-/// uses and reads some megabytes when it takes over: at 10 Mbit/s a takeover of 3,776 jobs took 2,164 ms, at
-/// 200 Mbit/s it takes a tenth of a second.
-const LINK_OF_CORE: Bandwidth = Bandwidth::from_megabits(200);
-const PER_CORE: u64 = 1_000;
-/// A node outranks another of less than two thirds of its own strength; equals never do.
-const OUTRANKS: (u64, u64) = (3, 2);
-/// An owner whose events wait this long lets go of the cell. A job passes some ten events from its arrival to
-/// its order, each behind the others of one thread, and the most urgent jobs have some 600 ms to spare for all
-/// of them. On machines as they should be events wait 1 to 5 ms, and up to 30 ms right after a takeover.
-const SLOW: Duration = Duration::from_millis(40);
-/// A node whose own timers are later than this takes no cell from a slow one.
-const QUICK: Duration = Duration::from_millis(15);
-/// So many times as quick as the slow owner the next one has to be.
-const QUICKER: u32 = 3;
-/// An owner doesn't let go for slowness so soon after it took over: it reads, adopts and starts a backlog.
-const SETTLED: Duration = Duration::from_secs(2);
-/// After each owner in a row that was slow the next one has twice the time, up to so many times: where the backlog is what makes
-/// them slow, each change of owners adds to it.
-const MOST_DOUBLINGS: u8 = 4;
-/// An owner that was not slow for so long doesn't count as another one in a row.
+/// The link bandwidth that a node needs for each core that it can use as an owner.
+///
+/// An owner transfers about 9 Mbit/s for each core that it uses and reads a few megabytes when it takes over. At
+/// 10 Mbit/s a takeover of 3,776 jobs took 2,164 ms; at 200 Mbit/s it takes 0.1 s.
+const LINK_PER_CORE: Bandwidth = Bandwidth::from_megabits(200);
+const MILLICORES_PER_CORE: u64 = 1_000;
+/// A node outranks another if the ratio of their strengths is at least 3 to 2. Equal nodes never outrank each other.
+const OUTRANK_RATIO: (u64, u64) = (3, 2);
+/// An owner whose events wait for at least this long releases the cell.
+///
+/// A job passes through about ten events from its arrival to its order. All of them queue for one thread, and the most
+/// urgent jobs have about 600 ms of slack for all of them together. On healthy machines events wait for 1 to 5 ms, and
+/// for up to 30 ms right after a takeover.
+const SLOW_LAG: Duration = Duration::from_millis(40);
+/// A node whose own timers are at least this late doesn't take the cell over from a slow owner.
+const PROMPT_LAG: Duration = Duration::from_millis(15);
+/// The factor by which the lag of the next owner must be smaller than that of the slow one.
+const MIN_LAG_IMPROVEMENT: u32 = 3;
+/// The time after a takeover during which an owner doesn't count as slow, because it first has to read the records,
+/// adopt the running tasks and start the backlog.
+const MIN_OWNERSHIP: Duration = Duration::from_secs(2);
+/// The maximum number of times that this period is doubled. It doubles with each consecutive slow owner, because each
+/// change of owners adds to the backlog if the backlog is what makes them slow.
+const MAX_OWNERSHIP_DOUBLINGS: u8 = 4;
+/// An owner that was not slow for this long ends the series of consecutive slow owners.
 pub const CALM: Duration = Duration::from_secs(60);
-/// How many events a lag is the median of: 0.2 s of the owner's ticks.
-const LATEST: usize = 8;
+/// The number of samples of which a lag is the median. The ticks of an owner give that many in 0.2 s.
+const LAG_SAMPLES: usize = 8;
 
-/// What a node tells of itself when it greets the owner.
+/// The content of a node's heartbeat to the owner.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Greeting {
     /// The node.
     pub node: NodeName,
-    /// Where it answers other nodes.
+    /// The address at which it answers other nodes.
     pub address: SocketAddr,
-    /// Tells two lives of it apart.
+    /// The incarnation, which differs each time the node is started.
     pub incarnation: u64,
-    /// How strong it is, see [`strength`].
+    /// The capacity of the node as an owner, see [`strength`].
     pub strength: Millicores,
-    /// How many files and connections it may have open.
+    /// The number of files and connections that it may have open.
     pub descriptors: u32,
     /// Whether it could claim the cell.
     pub may_own: bool,
-    /// For how long this life of it has run.
+    /// The time since this incarnation started.
     pub age: Duration,
-    /// How late its timers are.
+    /// The delay with which its timers fire.
     pub lag: Duration,
 }
 
-/// Why an owner lets go of the cell.
+/// The reason for which an owner releases the cell.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reason {
-    /// A much stronger node is there.
+    /// There is a much stronger node.
     Outranked,
-    /// Its own events wait too long.
+    /// The events of the owner wait too long.
     Slow,
-    /// Its process is to end.
+    /// The process of the owner is shutting down.
     Leaving,
 }
 
 impl Reason {
-    /// Returns the bare word, for logs.
+    /// Returns the name of the reason, as logs have it.
     pub const fn word(self) -> &'static str {
         match self {
             Self::Outranked => "outranked",
@@ -88,94 +92,96 @@
     }
 }
 
-/// Returns since when the owner's claim has not been renewed, as far as that tells something of the owner: it was first
-/// seen at a moment, and the owner last answered with the same renewal.
+/// Returns the time from which on a missing renewal of the claim counts against the owner. The claim as it stands was
+/// first read at `first_seen`, and the owner last answered with that renewal at `last_answered`.
 ///
-/// While the store was away nobody could renew a claim, so that time doesn't count. Weak nodes greet the owner less often,
-/// so theirs had lapsed 0.1 to 0.4 s before the strong ones' did when an owner died as the store came back.
-pub fn silent_since(first_seen: Instant, answered: Instant, regained: Instant) -> Instant {
-    first_seen.min(answered).max(regained)
+/// During an outage of the store no owner can renew its claim, so the time before `outage_ended` doesn't count. Weak
+/// nodes send heartbeats less often: without this rule, when an owner died as an outage ended, they found its claim to
+/// have expired 0.1 to 0.4 s before the strong nodes did.
+pub fn silent_since(first_seen: Instant, last_answered: Instant, outage_ended: Instant) -> Instant {
+    first_seen.min(last_answered).max(outage_ended)
 }
 
-/// Returns how much a node can carry: its processor, or what its link lets it use of one.
+/// Returns the capacity of a node as an owner: its processor, or the part of it that its link can keep busy.
 pub fn strength(processor: Millicores, link: Bandwidth) -> Millicores {
-    let of_link = link.bits().saturating_mul(PER_CORE) / LINK_OF_CORE.bits();
-    let of_link = u32::try_from(of_link).unwrap_or(u32::MAX);
-    Millicores(processor.get().min(of_link))
+    let link_limit = link.bits().saturating_mul(MILLICORES_PER_CORE) / LINK_PER_CORE.bits();
+    let link_limit = u32::try_from(link_limit).unwrap_or(u32::MAX);
+    Millicores(processor.get().min(link_limit))
 }
 
-/// Returns whether a node is so much stronger than another that it should own the cell in its place.
+/// Returns whether a node is so much stronger than another that it should own the cell instead.
 pub fn outranks(strength: Millicores, other: Millicores) -> bool {
     let (strength, other) = (u64::from(strength.get()), u64::from(other.get()));
-    strength > other && strength * OUTRANKS.1 >= other * OUTRANKS.0
+    strength > other && strength * OUTRANK_RATIO.1 >= other * OUTRANK_RATIO.0
 }
 
-/// Returns whether an owner should look for a quicker one, by how late its events are, how long it has owned the cell, and how
-/// many owners in a row before it let go for that.
+/// Returns whether an owner is slow and should look for a faster one, given the lag of its events, the time for which
+/// it has owned the cell, and the number of consecutive owners before it that released the cell for being slow.
 pub fn is_slow(lag: Duration, owned: Duration, slow_owners: u8) -> bool {
-    lag >= SLOW && owned >= SETTLED * (1 << slow_owners.min(MOST_DOUBLINGS))
+    lag >= SLOW_LAG && owned >= MIN_OWNERSHIP * (1 << slow_owners.min(MAX_OWNERSHIP_DOUBLINGS))
 }
 
-/// Returns whether a node gets its processor in time, by how late its timers are.
+/// Returns whether a node gets processor time promptly, given the lag of its timers.
 pub fn is_quick(lag: Duration) -> bool {
-    lag < QUICK
+    lag < PROMPT_LAG
 }
 
-/// Chooses who owns the cell next among the nodes that have greeted the owner of late; `None` where none of
-/// them would be better.
+/// Chooses the next owner among the nodes that recently sent heartbeats to the owner; `None` if none of them would be
+/// better.
 ///
-/// The strongest come first, among those the quickest, among those the youngest: where machines are restarted
-/// in turn, those that were come last again.
+/// Prefers the strongest nodes, among these the ones that get processor time promptly, and among these the one that was
+/// started last: in a rolling restart, that node will be restarted again last.
 pub fn choose(
     own: Millicores,
     lag: Duration,
     reason: Reason,
     greetings: &[Greeting],
 ) -> Option<&Greeting> {
-    let fits = |greeting: &&Greeting| {
+    let is_eligible = |greeting: &&Greeting| {
         greeting.may_own
             && match reason {
                 Reason::Outranked => outranks(greeting.strength, own),
                 Reason::Slow => {
-                    let is_quicker = is_quick(greeting.lag) && greeting.lag * QUICKER <= lag;
-                    is_quicker && !outranks(own, greeting.strength)
+                    let is_faster =
+                        is_quick(greeting.lag) && greeting.lag * MIN_LAG_IMPROVEMENT <= lag;
+                    is_faster && !outranks(own, greeting.strength)
                 }
                 Reason::Leaving => true,
             }
     };
-    let fitting: Vec<&Greeting> = greetings.iter().filter(fits).collect();
-    let strongest = fitting.iter().map(|greeting| greeting.strength).max()?;
-    let strong = fitting
+    let eligible: Vec<&Greeting> = greetings.iter().filter(is_eligible).collect();
+    let strongest = eligible.iter().map(|greeting| greeting.strength).max()?;
+    let strong = eligible
         .into_iter()
         .filter(|greeting| !outranks(strongest, greeting.strength));
     strong.min_by_key(|greeting| (!is_quick(greeting.lag), greeting.age))
 }
 
-/// How late events are: the median of the latest, so that one hiccup is no slowness.
+/// The lag of events: the median of the latest samples, so that a single late event doesn't count as slowness.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Lag {
-    latest: [Duration; LATEST],
+    samples: [Duration; LAG_SAMPLES],
     next: usize,
-    worst: Duration,
+    largest: Duration,
 }
 
 impl Lag {
-    /// Takes in how late one event was.
-    pub fn note(&mut self, late: Duration) {
-        self.latest[self.next] = late;
-        self.next = (self.next + 1) % LATEST;
-        self.worst = self.worst.max(late);
+    /// Adds the lag of one event.
+    pub fn record(&mut self, late: Duration) {
+        self.samples[self.next] = late;
+        self.next = (self.next + 1) % LAG_SAMPLES;
+        self.largest = self.largest.max(late);
     }
 
-    /// Returns how late events are of late.
-    pub fn get(&self) -> Duration {
-        let mut sorted = self.latest;
+    /// Returns the median lag of the latest events.
+    pub fn median(&self) -> Duration {
+        let mut sorted = self.samples;
         sorted.sort_unstable();
-        sorted[LATEST / 2]
+        sorted[LAG_SAMPLES / 2]
     }
 
-    /// Returns how late the worst one was since this was last asked.
-    pub fn take_worst(&mut self) -> Duration {
-        std::mem::take(&mut self.worst)
+    /// Returns the largest lag since the last call.
+    pub fn take_largest(&mut self) -> Duration {
+        std::mem::take(&mut self.largest)
     }
 }
--- a/crates/node/tests/succession.rs
+++ b/crates/node/tests/succession.rs
@@ -1,4 +1,4 @@
-//! Who owns the cell next, and when an owner lets go.
+//! The choice of the next owner, and the conditions under which an owner releases the cell.
 
 use std::time::Duration;
 
@@ -56,29 +56,30 @@
     assert_eq!(outranks(Millicores(one), Millicores(other)), expected);
 }
 
-/// Moments in milliseconds: the claim as it stands was first seen, the owner last answered, the store came back.
+/// The arguments are times in milliseconds: when the claim as it stands was first read, when the owner last answered,
+/// and when the last outage of the store ended.
 #[rstest]
 #[case::renewed_since(500, 300, 0, 300)]
 #[case::seen_before_the_last_answer(100, 300, 0, 100)]
-#[case::the_store_was_away(100, 300, 4_000, 4_000)]
-#[case::the_store_came_back_before_the_last_answer(4_300, 4_100, 4_000, 4_100)]
-fn a_claim_has_not_been_silent_while_nobody_could_renew_it(
+#[case::outage_after_both(100, 300, 4_000, 4_000)]
+#[case::outage_before_both(4_300, 4_100, 4_000, 4_100)]
+fn an_outage_does_not_count_as_silence_of_the_owner(
     #[case] first_seen: u64,
-    #[case] answered: u64,
-    #[case] regained: u64,
+    #[case] last_answered: u64,
+    #[case] outage_ended: u64,
     #[case] expected: u64,
 ) {
     let start = Instant::now();
     let at = |millis| start + Duration::from_millis(millis);
-    let since = silent_since(at(first_seen), at(answered), at(regained));
+    let since = silent_since(at(first_seen), at(last_answered), at(outage_ended));
     assert_eq!(since, at(expected));
 }
 
 #[rstest]
 #[case::a_wide_link(500, 200, 500)]
-#[case::a_narrow_one(500, 10, 50)]
+#[case::a_narrow_link(500, 10, 50)]
 #[case::a_small_processor(120, 1_000, 120)]
-fn a_node_is_as_strong_as_its_weaker_part(
+fn the_scarcer_resource_limits_the_strength_of_a_node(
     #[case] processor: u32,
     #[case] link: u64,
     #[case] expected: u32,
@@ -88,7 +89,7 @@
 }
 
 #[test]
-fn a_weak_owner_steps_aside_for_the_strong_alone() {
+fn a_weak_owner_releases_the_cell_only_to_a_much_stronger_node() {
     let weak = [greeting("weak", 50, 9, 0), greeting("equal", 50, 1, 0)];
     assert_eq!(chosen(50, 0, Reason::Outranked, &weak), None);
     let mixed = [
@@ -100,17 +101,17 @@
 }
 
 #[test]
-fn a_slow_owner_hands_over_only_to_a_quick_node_that_is_as_strong() {
+fn a_slow_owner_hands_over_only_to_a_prompt_node_of_equal_strength() {
     let slow = greeting("slow", 250, 9, 90);
     let weak = greeting("weak", 60, 9, 1);
-    let quick = greeting("quick", 250, 9, 1);
+    let prompt = greeting("prompt", 250, 9, 1);
     assert_eq!(
         chosen(250, 200, Reason::Slow, &[slow.clone(), weak.clone()]),
         None
     );
     assert_eq!(
-        chosen(250, 200, Reason::Slow, &[slow, weak, quick]),
-        Some("quick")
+        chosen(250, 200, Reason::Slow, &[slow, weak, prompt]),
+        Some("prompt")
     );
 }
 
@@ -128,40 +129,40 @@
     assert_eq!(chosen(250, 1, Reason::Leaving, &[leaving]), None);
 }
 
-/// Events wait longer and longer behind a machine that turned slow: how long until the owner knows.
+/// When a machine becomes slow, events wait longer and longer. The owner must notice this in time.
 #[test]
-fn a_machine_that_turns_slow_is_noticed_within_half_a_second() {
+fn a_machine_that_becomes_slow_is_noticed_within_half_a_second() {
     let mut lag = Lag::default();
     for _ in 0..200 {
-        lag.note(5 * MILLISECOND);
+        lag.record(5 * MILLISECOND);
     }
     let tick = 25 * MILLISECOND;
     let mut waited = 5 * MILLISECOND;
     let mut after = Duration::ZERO;
-    while !is_slow(lag.get(), 10 * SECOND, 0) {
-        // Four times the work that it can do: each tick leaves three quarters of one undone.
+    while !is_slow(lag.median(), 10 * SECOND, 0) {
+        // The load is four times the capacity, so each tick leaves three quarters of its work undone.
         waited += tick * 3 / 4;
         after += tick;
-        lag.note(waited);
+        lag.record(waited);
     }
     assert!(after <= 500 * MILLISECOND, "noticed after {after:?}");
 }
 
 #[test]
-fn a_single_late_event_is_not_slowness_nor_is_the_rush_of_a_takeover() {
+fn neither_a_single_late_event_nor_a_recent_takeover_counts_as_slowness() {
     let mut lag = Lag::default();
-    lag.note(400 * MILLISECOND);
-    assert!(!is_slow(lag.get(), 10 * SECOND, 0));
+    lag.record(400 * MILLISECOND);
+    assert!(!is_slow(lag.median(), 10 * SECOND, 0));
     for _ in 0..40 {
-        lag.note(400 * MILLISECOND);
+        lag.record(400 * MILLISECOND);
     }
-    assert!(!is_slow(lag.get(), SECOND, 0));
-    assert!(is_slow(lag.get(), 10 * SECOND, 0));
+    assert!(!is_slow(lag.median(), SECOND, 0));
+    assert!(is_slow(lag.median(), 10 * SECOND, 0));
 }
 
-/// A backlog makes each owner slow, whichever node it is: the cell is not handed on each two seconds.
+/// A backlog makes every owner slow, whichever node it is. The cell must not be handed over every two seconds then.
 #[test]
-fn a_cell_whose_owners_are_all_slow_is_handed_on_less_and_less() {
+fn a_cell_whose_owners_are_all_slow_is_handed_over_at_growing_intervals() {
     let lag = Duration::from_millis(60);
     let mut now = Duration::ZERO;
     let mut changes = Vec::new();
