--- a/crates/cell/tests/cell/overtaking.rs
+++ b/crates/cell/tests/cell/overtaking.rs
@@ -1,4 +1,4 @@
-//! Answers of one worker that overtake each other.
+//! Answers of one worker that arrive out of order.
 
 use std::time::Duration;
 
@@ -44,8 +44,8 @@
 
 const MILLISECOND: Duration = Duration::from_millis(1);
 
-/// Advances until nothing more comes out, and returns what did; records are kept at once.
-fn effects(engine: &mut Engine, now: Timestamp) -> Vec<Effect> {
+/// Advances the engine until it returns no more effects, storing records at once, and returns all effects.
+fn drain_effects(engine: &mut Engine, now: Timestamp) -> Vec<Effect> {
     let mut all = Vec::new();
     loop {
         let new = engine.advance(now);
@@ -59,12 +59,14 @@
     }
 }
 
-fn hold(effects: &[Effect], is_peek: bool) -> Hold {
-    let mut holds = effects.iter().filter_map(|effect| match effect {
-        Effect::Hold(hold) if hold.wait.is_zero() == is_peek => Some(hold.clone()),
+/// Returns the first heartbeat among some effects: a probe, which is answered at once, or one that waits for the end of
+/// a run.
+fn find_heartbeat(effects: &[Effect], is_probe: bool) -> Hold {
+    let mut heartbeats = effects.iter().filter_map(|effect| match effect {
+        Effect::Hold(heartbeat) if heartbeat.wait.is_zero() == is_probe => Some(heartbeat.clone()),
         _ => None,
     });
-    holds.next().expect("the worker is called")
+    heartbeats.next().expect("the engine sends a heartbeat")
 }
 
 fn accepted(job: JobId) -> Accepted {
@@ -88,8 +90,12 @@
     }
 }
 
+/// Guards against an engine that takes up a run again after its end was reported.
+///
+/// Two heartbeats to one worker are in flight. The answer to the second one arrives first and lists the end of a run;
+/// the answer to the first one is older and still lists the run as running.
 #[test]
-fn a_run_that_has_ended_is_not_taken_up_again_from_an_older_inventory() {
+fn an_outdated_inventory_does_not_revive_an_ended_run() {
     let mut now = Timestamp::from_millis(1_000);
     let mut engine = Engine::new(Epoch(1), Bounds::default(), Inheritance::default(), now);
     engine.evacuate(Evacuation::default(), now, now);
@@ -107,29 +113,29 @@
         },
         now,
     );
-    let first = hold(&effects(&mut engine, now), true);
+    let first = find_heartbeat(&drain_effects(&mut engine, now), true);
     let empty = HoldAnswer::Listed(Inventory::default());
     engine.held(&worker, first.asked, empty, now);
-    let main = hold(&effects(&mut engine, now), false);
+    let heartbeat = find_heartbeat(&drain_effects(&mut engine, now), false);
     let job = JobId(1);
     engine.submit(accepted(job), now);
     now = now + 5 * MILLISECOND;
-    effects(&mut engine, now);
+    drain_effects(&mut engine, now);
     let step = fulmarpier_cell::id::StepId {
         job,
         occurrence: 0,
         step: 0,
     };
-    let (task, doubted) = (step.task(0), step.task(1));
+    let (task, unanswered) = (step.task(0), step.task(1));
     engine.started(&worker, task, Run(1), StartAnswer::Started, now);
-    // A start that is given up after several copies brings a second call, which overtakes the first.
+    // A start that stays unanswered after several attempts causes a second heartbeat, whose answer overtakes the first.
     for _ in 0..3 {
-        engine.started(&worker, doubted, Run(1), StartAnswer::Silent, now);
-        effects(&mut engine, now);
+        engine.started(&worker, unanswered, Run(1), StartAnswer::Silent, now);
+        drain_effects(&mut engine, now);
     }
-    engine.stopped(&worker, doubted, Run(1), StopAnswer::Confirmed, now);
+    engine.stopped(&worker, unanswered, Run(1), StopAnswer::Confirmed, now);
     now = now + 5 * MILLISECOND;
-    let peek = hold(&effects(&mut engine, now), true);
+    let probe = find_heartbeat(&drain_effects(&mut engine, now), true);
     let end = Ended {
         serial: 1,
         task,
@@ -143,8 +149,8 @@
         running: Vec::new(),
         ended: vec![end],
     };
-    engine.held(&worker, peek.asked, HoldAnswer::Listed(newer), now);
-    effects(&mut engine, now);
+    engine.held(&worker, probe.asked, HoldAnswer::Listed(newer), now);
+    drain_effects(&mut engine, now);
     let running = Running {
         task,
         run: Run(1),
@@ -157,12 +163,12 @@
         running: vec![running],
         ended: Vec::new(),
     };
-    engine.held(&worker, main.asked, HoldAnswer::Listed(older), now);
-    let stops = effects(&mut engine, now);
+    engine.held(&worker, heartbeat.asked, HoldAnswer::Listed(older), now);
+    let stops = drain_effects(&mut engine, now);
     let stops = stops
         .iter()
         .filter(|effect| matches!(effect, Effect::Stop(_)));
-    assert_eq!(stops.count(), 0, "nothing runs that could be stopped");
-    // Only the run whose start was given up still holds room, until it is certainly gone.
+    assert_eq!(stops.count(), 0, "no run is left to stop");
+    // Only the unanswered start still has a claim, until the run is certainly gone.
     assert_eq!(engine.counts().claims, 1);
 }
--- a/crates/cell/tests/cell/pace.rs
+++ b/crates/cell/tests/cell/pace.rs
@@ -1,4 +1,7 @@
-//! Filling tasks beside tasks that serve their own users.
+//! Best-effort tasks beside latency-sensitive tasks: throttling and placement.
+//!
+//! A best-effort task (`fills`) may be throttled to a share of its processor time while a latency-sensitive task (one
+//! with a `target`) on the same worker is close to or above its target.
 
 use std::time::Duration;
 
@@ -44,18 +47,19 @@
 
 const TARGET: Duration = Duration::from_millis(100);
 
-/// A cell of workers that hold what they are told to; how close serving tasks are to their target is set.
+/// A cell whose workers run all tasks that they are told to. The test sets the latency that they report.
 struct Cell {
     engine: Engine,
     now: Timestamp,
     workers: Vec<WorkerId>,
     running: Vec<(WorkerId, TaskId, Run)>,
-    holds: Vec<Hold>,
-    tail: u32,
-    /// The share that each order to pace named.
-    paces: Vec<u8>,
-    /// How many orders to pace get no answer.
-    lost: usize,
+    heartbeats: Vec<Hold>,
+    /// The tail of the response times that all running tasks report as their load, in milliseconds.
+    tail_latency_ms: u32,
+    /// The share of processor time in each answered order to throttle, in percent, in order.
+    throttle_shares: Vec<u8>,
+    /// How many of the next orders to throttle get no answer.
+    orders_to_lose: usize,
 }
 
 impl Cell {
@@ -82,10 +86,10 @@
             now,
             workers: ids,
             running: Vec::new(),
-            holds: Vec::new(),
-            tail: 0,
-            paces: Vec::new(),
-            lost: 0,
+            heartbeats: Vec::new(),
+            tail_latency_ms: 0,
+            throttle_shares: Vec::new(),
+            orders_to_lose: 0,
         }
     }
 
@@ -111,25 +115,25 @@
         let end = self.now + span;
         while self.now < end {
             self.now = self.now + Duration::from_millis(20);
-            self.answer_holds();
+            self.answer_heartbeats();
             for effect in self.engine.advance(self.now) {
-                self.take(effect);
+                self.handle(effect);
             }
         }
     }
 
-    fn answer_holds(&mut self) {
+    fn answer_heartbeats(&mut self) {
         let now = self.now;
-        let due = |hold: &mut Hold| hold.asked + hold.wait <= now;
-        let due: Vec<Hold> = self.holds.extract_if(.., due).collect();
-        for hold in due {
-            let here = self.running.iter();
-            let here = here.filter(|(worker, ..)| *worker == hold.to.worker);
-            let running = here.map(|(_, task, run)| Running {
+        let due = |heartbeat: &mut Hold| heartbeat.asked + heartbeat.wait <= now;
+        let due: Vec<Hold> = self.heartbeats.extract_if(.., due).collect();
+        for heartbeat in due {
+            let tasks = self.running.iter();
+            let tasks = tasks.filter(|(worker, ..)| *worker == heartbeat.to.worker);
+            let running = tasks.map(|(_, task, run)| Running {
                 task: *task,
                 run: *run,
                 checkpoint: None,
-                load: self.tail,
+                load: self.tail_latency_ms,
             });
             let inventory = Inventory {
                 incarnation: None,
@@ -138,14 +142,15 @@
                 ended: Vec::new(),
             };
             let answer = HoldAnswer::Listed(inventory);
-            self.engine.held(&hold.to.worker, hold.asked, answer, now);
+            self.engine
+                .held(&heartbeat.to.worker, heartbeat.asked, answer, now);
         }
     }
 
-    fn take(&mut self, effect: Effect) {
+    fn handle(&mut self, effect: Effect) {
         let now = self.now;
         match effect {
-            Effect::Hold(hold) => self.holds.push(hold),
+            Effect::Hold(heartbeat) => self.heartbeats.push(heartbeat),
             Effect::Record(_) => self.engine.recorded(now),
             Effect::Start(start) => {
                 let worker = start.to.worker;
@@ -154,33 +159,33 @@
                     .started(&worker, task, run, StartAnswer::Started, now);
                 self.running.push((worker, task, run));
             }
-            Effect::Pace(pace) => {
-                let (worker, task, run) = (pace.to.worker, pace.task, pace.run);
-                let answer = match self.lost {
+            Effect::Pace(order) => {
+                let (worker, task, run) = (order.to.worker, order.task, order.run);
+                let answer = match self.orders_to_lose {
                     0 => {
-                        self.paces.push(pace.percent);
+                        self.throttle_shares.push(order.percent);
                         StopAnswer::Confirmed
                     }
                     _ => {
-                        self.lost -= 1;
+                        self.orders_to_lose -= 1;
                         StopAnswer::Silent
                     }
                 };
                 self.engine
-                    .paced(&worker, task, run, pace.percent, answer, now);
+                    .paced(&worker, task, run, order.percent, answer, now);
             }
             _ => {}
         }
     }
 
-    fn places(&self, job: u64) -> Vec<&WorkerId> {
-        let of = self.running.iter();
-        let of = of.filter(|(_, task, _)| task.step.job == JobId(job));
-        of.map(|(worker, ..)| worker).collect()
+    fn workers_of(&self, job: u64) -> Vec<&WorkerId> {
+        let tasks = self.running.iter();
+        let tasks = tasks.filter(|(_, task, _)| task.step.job == JobId(job));
+        tasks.map(|(worker, ..)| worker).collect()
     }
 }
 
-fn serving(count: u16) -> Step {
+fn latency_sensitive(count: u16) -> Step {
     Step {
         count,
         size: size(1_000, 512),
@@ -190,7 +195,7 @@
     }
 }
 
-fn filling(count: u16) -> Step {
+fn best_effort(count: u16) -> Step {
     Step {
         count,
         size: size(4_000, 512),
@@ -199,50 +204,63 @@
     }
 }
 
+/// Guards against best-effort tasks that keep slowing down a latency-sensitive one on the same worker.
+///
+/// They are throttled in steps while it approaches and exceeds its target, and their share rises again afterwards.
 #[test]
-fn filling_tasks_stand_back_while_a_serving_one_is_over_its_target() {
+fn best_effort_tasks_are_throttled_while_a_latency_sensitive_one_exceeds_its_target() {
     let mut cell = Cell::new(1);
-    cell.submit(1, serving(1));
-    cell.submit(2, filling(1));
-    assert_eq!((cell.places(1).len(), cell.places(2).len()), (1, 1));
-    cell.tail = 50;
+    cell.submit(1, latency_sensitive(1));
+    cell.submit(2, best_effort(1));
+    assert_eq!((cell.workers_of(1).len(), cell.workers_of(2).len()), (1, 1));
+    cell.tail_latency_ms = 50;
     cell.run(Duration::from_secs(3));
-    assert_eq!(cell.paces, []);
-    cell.tail = 90;
+    assert_eq!(cell.throttle_shares, []);
+    cell.tail_latency_ms = 90;
     cell.run(Duration::from_millis(1_500));
-    assert_eq!(cell.paces.first(), Some(&50));
-    cell.tail = 150;
+    assert_eq!(cell.throttle_shares.first(), Some(&50));
+    cell.tail_latency_ms = 150;
     cell.run(Duration::from_secs(2));
-    assert_eq!(cell.paces.last(), Some(&0));
-    cell.tail = 40;
+    assert_eq!(cell.throttle_shares.last(), Some(&0));
+    cell.tail_latency_ms = 40;
     cell.run(Duration::from_secs(12));
-    assert_eq!(cell.paces.last(), Some(&100));
-    let rises = cell.paces.iter().skip_while(|share| **share > 0);
+    assert_eq!(cell.throttle_shares.last(), Some(&100));
+    let rises = cell.throttle_shares.iter().skip_while(|share| **share > 0);
     assert!(rises.is_sorted());
 }
 
+/// Guards against a throttle order that is lost for good if its answer never comes.
 #[test]
-fn an_order_to_pace_without_an_answer_is_given_again() {
+fn an_unanswered_throttle_order_is_sent_again() {
     let mut cell = Cell::new(1);
-    cell.submit(1, serving(1));
-    cell.submit(2, filling(1));
-    cell.lost = 2;
-    cell.tail = 150;
+    cell.submit(1, latency_sensitive(1));
+    cell.submit(2, best_effort(1));
+    cell.orders_to_lose = 2;
+    cell.tail_latency_ms = 150;
     cell.run(Duration::from_secs(3));
-    assert_eq!(cell.lost, 0);
-    assert_eq!(cell.paces.last(), Some(&0));
+    assert_eq!(cell.orders_to_lose, 0);
+    assert_eq!(cell.throttle_shares.last(), Some(&0));
 }
 
+/// Guards against needless placement of best-effort and latency-sensitive tasks on the same worker.
 #[test]
-fn filling_and_serving_tasks_keep_apart_where_there_is_room() {
+fn best_effort_and_latency_sensitive_tasks_run_on_different_workers_if_capacity_allows() {
     let mut cell = Cell::new(3);
-    cell.submit(1, serving(2));
-    cell.submit(2, filling(2));
-    cell.submit(3, serving(1));
-    let served = cell.places(1);
-    let filled = cell.places(2);
-    assert_eq!(filled.len(), 2);
-    assert!(filled.iter().all(|worker| !served.contains(worker)));
-    assert!(cell.places(3).iter().all(|worker| !filled.contains(worker)));
+    cell.submit(1, latency_sensitive(2));
+    cell.submit(2, best_effort(2));
+    cell.submit(3, latency_sensitive(1));
+    let latency_sensitive_workers = cell.workers_of(1);
+    let best_effort_workers = cell.workers_of(2);
+    assert_eq!(best_effort_workers.len(), 2);
+    assert!(
+        best_effort_workers
+            .iter()
+            .all(|worker| !latency_sensitive_workers.contains(worker))
+    );
+    assert!(
+        cell.workers_of(3)
+            .iter()
+            .all(|worker| !best_effort_workers.contains(worker))
+    );
     assert_eq!(cell.workers.len(), 3);
 }
--- a/crates/cell/tests/cell/spread.rs
+++ b/crates/cell/tests/cell/spread.rs
@@ -1,12 +1,13 @@
-//! Over how many partitions jobs are spread: few in a small cell, and in a large one all, until long after it has shrunk.
+//! The number of partitions that jobs are spread over: few in a small cell, all in a large one and for some time after
+//! it has shrunk.
 
 use fulmarpier_cell::spread::Spread;
 
-/// How often an owner renews its claim in 10 s.
-const TEN_SECONDS: usize = 33;
+/// Number of times that an owner renews its claim in 10 s.
+const RENEWALS_IN_10_S: usize = 33;
 
 #[test]
-fn a_small_cell_keeps_to_the_first_partitions() {
+fn a_small_cell_uses_only_the_first_partitions() {
     let mut spread = Spread::default();
     for nodes in [1, 7, 16] {
         spread = spread.renew(nodes);
@@ -14,23 +15,28 @@
     }
 }
 
+/// Guards against jobs that are lost to a new owner: a node may still write to all partitions for some time after the
+/// cell has shrunk, so the owner has to read all of them for longer.
 #[test]
-fn nodes_narrow_some_time_after_the_cell_has_shrunk_and_the_owner_stops_reading_long_after_that() {
+fn a_shrunk_cell_stops_writing_to_all_partitions_long_before_its_owner_stops_reading_them() {
     let mut spread = Spread::default().renew(17);
     assert!(spread.is_wide() && spread.may_be_wide());
-    // All nodes are restarted at once, and greet the next owner one by one.
-    for _ in 0..2 * TEN_SECONDS {
+    // All nodes restart at once and connect to the next owner one by one.
+    for _ in 0..2 * RENEWALS_IN_10_S {
         spread = spread.renew(1);
     }
     assert!(spread.is_wide());
     while spread.is_wide() {
         spread = spread.renew(16);
     }
-    for _ in 0..2 * TEN_SECONDS {
+    for _ in 0..2 * RENEWALS_IN_10_S {
         spread = spread.renew(16);
     }
-    assert!(spread.may_be_wide(), "a node may not have heard of it");
-    for _ in 0..2 * TEN_SECONDS {
+    assert!(
+        spread.may_be_wide(),
+        "a node may not know of the change yet"
+    );
+    for _ in 0..2 * RENEWALS_IN_10_S {
         spread = spread.renew(16);
     }
     assert!(!spread.may_be_wide());
