--- a/crates/cell/tests/cell/main.rs
+++ b/crates/cell/tests/cell/main.rs
@@ -1,4 +1,4 @@
-//! The engine of a cell: what it promises, in virtual time.
+//! Tests of a cell's engine in virtual time.
 
 mod announce;
 #[path = "../../../coordination/tests/support/cases.rs"]
--- a/crates/cell/tests/cell/order.rs
+++ b/crates/cell/tests/cell/order.rs
@@ -1,4 +1,4 @@
-//! Which steps get their turn.
+//! The order in which waiting steps are placed.
 
 use std::time::Duration;
 
@@ -18,8 +18,9 @@
     size, //
 };
 
+/// Guards against steps that match no worker using up a scheduling pass, so that later steps are never considered.
 #[test]
-fn steps_that_find_no_worker_don_t_hide_one_that_would() {
+fn steps_without_a_matching_worker_do_not_block_others() {
     let mut world = World::new(1, Faults::default());
     world.run(Duration::from_secs(1));
     let step = |requires: Option<&str>| Step {
@@ -37,30 +38,34 @@
     assert_eq!(world.starts, 1);
 }
 
-/// More steps than a pass looks at wait for one half of the workers, and a job comes for which the other half is idle.
+/// Guards against a scheduling pass that considers only the first waiting steps.
+///
+/// More steps than one pass considers wait for one half of the workers, then a job arrives for which the other half is
+/// idle.
 #[test]
-fn a_job_with_room_is_served_at_once_behind_thousands_that_have_none() {
+fn a_job_that_fits_starts_at_once_behind_thousands_that_do_not() {
     let mut world = World::new(1, Faults::default());
     world.run(Duration::from_secs(1));
-    let half = Step {
+    let labelled = Step {
         requires: Some("r1".into()),
-        ..whole(1, 1_600)
+        ..whole_worker_step(1, 1_600)
     };
     for _ in 0..3_000 {
-        world.submit("batch", vec![half.clone()]);
+        world.submit("batch", vec![labelled.clone()]);
     }
     world.run(Duration::from_millis(100));
-    let job = world.submit("batch", vec![whole(1, 1_600)]);
+    let job = world.submit("batch", vec![whole_worker_step(1, 1_600)]);
     // It runs for up to 3 s.
     world.run(Duration::from_millis(3_500));
     assert_eq!(world.engine.state(job), Some(State::Completed));
     assert_eq!(world.violations, Vec::<String>::new());
 }
 
+/// Guards against starts that workers refuse because the ticket expired while the start waited for an outage to end.
 #[rstest]
 #[case::singles(false)]
 #[case::gang(true)]
-fn a_ticket_that_ran_out_while_the_store_was_away_is_not_used(#[case] gang: bool) {
+fn a_ticket_that_expired_during_an_outage_is_not_used(#[case] gang: bool) {
     let mut world = World::new(1, Faults::default());
     world.run(Duration::from_secs(1));
     world.lose_store(Duration::from_secs(4));
@@ -76,8 +81,10 @@
     assert_eq!((world.starts, world.turned_away), (4, 0));
 }
 
+/// Guards against an occurrence of a repeated job that is ranked by when the job was received rather than when it is
+/// due.
 #[test]
-fn an_occurrence_is_as_urgent_as_a_job_that_arrives_at_its_time() {
+fn an_occurrence_is_as_urgent_as_a_job_received_at_its_due_time() {
     let mut world = World::new(1, Faults::default());
     let step = |count| Step {
         count,
@@ -93,7 +100,7 @@
     };
     let repeated = world.submit_repeated("batch", vec![step(1)], Some(schedule));
     world.run(minute - Duration::from_millis(500));
-    // All room is taken when its time comes, and others wait that arrive earlier and later.
+    // All workers are full when the occurrence is due, and other jobs wait that arrived earlier and later.
     world.submit("batch", vec![step(80)]);
     world.run(Duration::from_millis(550));
     let later = world.submit("batch", vec![step(400)]);
@@ -102,11 +109,11 @@
     assert_eq!(world.engine.state(later), Some(State::Running));
 }
 
-/// The room of the world's workers, in tasks of a whole worker.
+/// Number of workers, each of which one task of `whole_worker_step` fills.
 const WORKERS: u16 = 8;
 
-/// A step that takes whole workers for a while.
-fn whole(count: u16, estimate: u64) -> Step {
+/// Returns a step of tasks that take a whole worker each, with an estimate in milliseconds.
+fn whole_worker_step(count: u16, estimate: u64) -> Step {
     Step {
         count,
         size: size(4_000, 1_024),
@@ -115,23 +122,35 @@
     }
 }
 
-/// After a time without an owner quick urgent jobs are late, while large ones that wait are in time.
+/// Guards against large jobs that go before short urgent ones because the urgent ones are late.
+///
+/// After a time without an owner, short urgent jobs are late already, while large jobs that wait are on time.
 #[test]
-fn callers_of_late_urgent_jobs_get_their_answers_before_large_jobs_in_time() {
+fn late_urgent_jobs_run_before_large_jobs_that_are_on_time() {
     let mut world = World::new(3, Faults::default());
     world.run(Duration::from_secs(1));
     let urgent: Vec<_> = (0..8)
-        .map(|_| world.submit_late("urgent", vec![whole(1, 300)], Duration::from_secs(2)))
+        .map(|_| {
+            world.submit_late(
+                "urgent",
+                vec![whole_worker_step(1, 300)],
+                Duration::from_secs(2),
+            )
+        })
         .collect();
     let large: Vec<_> = (0..4)
-        .map(|_| world.submit("batch", vec![whole(WORKERS, 3_000)]))
+        .map(|_| world.submit("batch", vec![whole_worker_step(WORKERS, 3_000)]))
         .collect();
     world.run(Duration::from_secs(6));
     let state = |job| world.engine.state(job);
-    let served = urgent
+    let completed = urgent
         .iter()
         .filter(|job| state(**job) == Some(State::Completed));
-    assert_eq!(served.count(), urgent.len(), "of the late urgent jobs");
+    assert_eq!(
+        completed.count(),
+        urgent.len(),
+        "not all late urgent jobs are completed"
+    );
     world.run(Duration::from_secs(60));
     let state = |job| world.engine.state(job);
     assert!(
@@ -142,17 +161,18 @@
     assert_eq!(world.violations, Vec::<String>::new());
 }
 
+/// Guards against a long-running task that ranks behind all other jobs for good because it is late.
 #[test]
-fn a_lasting_task_is_never_too_late_to_start() {
+fn a_long_running_task_starts_however_late_it_is() {
     let mut world = World::new(5, Faults::default());
     world.run(Duration::from_secs(1));
-    let lasting = Step {
+    let long_running = Step {
         lasting: true,
-        ..whole(1, 100)
+        ..whole_worker_step(1, 100)
     };
-    let service = world.submit_late("batch", vec![lasting], Duration::from_secs(600));
+    let service = world.submit_late("batch", vec![long_running], Duration::from_secs(600));
     for _ in 0..4 {
-        world.submit("batch", vec![whole(WORKERS, 3_000)]);
+        world.submit("batch", vec![whole_worker_step(WORKERS, 3_000)]);
     }
     world.run(Duration::from_secs(1));
     assert_eq!(world.engine.state(service), Some(State::Running));
--- a/crates/cell/tests/cell/shrink.rs
+++ b/crates/cell/tests/cell/shrink.rs
@@ -1,4 +1,4 @@
-//! Workers whose room shrinks while they run.
+//! Workers whose capacity shrinks while they run.
 
 use std::time::Duration;
 
@@ -13,9 +13,11 @@
     quick_step, //
 };
 
-/// Rooms shrink while the store is away: what was decided before waits for its record, and no worker can tell meanwhile.
+/// Guards against starts on workers whose capacity shrank during an outage of the store.
+///
+/// Starts that were decided before wait for their records, and no worker can report its new capacity meanwhile.
 #[test]
-fn nothing_is_started_on_rooms_that_shrank_during_an_outage() {
+fn no_worker_is_overcommitted_after_capacities_shrank_during_an_outage() {
     let mut world = World::new(1, Faults::default());
     world.run(Duration::from_secs(1));
     world.lose_store(Duration::from_secs(7));
@@ -31,12 +33,13 @@
     assert_eq!(world.engine.state(job), Some(State::Completed));
 }
 
-/// Where no room has ever shrunk, nothing is to be feared of workers that can't report for a while.
+/// Guards against an engine that stops placing tasks because workers can't report their capacity, although no capacity
+/// has ever shrunk.
 #[test]
-fn an_outage_of_the_list_of_workers_alone_stops_nothing() {
+fn jobs_run_while_only_the_list_of_workers_is_unavailable() {
     let mut world = World::new(1, Faults::default());
     world.run(Duration::from_secs(1));
-    world.is_list_away = true;
+    world.is_list_unavailable = true;
     world.run(Duration::from_secs(10));
     let step = Step {
         count: 16,
--- a/crates/cell/tests/cell/slow.rs
+++ b/crates/cell/tests/cell/slow.rs
@@ -1,4 +1,4 @@
-//! A store that takes long for each record: what callers get then.
+//! Scheduling with a store that takes long for each append.
 
 use std::time::Duration;
 
@@ -13,11 +13,15 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-/// More comes than the workers have room for, so tickets age while steps wait, and each start waits for its record.
+/// Guards against decisions that rely on tickets which expire before the start is recorded: each one is withdrawn, and
+/// its capacity is lost meanwhile.
+///
+/// More jobs arrive than the workers have capacity for, so tickets age while steps wait, and each start waits for its
+/// record.
 #[rstest]
 #[case::urgent("urgent")]
 #[case::gangs("gang")]
-fn room_is_taken_only_with_tickets_that_outlast_the_record(
+fn few_starts_are_withdrawn_for_expired_tickets_when_appends_are_slow(
     #[case] queue: &str,
     #[values(90, 370, 500)] append_ms: u64,
 ) {
@@ -38,6 +42,10 @@
     world.run(25 * SECOND);
     assert_eq!(world.completed(&jobs), jobs.len());
     assert_eq!(world.violations, Vec::<String>::new());
-    // The first record tells how long one takes.
-    assert!(world.aged <= 4, "{} starts were taken back", world.aged);
+    // The engine learns from the first records how long an append takes.
+    assert!(
+        world.expired_ticket_starts <= 4,
+        "{} starts were withdrawn",
+        world.expired_ticket_starts
+    );
 }
--- a/crates/cell/tests/cell/world/check.rs
+++ b/crates/cell/tests/cell/world/check.rs
@@ -1,4 +1,4 @@
-//! The promises that are checked in each history.
+//! The invariants that are checked in each history.
 
 use std::collections::BTreeSet;
 
@@ -14,94 +14,100 @@
 };
 
 use super::{
-    GIVEN_UP_FROM,
-    LATEST,
-    PROVED,
-    SHRINK_BORNE,
-    STARTS_MORE,
-    TRIES,
-    WAY,
+    CRASHES_TO_PROVE,
+    MAX_ATTEMPTS,
+    MAX_ORDER_DELAY,
+    MAX_STARTS_AFTER_PROOF,
+    MIN_CRASHES_TO_GIVE_UP,
+    NETWORK_DELAY,
+    SHRINK_GRACE,
     World, //
 };
 
 impl World {
-    /// Checks that no job is left out of those that are said to wait.
+    /// Checks that the engine counts each waiting job as pending.
     ///
-    /// An owner may hear late of a start, so it may say that more wait than do, never that fewer do.
+    /// An owner may learn late of a start, so it may report more pending jobs than there are, but never fewer.
     pub(super) fn check_waiting(&mut self) {
         for queue in self.config.queues.keys() {
             let jobs = self.accepted.iter();
             let waiting = jobs.filter(|accepted| {
                 let is_over = self.cancelled.contains_key(&accepted.job);
-                accepted.queue.name == *queue && !is_over && !self.begun.contains(&accepted.job)
+                accepted.queue.name == *queue
+                    && !is_over
+                    && !self.started_jobs.contains(&accepted.job)
             });
-            let (waiting, said) = (waiting.count(), self.engine.pending(queue));
-            if usize::try_from(said).unwrap_or(usize::MAX) < waiting {
-                let line = format!("{said} jobs are said to wait in {queue:?}, {waiting} do");
+            let (waiting, reported) = (waiting.count(), self.engine.pending(queue));
+            if usize::try_from(reported).unwrap_or(usize::MAX) < waiting {
+                let line =
+                    format!("{reported} jobs are reported as pending in {queue:?}, {waiting} are");
                 self.violations.push(line);
             }
         }
     }
 
-    /// Checks that a task is placed on a worker whose entry names one to use.
-    pub(super) fn check_place(&mut self, task: TaskId, worker: &WorkerId) {
+    /// Checks that a task isn't placed on a worker that leaves or whose entry another writer has overwritten.
+    pub(super) fn check_placement(&mut self, task: TaskId, worker: &WorkerId) {
         let entry = self.workers.get(worker);
-        if entry.is_some_and(|worker| worker.leaves.is_some()) {
+        if entry.is_some_and(|worker| worker.leaves_at.is_some()) {
             let line = format!("{task} is placed on {worker}, which leaves");
             self.violations.push(line);
         }
-        if entry.is_some_and(|worker| worker.foreign_until.is_some()) {
-            let line = format!("{task} is placed on {worker}, whose entry is another writer's");
+        if entry.is_some_and(|worker| worker.overwritten_until.is_some()) {
+            let line =
+                format!("{task} is placed on {worker}, whose entry another writer has overwritten");
             self.violations.push(line);
         }
     }
 
-    /// Checks every promise about starts.
+    /// Checks the invariants about starts. `is_in_time` is false for an order that is executed late.
     pub(super) fn check_start(&mut self, order: &fulmarpier_cell::effect::Start, is_in_time: bool) {
         let task = order.task;
         let at = format!("{task} run {} on {}", order.run, order.to.worker);
         let running = self.workers.values();
-        let count: usize = running.map(|worker| worker.count(task)).sum();
+        let count: usize = running.map(|worker| worker.runs(task)).sum();
         if count > 1 {
             self.violations.push(format!("{at}: runs twice"));
         }
         if self.done.contains(&task) {
-            self.violations.push(format!("{at}: was done"));
+            self.violations.push(format!("{at}: is done already"));
         }
         let failed = self.failed.get(&task).map_or(0, BTreeSet::len);
-        if failed >= TRIES as usize {
-            self.violations.push(format!("{at}: has used its tries"));
+        if failed >= MAX_ATTEMPTS as usize {
+            self.violations
+                .push(format!("{at}: has used all its attempts"));
         }
         if self
             .crashed
             .get(&task)
-            .is_some_and(|crashed| *crashed >= PROVED)
+            .is_some_and(|crashed| *crashed >= CRASHES_TO_PROVE)
         {
-            let more = self.started_on.entry(task).or_default();
-            *more += 1;
-            if *more > STARTS_MORE {
-                self.violations
-                    .push(format!("{at}: {more} starts more after {PROVED} crashes"));
+            let starts = self.starts_after_proof.entry(task).or_default();
+            *starts += 1;
+            if *starts > MAX_STARTS_AFTER_PROOF {
+                self.violations.push(format!(
+                    "{at}: {starts} more starts after {CRASHES_TO_PROVE} crashes"
+                ));
             }
         }
-        // Nothing can be done about an order that is carried out late.
-        let late = if is_in_time {
-            SHRINK_BORNE
+        // The engine can't prevent that an order is executed late.
+        let grace = if is_in_time {
+            SHRINK_GRACE
         } else {
-            SHRINK_BORNE + LATEST
+            SHRINK_GRACE + MAX_ORDER_DELAY
         };
         if let Some(worker) = self.workers.get(&order.to.worker)
-            && worker.is_overfilled(late, self.now)
+            && worker.exceeds_capacity(grace, self.now)
         {
-            self.violations.push(format!("{at}: overfilled"));
+            self.violations.push(format!("{at}: exceeds the capacity"));
         }
-        // An order that was on its way may still arrive.
+        // An order that was in flight may still arrive.
         let cancelled = self.cancelled.get(&task.step.job);
-        if is_in_time && cancelled.is_some_and(|(since, _)| *since + WAY < self.now) {
+        if is_in_time && cancelled.is_some_and(|(since, _)| *since + NETWORK_DELAY < self.now) {
             self.violations.push(format!("{at}: was cancelled"));
         }
         self.check_limit(order, is_in_time);
-        self.check_evacuated(order, is_in_time);
+        self.check_evacuation(order, is_in_time);
         let job = self
             .accepted
             .iter()
@@ -114,7 +120,7 @@
             && !worker.registration().labels.contains(label)
         {
             self.violations
-                .push(format!("{at}: is without label {label}"));
+                .push(format!("{at}: the worker lacks label {label}"));
         }
         for after in &step.after {
             for index in 0..job.spec.steps[usize::from(*after)].count {
@@ -131,19 +137,19 @@
     }
 
     fn is_done_anywhere(&self, task: TaskId) -> bool {
-        let listed = self.workers.values().any(|worker| worker.has_done(task));
-        let kept = self.records.get(&task.step.job.to_string());
-        let kept = kept.is_some_and(|entry| match entry {
+        let is_listed = self.workers.values().any(|worker| worker.has_done(task));
+        let entry = self.records.get(&task.step.job.to_string());
+        let is_recorded = entry.is_some_and(|entry| match entry {
             Entry::Job(_, progress) => progress
                 .occurrences
                 .iter()
                 .any(|(_, steps)| steps[usize::from(task.step.step)].is_done(task.index)),
             Entry::Worker(..) | Entry::Gone(_) => false,
         });
-        listed || kept || self.done.contains(&task)
+        is_listed || is_recorded || self.done.contains(&task)
     }
 
-    /// Checks that a task is given up only for workers that went down under it.
+    /// Checks that a task is given up only if enough workers went down while running it.
     pub(super) fn check_given_up(&mut self, task: TaskId, is_given_up: bool) {
         if !is_given_up {
             return;
@@ -151,30 +157,31 @@
         if !self.crashers.contains(&task) {
             self.wronged += 1;
         }
-        let under = self.under.get(&task).copied().unwrap_or_default();
-        if under < GIVEN_UP_FROM {
-            let line = format!("{task} is given up after {under} crashes under it");
+        let under = self.crashes_under.get(&task).copied().unwrap_or_default();
+        if under < MIN_CRASHES_TO_GIVE_UP {
+            let line =
+                format!("{task} is given up after {under} workers went down while running it");
             self.violations.push(line);
         }
     }
 
-    /// Returns whether a task of a job crashes its workers.
+    /// Returns whether a task of the job crashes its workers.
     pub(crate) fn crashes(&self, job: JobId) -> bool {
         self.crashers.iter().any(|task| task.step.job == job)
     }
 
-    /// Checks that every job has come to a true end.
+    /// Checks that every job has ended in the state that it should, and that no claims are left.
     pub(crate) fn check_ends(&mut self) {
         for accepted in &self.accepted {
             let state = self.engine.state(accepted.job);
             let is_cancelled = self.cancelled.contains_key(&accepted.job);
-            let is_true = match state {
+            let is_as_expected = match state {
                 Some(State::Completed) => !self.crashes(accepted.job),
                 Some(State::Failed) => self.faults.failures > 0 || self.crashes(accepted.job),
                 Some(State::Cancelled) => is_cancelled,
                 Some(State::Queued | State::Running) | None => false,
             };
-            if !is_true {
+            if !is_as_expected {
                 let line = format!("job {} ended as {state:?}", accepted.job);
                 self.violations.push(line);
             }
--- a/crates/cell/tests/cell/world/deliver.rs
+++ b/crates/cell/tests/cell/world/deliver.rs
@@ -1,4 +1,4 @@
-//! What reaches workers, and what comes back from them.
+//! Delivery of orders and heartbeats to workers, and of their answers to the engine.
 
 use std::time::Duration;
 
@@ -16,113 +16,132 @@
 use rand::RngExt;
 
 use super::{
-    CRASHES_AFTER,
+    CRASH_DELAY,
     Event,
-    LASTS,
-    ORDER,
-    WAY,
+    LONG_RUN_DURATION,
+    NETWORK_DELAY,
+    ORDER_TIMEOUT,
     World,
-    given,
-    is_aged,
+    has_expired,
+    issued_at,
     worker::Worker, //
 };
 
 impl World {
-    fn reach(&mut self, id: &WorkerId) -> Option<&mut Worker> {
+    fn reachable_worker(&mut self, id: &WorkerId) -> Option<&mut Worker> {
         let now = self.now;
         let worker = self.workers.get_mut(id)?;
         (worker.cut_until <= now).then_some(worker)
     }
 
+    /// Delivers an order to start a task.
+    ///
+    /// `is_current` tells whether the sender still owns the cell; `is_answered` is false for an order whose answer is
+    /// lost and that is executed late.
     pub(super) fn deliver_start(
         &mut self,
         order: &fulmarpier_cell::effect::Start,
-        is_alive: bool,
+        is_current: bool,
         is_answered: bool,
     ) {
         let (now, id) = (self.now, order.to.worker.clone());
         let fails = self.chance(self.faults.failures);
-        let works = Duration::from_millis(self.rng.random_range(200..3_000));
-        let (how, works) = match (self.waits_in_vain(order.task.step), fails) {
+        let duration = Duration::from_millis(self.rng.random_range(200..3_000));
+        let (how, duration) = match (self.can_never_assemble(order.task.step), fails) {
             (true, _) => (How::Alone, Bounds::default().gang_wait),
-            _ if self.lasts(order.task.step) => (How::Failed, LASTS),
-            (false, true) => (How::Failed, works),
-            (false, false) => (How::Done, works),
+            _ if self.is_long_running(order.task.step) => (How::Failed, LONG_RUN_DURATION),
+            (false, true) => (How::Failed, duration),
+            (false, false) => (How::Done, duration),
         };
         if !self.workers.contains_key(&id) && !self.is_down(&id) {
-            if is_alive && is_answered {
+            if is_current && is_answered {
                 let gone = Event::Started(id, order.task, order.run, StartAnswer::Gone);
-                self.later(WAY, gone);
+                self.schedule(NETWORK_DELAY, gone);
             }
             return;
         }
-        let Some(worker) = self.reach(&id) else {
-            if is_alive && is_answered {
+        let Some(worker) = self.reachable_worker(&id) else {
+            if is_current && is_answered {
                 let silent = Event::Started(id, order.task, order.run, StartAnswer::Silent);
-                self.later(ORDER, silent);
+                self.schedule(ORDER_TIMEOUT, silent);
             }
             return;
         };
-        let born = worker.born();
+        let started_at = worker.started_at();
         let ticket = order.ticket.as_deref();
-        if ticket.is_some_and(|ticket| is_aged(ticket, now) || given(ticket) < born) {
+        if ticket.is_some_and(|ticket| has_expired(ticket, now) || issued_at(ticket) < started_at) {
             self.turned_away += 1;
-            if is_alive && is_answered {
+            if is_current && is_answered {
                 let answer = Event::Started(id, order.task, order.run, StartAnswer::Ticket);
-                self.later(WAY, answer);
+                self.schedule(NETWORK_DELAY, answer);
             }
             return;
         }
-        let answer = worker.start(order, works, how, now);
+        let answer = worker.start(order, duration, how, now);
         if answer == StartAnswer::Started {
             self.starts += 1;
-            self.begun.insert(order.task.step.job);
+            self.started_jobs.insert(order.task.step.job);
             if self.crashers.contains(&order.task) {
-                self.later(CRASHES_AFTER, Event::Crash(id.clone(), order.task));
+                self.schedule(CRASH_DELAY, Event::Crash(id.clone(), order.task));
             }
             self.check_start(order, is_answered);
         }
-        if is_alive && is_answered {
+        if is_current && is_answered {
             let event = Event::Started(id, order.task, order.run, answer);
-            self.later(WAY, event);
+            self.schedule(NETWORK_DELAY, event);
         }
     }
 
-    pub(super) fn deliver_stop(&mut self, order: &fulmarpier_cell::effect::Stop, is_alive: bool) {
+    pub(super) fn deliver_stop(&mut self, order: &fulmarpier_cell::effect::Stop, is_current: bool) {
         let (now, id) = (self.now, order.to.worker.clone());
-        let is_there = self.workers.contains_key(&id) || self.is_down(&id);
-        let answer = match (is_there, self.reach(&id)) {
+        let is_known = self.workers.contains_key(&id) || self.is_down(&id);
+        let answer = match (is_known, self.reachable_worker(&id)) {
             (false, _) => StopAnswer::Gone,
             (true, None) => StopAnswer::Silent,
             (true, Some(worker)) => worker.stop(order, now),
         };
-        if is_alive {
+        if is_current {
             let event = Event::Stopped(id, order.task, order.run, answer);
-            self.later(WAY, event);
+            self.schedule(NETWORK_DELAY, event);
         }
     }
 
-    pub(super) fn deliver_hold(&mut self, order: fulmarpier_cell::effect::Hold, is_alive: bool) {
+    pub(super) fn deliver_heartbeat(
+        &mut self,
+        order: fulmarpier_cell::effect::Hold,
+        is_current: bool,
+    ) {
         let (now, id) = (self.now, order.to.worker.clone());
         let is_lost = self.chance(self.faults.lost_holds);
         let asked = order.asked;
-        if !is_alive || !self.calls.contains(&(id.clone(), asked)) {
+        if !is_current || !self.heartbeats.contains(&(id.clone(), asked)) {
             return;
         }
         if self.is_down(&id) {
-            return self.later(WAY, Event::Held(id, asked, HoldAnswer::Broken));
+            return self.schedule(
+                NETWORK_DELAY,
+                Event::HeartbeatAnswered(id, asked, HoldAnswer::Broken),
+            );
         }
         if !self.workers.contains_key(&id) {
-            return self.later(WAY, Event::Held(id, asked, HoldAnswer::Gone));
+            return self.schedule(
+                NETWORK_DELAY,
+                Event::HeartbeatAnswered(id, asked, HoldAnswer::Gone),
+            );
         }
-        let Some(worker) = self.reach(&id) else {
+        let Some(worker) = self.reachable_worker(&id) else {
             return;
         };
-        if worker.is_beyond(&order.to) {
-            return self.later(WAY, Event::Held(id, asked, HoldAnswer::Fenced));
+        if worker.rejects_fence(&order.to) {
+            return self.schedule(
+                NETWORK_DELAY,
+                Event::HeartbeatAnswered(id, asked, HoldAnswer::Fenced),
+            );
         }
-        let acknowledged = worker.hold(&order, is_lost, now);
-        let is_waiting = worker.waiting.is_some_and(|(_, call)| call == asked);
+        let acknowledged = worker.heartbeat(&order, is_lost, now);
+        let is_waiting = worker
+            .waiting_heartbeat
+            .is_some_and(|(_, call)| call == asked);
         for (task, run, is_done) in acknowledged {
             if is_done {
                 self.done.insert(task);
@@ -131,33 +150,36 @@
             }
         }
         if !is_lost && !is_waiting {
-            self.answer_hold(&id, asked);
+            self.answer_heartbeat(&id, asked);
         }
     }
 
-    /// Hands the answer to a call to the engine, unless the call is over.
-    pub(super) fn end_call(&mut self, id: &WorkerId, asked: Timestamp, answer: HoldAnswer) {
-        if self.calls.remove(&(id.clone(), asked)) {
+    /// Passes the answer to a heartbeat to the engine, unless the heartbeat has been answered or has timed out.
+    pub(super) fn end_heartbeat(&mut self, id: &WorkerId, asked: Timestamp, answer: HoldAnswer) {
+        if self.heartbeats.remove(&(id.clone(), asked)) {
             self.engine.held(id, asked, answer, self.now);
         }
     }
 
-    /// Answers a call that waits for an end.
-    pub(super) fn answer_waiting(&mut self, id: &WorkerId) {
+    /// Answers a heartbeat that waits for the end of a run.
+    pub(super) fn answer_waiting_heartbeat(&mut self, id: &WorkerId) {
         let Some(worker) = self.workers.get_mut(id) else {
             return;
         };
-        if let Some((_, asked)) = worker.waiting.take() {
-            self.answer_hold(id, asked);
+        if let Some((_, asked)) = worker.waiting_heartbeat.take() {
+            self.answer_heartbeat(id, asked);
         }
     }
 
-    fn answer_hold(&mut self, id: &WorkerId, asked: Timestamp) {
+    fn answer_heartbeat(&mut self, id: &WorkerId, asked: Timestamp) {
         let now = self.now;
-        let Some(worker) = self.reach(id) else {
+        let Some(worker) = self.reachable_worker(id) else {
             return;
         };
         let answer = HoldAnswer::Listed(worker.inventory(now));
-        self.later(WAY, Event::Held(id.clone(), asked, answer));
+        self.schedule(
+            NETWORK_DELAY,
+            Event::HeartbeatAnswered(id.clone(), asked, answer),
+        );
     }
 }
--- a/crates/cell/tests/cell/world/evacuate.rs
+++ b/crates/cell/tests/cell/world/evacuate.rs
@@ -1,4 +1,4 @@
-//! Data centres that are evacuated and taken back, and the checks that nothing is started there.
+//! Evacuations of data centres, and the checks that nothing is started in an evacuated one.
 
 use std::time::Duration;
 
@@ -21,39 +21,39 @@
     },
 };
 
-/// How long after a data centre was evacuated a task may be started there.
-const EVACUATE: Duration = Duration::from_secs(3);
-/// How long it takes at most until the nodes have read a change, while the store is there.
-const READ_WITHIN: Duration = Duration::from_millis(300);
+/// How long after the evacuation of a data centre a task may still be started there.
+const EVACUATION_DEADLINE: Duration = Duration::from_secs(3);
+/// Maximum time until the nodes have read a change, while the store is available.
+const MAX_READ_DELAY: Duration = Duration::from_millis(300);
 
-/// Returns the bounds of histories with some faults.
+/// Returns the engine's bounds for a history with the given faults.
 pub(super) fn bounds(faults: &Faults) -> Bounds {
     Bounds {
-        evacuate: (faults.evacuations > 0).then_some(EVACUATE),
+        evacuate: (faults.evacuations > 0).then_some(EVACUATION_DEADLINE),
         ..Bounds::default()
     }
 }
 
 impl World {
-    /// Has the operator evacuate a data centre; the nodes read that a moment later.
+    /// Evacuates a data centre; the nodes read the change after a random delay.
     pub(crate) fn evacuate(&mut self, data_centre: &str) {
         let data_centre = DataCentre::from(data_centre);
         self.evacuated.entry(data_centre).or_insert(self.now);
-        self.later_read();
+        self.schedule_operator_read();
     }
 
-    /// Has the operator take a data centre back.
+    /// Ends the evacuation of a data centre; the nodes read the change after a random delay.
     pub(crate) fn take_back(&mut self, data_centre: &str) {
         self.evacuated.remove(&DataCentre::from(data_centre));
-        self.later_read();
+        self.schedule_operator_read();
     }
 
-    /// Has the operator evacuate these data centres alone; the nodes read that at once.
+    /// Evacuates exactly the given data centres; the nodes read the change at once.
     pub(crate) fn evacuate_only(&mut self, data_centres: &[&'static str]) {
         let now = self.now;
         let data_centres = data_centres.iter().copied().map(DataCentre::from);
         self.evacuated = data_centres.map(|name| (name, now)).collect();
-        self.read_operator();
+        self.read_operator_records();
     }
 
     /// Returns the tasks that run in a data centre.
@@ -64,39 +64,39 @@
         there.flat_map(Worker::tasks).collect()
     }
 
-    pub(super) fn take_all_back(&mut self) {
+    pub(super) fn end_all_evacuations(&mut self) {
         self.evacuated.clear();
-        self.later_read();
+        self.schedule_operator_read();
     }
 
-    fn later_read(&mut self) {
-        let span = READ_WITHIN.mul_f64(self.rng.random_range(0.0..1.0));
-        self.later(span, Event::OperatorRead);
+    fn schedule_operator_read(&mut self) {
+        let span = MAX_READ_DELAY.mul_f64(self.rng.random_range(0.0..1.0));
+        self.schedule(span, Event::OperatorRead);
     }
 
-    /// Has the nodes read which data centres are evacuated, and the owner be told, while the store is there.
-    pub(super) fn read_operator(&mut self) {
-        if self.now < self.store_back || self.is_operator_away {
+    /// Reads which data centres are evacuated and tells the owner, unless the records are unavailable.
+    pub(super) fn read_operator_records(&mut self) {
+        if self.now < self.outage_end || self.is_operator_away {
             return;
         }
         let evacuation = self.evacuated.keys().cloned().collect();
-        self.evacuation = (evacuation, self.now);
-        self.tell_evacuation();
+        self.read_evacuation = (evacuation, self.now);
+        self.send_evacuation();
     }
 
-    /// Tells the owner what the nodes have read last.
-    pub(super) fn tell_evacuation(&mut self) {
-        let (evacuation, read) = self.evacuation.clone();
-        self.told = Some(evacuation.clone());
+    /// Tells the owner of the evacuations that the nodes have read last.
+    pub(super) fn send_evacuation(&mut self) {
+        let (evacuation, read) = self.read_evacuation.clone();
+        self.owner_evacuation = Some(evacuation.clone());
         self.engine.evacuate(evacuation, read, self.now);
     }
 
-    /// Forgets what the owner was told: there is another one.
-    pub(super) fn forget_told(&mut self) {
-        self.told = None;
+    /// Clears what the owner was told, as there is a new owner.
+    pub(super) fn reset_owner_evacuation(&mut self) {
+        self.owner_evacuation = None;
     }
 
-    pub(super) fn evacuate_by_chance(&mut self) {
+    pub(super) fn change_evacuations(&mut self) {
         for data_centre in DATA_CENTRES {
             if !self.chance(self.faults.evacuations) {
                 continue;
@@ -108,43 +108,49 @@
         }
     }
 
-    fn is_told_evacuated(&self, worker: &WorkerId) -> bool {
-        let told = self.told.as_ref();
+    fn is_evacuated_for_owner(&self, worker: &WorkerId) -> bool {
+        let told = self.owner_evacuation.as_ref();
         let worker = self.workers.get(worker);
         told.zip(worker)
             .is_some_and(|(told, worker)| told.covers(Some(&worker.data_centre())))
     }
 
-    /// Checks that no order to start leaves for an evacuated data centre, or before the owner knows of any.
-    pub(super) fn check_leaves(&mut self, order: &Start) {
+    /// Checks that no start is ordered in a data centre that the owner knows to be evacuated, or before the owner knows
+    /// which data centres are.
+    pub(super) fn check_sent_start(&mut self, order: &Start) {
         let at = format!("{} on {}", order.task, order.to.worker);
-        if self.told.is_none() {
-            let line = format!("{at}: leaves before the owner knows what is evacuated");
+        if self.owner_evacuation.is_none() {
+            let line = format!("{at}: is ordered before the owner knows what is evacuated");
             self.violations.push(line);
         }
-        if self.is_told_evacuated(&order.to.worker) {
-            let line = format!("{at}: leaves for an evacuated data centre");
+        if self.is_evacuated_for_owner(&order.to.worker) {
+            let line = format!("{at}: is ordered in an evacuated data centre");
             self.violations.push(line);
         }
     }
 
-    /// Checks that nobody is asked about workers in evacuated data centres.
-    pub(super) fn check_asked(&mut self, workers: &[WorkerId]) {
-        let asked = workers.iter().find(|worker| self.is_told_evacuated(worker));
+    /// Checks that a call for advice names no worker in an evacuated data centre.
+    pub(super) fn check_advice_call(&mut self, workers: &[WorkerId]) {
+        let asked = workers
+            .iter()
+            .find(|worker| self.is_evacuated_for_owner(worker));
         if let Some(worker) = asked {
-            let line = format!("{worker} is asked about, in an evacuated data centre");
+            let line = format!("a call for advice names {worker}, in an evacuated data centre");
             self.violations.push(line);
         }
     }
 
-    /// Checks that a start comes within the time that is allowed for one after an evacuation.
-    pub(super) fn check_evacuated(&mut self, order: &Start, is_in_time: bool) {
+    /// Checks that a start in an evacuated data centre comes within the time that is allowed after its evacuation.
+    pub(super) fn check_evacuation(&mut self, order: &Start, is_in_time: bool) {
         let worker = self.workers.get(&order.to.worker);
         let since = worker.and_then(|worker| self.evacuated.get(&worker.data_centre()));
-        let is_late = since.is_some_and(|since| *since + EVACUATE < self.now);
-        // Nothing can be done about an order that is carried out late.
+        let is_late = since.is_some_and(|since| *since + EVACUATION_DEADLINE < self.now);
+        // The engine can't prevent that an order is executed late.
         if is_in_time && is_late {
-            let line = format!("{} on {}: was evacuated", order.task, order.to.worker);
+            let line = format!(
+                "{} on {}: its data centre is evacuated",
+                order.task, order.to.worker
+            );
             self.violations.push(line);
         }
     }
--- a/crates/cell/tests/cell/world/fault.rs
+++ b/crates/cell/tests/cell/world/fault.rs
@@ -1,4 +1,4 @@
-//! What befalls workers: crashes under their tasks, rooms that shrink, and replacements.
+//! Faults of workers: crashes, changes of capacity, and replacements.
 
 use std::time::Duration;
 
@@ -18,24 +18,24 @@
 use rand::RngExt;
 
 use super::{
-    AWAY,
+    CRASH_DOWNTIME,
+    CRASHED_LISTING_DURATION,
     Event,
-    LISTED,
-    WAY,
+    NETWORK_DELAY,
     World,
     worker::Worker, //
 };
 
 impl World {
-    /// Has a worker go down by itself; another incarnation is back after a while.
+    /// Crashes a worker; a new one starts in its slot later.
     pub(crate) fn go_down(&mut self, id: WorkerId) {
         if let Some(worker) = self.workers.remove(&id) {
-            self.leave_place(id, &worker);
+            self.crash_worker(id, &worker);
         }
     }
 
-    /// Has one task of a job crash each worker that starts it.
-    pub(super) fn make_crasher(&mut self, job: JobId, spec: &Spec) {
+    /// Chooses one task of a job to crash each worker that starts it.
+    pub(super) fn choose_crashing_task(&mut self, job: JobId, spec: &Spec) {
         let step = self.rng.random_range(0..spec.steps.len());
         let index = self.rng.random_range(0..spec.steps[step].count);
         let step = StepId {
@@ -46,7 +46,8 @@
         self.crashers.insert(step.task(index));
     }
 
-    /// Has a task crash the worker that has started it; another incarnation is back after a while.
+    /// Crashes a worker because of a task that it has started; the worker restarts, or a new one starts in its slot
+    /// later.
     pub(super) fn crash(&mut self, id: WorkerId, task: TaskId) {
         let Some(worker) = self.workers.remove(&id) else {
             return;
@@ -55,23 +56,24 @@
         let others = worker.tasks().filter(|other| *other != task).count();
         self.taken_along.push((task, others));
         if let Some(restart) = self.crash_restart {
-            return self.end_worker(id, &worker, restart);
+            return self.go_down_for_restart(id, &worker, restart);
         }
         if self.faults.restarts > 0 && self.chance(500) {
-            let restart = self.draw_restart();
-            return self.end_worker(id, &worker, restart);
+            let restart = self.random_restart();
+            return self.go_down_for_restart(id, &worker, restart);
         }
-        self.leave_place(id, &worker);
+        self.crash_worker(id, &worker);
     }
 
-    fn leave_place(&mut self, id: WorkerId, worker: &Worker) {
-        self.note_under(worker);
-        self.break_calls(&id);
-        self.down.insert(id.clone(), self.now + AWAY);
-        self.later(LISTED, Event::Unlisted(id));
-        // The place of one that leaves is taken already.
-        if worker.leaves.is_none() {
-            self.later(AWAY, Event::Back(worker.place));
+    fn crash_worker(&mut self, id: WorkerId, worker: &Worker) {
+        self.record_crash_under(worker);
+        self.break_connections(&id);
+        self.down_until
+            .insert(id.clone(), self.now + CRASH_DOWNTIME);
+        self.schedule(CRASHED_LISTING_DURATION, Event::Unlisted(id));
+        // The slot of a worker that leaves has its replacement already.
+        if worker.leaves_at.is_none() {
+            self.schedule(CRASH_DOWNTIME, Event::NewWorker(worker.slot));
         }
     }
 
@@ -81,46 +83,51 @@
         job.spec.steps.get(usize::from(id.step))
     }
 
-    pub(super) fn lasts(&self, id: StepId) -> bool {
+    pub(super) fn is_long_running(&self, id: StepId) -> bool {
         self.step(id).is_some_and(|step| step.lasting)
     }
 
-    /// Returns whether the members of a gang can't ever be there together.
-    pub(super) fn waits_in_vain(&self, id: StepId) -> bool {
+    /// Returns whether the members of a gang can never all run at once, since one of them crashes its workers.
+    pub(super) fn can_never_assemble(&self, id: StepId) -> bool {
         let is_gang = self.step(id).is_some_and(|step| step.gang);
         is_gang && self.crashers.iter().any(|task| task.step == id)
     }
 
-    pub(super) fn note_under(&mut self, worker: &Worker) {
+    pub(super) fn record_crash_under(&mut self, worker: &Worker) {
         for task in worker.tasks() {
-            *self.under.entry(task).or_default() += 1;
+            *self.crashes_under.entry(task).or_default() += 1;
         }
     }
 
-    /// Breaks the connections to a worker.
-    pub(super) fn break_calls(&mut self, id: &WorkerId) {
-        let calls = self.calls.iter().filter(|(worker, _)| worker == id);
+    /// Breaks the connections to a worker, which fails its heartbeats.
+    pub(super) fn break_connections(&mut self, id: &WorkerId) {
+        let calls = self.heartbeats.iter().filter(|(worker, _)| worker == id);
         for (id, asked) in calls.cloned().collect::<Vec<_>>() {
-            self.later(WAY, Event::Held(id, asked, HoldAnswer::Broken));
+            self.schedule(
+                NETWORK_DELAY,
+                Event::HeartbeatAnswered(id, asked, HoldAnswer::Broken),
+            );
         }
     }
 
-    /// Returns whether nothing answers where a worker was that is gone.
+    /// Returns whether a worker has gone down and nothing answers at its address yet.
     pub(super) fn is_down(&self, id: &WorkerId) -> bool {
-        self.down.get(id).is_some_and(|until| *until > self.now)
+        self.down_until
+            .get(id)
+            .is_some_and(|until| *until > self.now)
     }
 
-    /// Leaves all workers room for so many tasks.
+    /// Sets the capacity of all workers to a number of tasks.
     pub(crate) fn resize(&mut self, tasks: u32) {
         for worker in self.workers.values_mut() {
             worker.resize(tasks, self.now);
         }
     }
 
-    /// Changes the room of some workers.
+    /// Changes the capacity of some workers at random.
     pub(super) fn resize_workers(&mut self) {
         for id in self.workers.keys().cloned().collect::<Vec<_>>() {
-            if self.chance(self.faults.shrinks) {
+            if self.chance(self.faults.capacity_changes) {
                 let tasks = self.rng.random_range(1..=4);
                 if let Some(worker) = self.workers.get_mut(&id) {
                     worker.resize(tasks, self.now);
@@ -129,23 +136,23 @@
         }
     }
 
-    /// Has all workers report themselves, as they do while the store is there.
-    pub(super) fn report_workers(&mut self) {
-        if self.now < self.store_back || self.is_list_away {
+    /// Registers all workers, unless the list of workers is unavailable.
+    pub(super) fn register_workers(&mut self) {
+        if self.now < self.outage_end || self.is_list_unavailable {
             return;
         }
         for worker in self.workers.values() {
-            if worker.foreign_until.is_none() {
+            if worker.overwritten_until.is_none() {
                 self.engine.register(worker.entry(self.now), self.now);
             }
         }
     }
 
-    /// Has workers that leave be gone, and others begin to leave.
-    pub(super) fn release_workers(&mut self) {
+    /// Removes workers whose time to leave has come, and replaces others at random.
+    pub(super) fn replace_workers(&mut self) {
         for id in self.workers.keys().cloned().collect::<Vec<_>>() {
             let worker = &self.workers[&id];
-            let (place, leaves) = (worker.place, worker.leaves);
+            let (slot, leaves) = (worker.slot, worker.leaves_at);
             match leaves {
                 Some(leaves) if leaves <= self.now => {
                     self.workers.remove(&id);
@@ -153,23 +160,23 @@
                 }
                 Some(_) => {}
                 None if self.chance(self.faults.releases) => {
-                    self.add_worker(place);
+                    self.add_worker(slot);
                     let span = Duration::from_millis(self.rng.random_range(2_000..4_000));
                     let leaves = self.now + span;
                     if let Some(worker) = self.workers.get_mut(&id) {
-                        worker.leave(leaves);
+                        worker.announce_leaving(leaves);
                     }
-                    self.tell_of(place);
+                    self.register_slot(slot);
                 }
                 None => {}
             }
         }
     }
 
-    /// Has the workers at a place report themselves.
-    pub(super) fn tell_of(&mut self, place: u32) {
+    /// Registers the workers in a slot.
+    pub(super) fn register_slot(&mut self, slot: u32) {
         for worker in self.workers.values() {
-            if worker.place == place && worker.foreign_until.is_none() {
+            if worker.slot == slot && worker.overwritten_until.is_none() {
                 self.engine.register(worker.entry(self.now), self.now);
             }
         }
--- a/crates/cell/tests/cell/world/mod.rs
+++ b/crates/cell/tests/cell/world/mod.rs
@@ -1,8 +1,12 @@
-//! A world of workers in virtual time around the engine, with faults and a check of every promise.
+//! Simulates a cell in virtual time: the engine, its workers and its store, with injected faults and invariant checks.
 //!
-//! Workers behave as the platform's do: they fence lower epochs, refuse runs that are not higher
-//! than one that ended or was stopped, end everything when the lease lapses, and tell of ends until
-//! those are acknowledged. Orders may go unanswered, be carried out late, or both.
+//! Workers behave like the workers of the platform: they reject orders with a lower epoch, reject runs that are not
+//! higher than one that ended or was stopped, end all tasks when the lease expires, and report the end of a run until
+//! the owner acknowledges it. Orders may go unanswered, be executed late, or both.
+//!
+//! A heartbeat is the owner's call that renews a worker's lease and returns the worker's inventory: its running tasks
+//! and its unacknowledged ends. An acceptance is the stored record of an accepted job. An entry is what the list of
+//! workers in the store says about a worker.
 
 mod check;
 mod deliver;
@@ -97,72 +101,72 @@
 pub(crate) use self::worker::DATA_CENTRES;
 use self::worker::Worker;
 
-/// How often each fault comes, in thousandths.
+/// Rate of each fault, in thousandths.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Faults {
-    /// Orders without an answer, half of them carried out 2 to 12 s later.
+    /// Orders that get no answer. Half of the orders to start are executed 2 to 12 s later.
     pub lost_orders: u32,
-    /// Inventories without an answer.
+    /// Heartbeats that get no answer.
     pub lost_holds: u32,
-    /// A second in which a worker crashes.
+    /// A worker crashes, per second and worker.
     pub crashes: u32,
-    /// A second in which a worker is cut off for 1 to 12 s and runs on.
-    pub cuts: u32,
-    /// A second in which the owner dies and another takes over.
+    /// A worker is unreachable for 1 to 12 s and keeps running, per second and worker.
+    pub disconnections: u32,
+    /// The owner dies and another one takes over, per second.
     pub takeovers: u32,
     /// Runs that fail.
     pub failures: u32,
-    /// A second in which the store goes away for 1 to 5 s.
+    /// An outage of the store of 1 to 5 s begins, per second.
     pub outages: u32,
-    /// A second in which a job is cancelled.
+    /// A job is cancelled, per second.
     pub cancels: u32,
-    /// Jobs that the owner hears of before their acceptance is kept, a third of them in vain.
+    /// Jobs that are announced to the owner before their acceptance is stored. A third of them are never accepted.
     pub announced: u32,
-    /// A second in which a worker's entry turns into one of another writer, for 1 to 15 s.
+    /// Another writer overwrites a worker's entry for 1 to 15 s, per second and worker.
     pub foreign: u32,
-    /// A second in which a worker is replaced: a fresh one comes, and this one says that it leaves and is gone 2 to 4 s
-    /// later.
+    /// A worker is replaced, per second and worker: a new one registers, and the old one announces that it leaves and
+    /// is gone 2 to 4 s later.
     pub releases: u32,
-    /// Jobs of which a task crashes each worker that starts it.
+    /// Jobs with a task that crashes each worker that starts it.
     pub crashers: u32,
-    /// A second in which a worker's room changes to anything from one task to four.
-    pub shrinks: u32,
-    /// A second in which a worker restarts under its id. Half of the workers that a task crashes do so too.
+    /// The capacity of a worker changes to one to four tasks, per second and worker.
+    pub capacity_changes: u32,
+    /// A worker restarts under its id, per second and worker. So do half of the workers that a task crashes.
     pub restarts: u32,
-    /// A second in which a data centre is evacuated, or taken back.
+    /// A data centre is evacuated, or its evacuation ends, per second and data centre.
     pub evacuations: u32,
 }
 
-/// What comes back to the engine, or happens, at a time.
+/// An answer to the engine, or something that happens in the world, at a given time.
 #[derive(Debug)]
 enum Event {
     Started(WorkerId, TaskId, Run, StartAnswer),
     Stopped(WorkerId, TaskId, Run, StopAnswer),
-    Hold(Box<fulmarpier_cell::effect::Hold>),
-    HoldTimeout(WorkerId, Timestamp),
-    /// An order that the worker left unanswered when it was this incarnation.
+    Heartbeat(Box<fulmarpier_cell::effect::Hold>),
+    HeartbeatTimeout(WorkerId, Timestamp),
+    /// An unanswered order, and the incarnation of the worker at the time that it was sent.
     LateStart(Box<fulmarpier_cell::effect::Start>, Option<Incarnation>),
     Start(Box<fulmarpier_cell::effect::Start>),
     Stop(fulmarpier_cell::effect::Stop),
-    Held(WorkerId, Timestamp, HoldAnswer),
+    HeartbeatAnswered(WorkerId, Timestamp, HoldAnswer),
     Recorded(Vec<Entry>),
-    Kept(Box<Accepted>),
+    AcceptanceStored(Box<Accepted>),
     Withdrawn(JobId),
     Advised(NodeName, StepId, Vec<WorkerId>),
-    /// A node that is down was asked.
-    Unadvised(NodeName, StepId),
-    /// A task has crashed the worker that started it.
+    /// A call for advice was sent to a node that is down.
+    AdviceFailed(NodeName, StepId),
+    /// A task crashes the worker that started it.
     Crash(WorkerId, TaskId),
-    /// The worker at a place is back under another id.
-    Back(u32),
-    /// A worker is back under its id, at its place.
+    /// A new worker, with another id, starts in a slot.
+    NewWorker(u32),
+    /// A worker has restarted under its id, in its slot.
     Restarted(Box<Registration>, u32, Restart),
     Unlisted(WorkerId),
-    /// The nodes read the operator's records on.
+    /// The nodes read the operator's records.
     OperatorRead,
 }
 
-/// The world.
+/// A simulated cell.
 pub(crate) struct World {
     pub now: Timestamp,
     pub engine: Engine,
@@ -172,144 +176,149 @@
     faults: Faults,
     epoch: Epoch,
     config: Config,
-    /// The nodes that ask for advice.
+    /// The nodes that call the advice service for the owner.
     nodes: Vec<NodeName>,
-    /// Those of them that are down.
+    /// The nodes that are down.
     pub nodes_down: BTreeSet<NodeName>,
-    /// The acceptances that were kept, in their order.
+    /// The acceptances that were stored, in order.
     pub accepted: Vec<Accepted>,
-    /// Jobs whose acceptance was taken off the record.
-    forgotten: BTreeSet<JobId>,
-    /// When each job was cancelled, and how that stands on record.
+    /// Jobs whose acceptance was removed from the store.
+    removed: BTreeSet<JobId>,
+    /// When each job was cancelled, and how the cancellation is stored.
     cancelled: BTreeMap<JobId, (Timestamp, Cancellation)>,
-    /// Jobs of which a worker has begun a task.
-    begun: BTreeSet<JobId>,
+    /// Jobs of which a worker has started a task.
+    started_jobs: BTreeSet<JobId>,
     records: BTreeMap<String, Entry>,
+    /// Future events by time, each with the epoch of the owner that it belongs to.
     events: BTreeMap<(Timestamp, u64), (Epoch, Event)>,
-    serial: u64,
-    /// The calls for inventories that are not answered yet, by when they were made.
-    calls: BTreeSet<(WorkerId, Timestamp)>,
-    store_back: Timestamp,
+    /// The last number given to a worker, a job or an event.
+    last_id: u64,
+    /// The heartbeats in flight, each with the time at which it was sent.
+    heartbeats: BTreeSet<(WorkerId, Timestamp)>,
+    /// When the current or last outage of the store ends.
+    outage_end: Timestamp,
     next_second: Timestamp,
-    /// Tasks whose `done` end was acknowledged, or whose job was seen as completed.
+    /// Tasks whose successful end was acknowledged.
     done: BTreeSet<TaskId>,
-    /// Failed ends that were acknowledged.
+    /// Runs whose failure was acknowledged.
     failed: BTreeMap<TaskId, BTreeSet<Run>>,
-    /// Whether the list of workers is away while the rest of the store is there.
-    pub is_list_away: bool,
-    /// Whether the operator's records are away while the rest of the store is there.
+    /// Whether only the list of workers is unavailable, not the rest of the store.
+    pub is_list_unavailable: bool,
+    /// Whether only the operator's records are unavailable, not the rest of the store.
     pub is_operator_away: bool,
-    /// Whether a new owner's node has read nothing of the operator's yet.
+    /// Whether the node of a new owner has read none of the operator's records yet.
     pub is_new_owner_blank: bool,
     /// Tasks that crash each worker that starts them.
     pub crashers: BTreeSet<TaskId>,
-    /// How many workers each of them has crashed.
+    /// How many workers each such task has crashed.
     pub crashed: BTreeMap<TaskId, u32>,
-    /// How a worker that a task crashes restarts under its id, where that is not drawn.
+    /// How a worker restarts after a task has crashed it; random if `None`.
     pub crash_restart: Option<Restart>,
-    /// How many others ran on each worker that a task has crashed, in order.
+    /// How many other tasks ran on each worker that a task has crashed, in order.
     pub taken_along: Vec<(TaskId, usize)>,
-    /// Under how many workers that went down each task was.
-    under: BTreeMap<TaskId, u32>,
-    /// How many tasks were given up that crash nothing.
+    /// On how many workers each task was running when the worker went down.
+    crashes_under: BTreeMap<TaskId, u32>,
+    /// How many tasks were given up although they crash no worker.
     pub wronged: u32,
-    /// How often each of them was started after [`PROVED`] crashes.
-    started_on: BTreeMap<TaskId, u32>,
-    /// Workers that have crashed, and until when nothing answers where they were.
-    down: BTreeMap<WorkerId, Timestamp>,
-    /// How long an append takes.
+    /// How often each crashing task was started after [`CRASHES_TO_PROVE`] crashes.
+    starts_after_proof: BTreeMap<TaskId, u32>,
+    /// Until when nothing answers at the address of each worker that went down.
+    down_until: BTreeMap<WorkerId, Timestamp>,
+    /// How long an append to the store takes.
     pub append: Duration,
-    /// How many starts there were.
+    /// How many runs workers have started.
     pub starts: u32,
-    /// When each run was preempted, in order.
+    /// The preempted tasks, each with the time of its preemption, in order.
     pub preempted: Vec<(Timestamp, TaskId)>,
-    /// How many orders to start came with a ticket that had run out.
+    /// How many orders to start were refused because of their ticket.
     pub turned_away: u32,
-    /// How many calls for advice there were, with how many workers each.
+    /// The number of workers in each call for advice, in order.
     pub asked: Vec<usize>,
-    /// How many starts were taken back since their tickets had run out by the time that they were on record.
-    pub aged: usize,
-    /// How many calls for advice nodes that are down were given.
-    pub unadvised: usize,
-    /// The reasons to wait that were told, in their order.
+    /// How many starts were withdrawn because their ticket had expired by the time that their record was stored.
+    pub expired_ticket_starts: usize,
+    /// How many calls for advice were sent to nodes that are down.
+    pub failed_advice_calls: usize,
+    /// The jobs that the engine reported as waiting, with the reason, in order.
     pub waits: Vec<(JobId, Wait)>,
-    /// The jobs of workspaces, with what they run.
-    holders: BTreeMap<JobId, (WorkspaceName, Arc<Spec>)>,
-    /// Since when workspaces have had which limits; the last are in force.
-    limits: Vec<(Timestamp, BTreeMap<WorkspaceName, Resources>)>,
-    /// The data centres that are evacuated, and since when.
+    /// The workspace and the specification of each job that belongs to a workspace.
+    workspace_jobs: BTreeMap<JobId, (WorkspaceName, Arc<Spec>)>,
+    /// The limits of all workspaces, with the time from which they apply. The last ones are in force.
+    limit_history: Vec<(Timestamp, BTreeMap<WorkspaceName, Resources>)>,
+    /// The evacuated data centres, with the time at which their evacuation began.
     evacuated: BTreeMap<DataCentre, Timestamp>,
-    /// What the nodes have read of that, and when.
-    evacuation: (Evacuation, Timestamp),
-    /// What the owner was told; `None` before it was told anything.
-    told: Option<Evacuation>,
+    /// The evacuations that the nodes have read last, and when they read them.
+    read_evacuation: (Evacuation, Timestamp),
+    /// The evacuations that the owner was told of last; `None` if it was told nothing yet.
+    owner_evacuation: Option<Evacuation>,
 }
 
-/// How long a ticket, which tells when it was given, is valid.
-const VALIDITY: Duration = Duration::from_millis(1_500);
+/// How long a ticket is valid. The text of a ticket is the time at which it was issued, in microseconds.
+const TICKET_VALIDITY: Duration = Duration::from_millis(1_500);
 
-/// Returns when a ticket was given.
-fn given(ticket: &str) -> Timestamp {
+/// Returns when a ticket was issued.
+fn issued_at(ticket: &str) -> Timestamp {
     Timestamp::from_micros(ticket.parse().unwrap())
 }
 
-fn is_aged(ticket: &str, now: Timestamp) -> bool {
-    given(ticket) + VALIDITY < now
+fn has_expired(ticket: &str, now: Timestamp) -> bool {
+    issued_at(ticket) + TICKET_VALIDITY < now
 }
 
-/// How long a call takes one way.
-const WAY: Duration = Duration::from_micros(500);
-/// How long it takes to learn that nothing listens at a node.
-const REFUSED: Duration = Duration::from_millis(5);
-/// How long an append takes.
-const APPEND: Duration = Duration::from_millis(8);
-/// How long an order waits for its answer.
-const ORDER: Duration = Duration::from_millis(700);
-/// How many workers there are.
-const WORKERS: u32 = 8;
-/// How long after its start a task that crashes its worker does so.
-const CRASHES_AFTER: Duration = Duration::from_millis(10);
-/// For how long a room that has shrunk is not held against a start, and after how long at most an order is carried out that got no
-/// answer.
-const SHRINK_BORNE: Duration = Duration::from_millis(4_500);
-const LATEST: Duration = Duration::from_secs(12);
-/// How long a task that lasts works on.
-const LASTS: Duration = Duration::from_secs(3_600);
-/// How long a crashed worker is away, and for how long it stays listed.
-const AWAY: Duration = Duration::from_secs(3);
-const LISTED: Duration = Duration::from_millis(4_500);
-/// A task may be given up from so many crashes under it on, whoever's fault they are.
-const GIVEN_UP_FROM: u32 = 2;
-/// After so many crashes of workers that started it a task is known for what it is, and so many starts more are the most
-/// that is allowed.
-pub(crate) const PROVED: u32 = 3;
-pub(crate) const STARTS_MORE: u32 = 2;
-/// How many tries a task has.
-pub(crate) const TRIES: u32 = 3;
-
-/// Makes a queue.
+/// One-way network delay of a call.
+const NETWORK_DELAY: Duration = Duration::from_micros(500);
+/// How long a call takes to fail if nothing listens at the node.
+const CONNECTION_REFUSED_DELAY: Duration = Duration::from_millis(5);
+/// Default duration of an append to the store.
+const APPEND_DURATION: Duration = Duration::from_millis(8);
+/// How long the owner waits for the answer to an order.
+const ORDER_TIMEOUT: Duration = Duration::from_millis(700);
+/// Default number of workers.
+const WORKER_COUNT: u32 = 8;
+/// How long after its start a crashing task crashes its worker.
+const CRASH_DELAY: Duration = Duration::from_millis(10);
+/// How long after a worker's capacity has shrunk a start may still rely on the former capacity.
+const SHRINK_GRACE: Duration = Duration::from_millis(4_500);
+/// Maximum time after which an unanswered order is executed.
+const MAX_ORDER_DELAY: Duration = Duration::from_secs(12);
+/// How long a long-running task runs.
+const LONG_RUN_DURATION: Duration = Duration::from_secs(3_600);
+/// How long after a crash another worker starts in the slot.
+const CRASH_DOWNTIME: Duration = Duration::from_secs(3);
+/// How long a crashed worker stays in the list of workers.
+const CRASHED_LISTING_DURATION: Duration = Duration::from_millis(4_500);
+/// Minimum number of workers that must have gone down while running a task before it may be given up, whatever the
+/// cause.
+const MIN_CRASHES_TO_GIVE_UP: u32 = 2;
+/// Number of worker crashes after which a task counts as proven to crash its workers.
+pub(crate) const CRASHES_TO_PROVE: u32 = 3;
+/// How many more times such a task may be started at most.
+pub(crate) const MAX_STARTS_AFTER_PROOF: u32 = 2;
+/// Maximum number of attempts of a task.
+pub(crate) const MAX_ATTEMPTS: u32 = 3;
+
+/// Returns a queue of the pool `pool`, with or without calls for advice.
 pub(crate) fn queue(name: &str, priority: u8, advice: bool) -> Queue {
     Queue {
         name: QueueName::from(name),
         pool: PoolName::from("pool"),
         priority,
-        tries: TRIES,
+        tries: MAX_ATTEMPTS,
         stretch: 2.0,
         objective: Duration::from_secs(1),
         advice: advice.then_some(AdviceTerms {
             base: Duration::from_millis(20),
             each: Duration::from_millis(1),
-            validity: VALIDITY,
+            validity: TICKET_VALIDITY,
         }),
     }
 }
 
-/// Makes a size from thousandths of a core and mebibytes.
+/// Returns an amount of resources in thousandths of a core and mebibytes.
 pub(crate) const fn size(cpu: u32, memory: u64) -> Resources {
     Resources::new(Millicores(cpu), Bytes::from_mib(memory), 0)
 }
 
-/// Makes a step of two quick tasks.
+/// Returns a step of two short tasks.
 pub(crate) fn quick_step() -> Step {
     Step {
         count: 2,
@@ -320,12 +329,12 @@
 }
 
 impl World {
-    /// Makes a world with eight workers, all of them known to the first owner.
+    /// Creates a world with eight workers, all registered with the first owner.
     pub(crate) fn new(seed: u64, faults: Faults) -> Self {
-        Self::sized(seed, faults, WORKERS, &["a", "b", "c"])
+        Self::sized(seed, faults, WORKER_COUNT, &["a", "b", "c"])
     }
 
-    /// Makes a world with so many workers, all of them known to the first owner, and these nodes.
+    /// Creates a world with the given nodes and number of workers, all registered with the first owner.
     pub(crate) fn sized(seed: u64, faults: Faults, workers: u32, nodes: &[&'static str]) -> Self {
         let now = Timestamp::from_millis(1_000_000);
         let mut config = Config {
@@ -363,146 +372,149 @@
             nodes: nodes.iter().copied().map(NodeName::from).collect(),
             nodes_down: BTreeSet::new(),
             accepted: Vec::new(),
-            forgotten: BTreeSet::new(),
+            removed: BTreeSet::new(),
             cancelled: BTreeMap::new(),
-            begun: BTreeSet::new(),
+            started_jobs: BTreeSet::new(),
             records: BTreeMap::new(),
             events: BTreeMap::new(),
-            serial: 0,
-            calls: BTreeSet::new(),
-            store_back: now,
+            last_id: 0,
+            heartbeats: BTreeSet::new(),
+            outage_end: now,
             next_second: now,
             done: BTreeSet::new(),
             failed: BTreeMap::new(),
-            is_list_away: false,
+            is_list_unavailable: false,
             is_operator_away: false,
             is_new_owner_blank: false,
             crashers: BTreeSet::new(),
             crashed: BTreeMap::new(),
             crash_restart: None,
             taken_along: Vec::new(),
-            under: BTreeMap::new(),
+            crashes_under: BTreeMap::new(),
             wronged: 0,
-            started_on: BTreeMap::new(),
-            down: BTreeMap::new(),
-            append: APPEND,
+            starts_after_proof: BTreeMap::new(),
+            down_until: BTreeMap::new(),
+            append: APPEND_DURATION,
             starts: 0,
             preempted: Vec::new(),
             turned_away: 0,
             asked: Vec::new(),
-            aged: 0,
-            unadvised: 0,
+            expired_ticket_starts: 0,
+            failed_advice_calls: 0,
             waits: Vec::new(),
-            holders: BTreeMap::new(),
-            limits: Vec::new(),
+            workspace_jobs: BTreeMap::new(),
+            limit_history: Vec::new(),
             evacuated: BTreeMap::new(),
-            evacuation: (Evacuation::default(), now),
-            told: None,
+            read_evacuation: (Evacuation::default(), now),
+            owner_evacuation: None,
         };
-        for place in 0..workers {
-            world.add_worker(place);
+        for slot in 0..workers {
+            world.add_worker(slot);
         }
-        world.introduce();
+        world.brief_new_owner();
         world
     }
 
-    fn add_worker(&mut self, place: u32) {
-        self.serial += 1;
-        let id = WorkerId::from(format!("w{place}-{}", self.serial));
-        self.begin_worker(id, place);
+    fn add_worker(&mut self, slot: u32) {
+        self.last_id += 1;
+        let id = WorkerId::from(format!("w{slot}-{}", self.last_id));
+        self.insert_worker(id, slot);
     }
 
-    fn begin_worker(&mut self, id: WorkerId, place: u32) -> &mut Worker {
-        // Clocks are up to 2% slow.
+    fn insert_worker(&mut self, id: WorkerId, slot: u32) -> &mut Worker {
+        // Clocks run up to 2% slow.
         let rate = 1.0 - self.rng.random_range(0.0..0.02);
-        let worker = Worker::new(id.clone(), place, rate, self.now);
+        let worker = Worker::new(id.clone(), slot, rate, self.now);
         self.workers.entry(id).or_insert(worker)
     }
 
-    /// Has a worker crash and come back as another incarnation, which may be of another kind.
-    pub(crate) fn replace_worker(&mut self, id: &WorkerId, kind: &'static str) {
+    /// Crashes a worker and starts a new one in its slot at once, with the given label.
+    pub(crate) fn replace_worker(&mut self, id: &WorkerId, label: &'static str) {
         let Some(worker) = self.workers.remove(id) else {
             return;
         };
-        self.note_under(&worker);
+        self.record_crash_under(&worker);
         self.engine.unregister(id, self.now);
-        self.add_worker(worker.place);
+        self.add_worker(worker.slot);
         let mut workers = self.workers.values_mut();
-        if let Some(fresh) = workers.find(|fresh| fresh.place == worker.place) {
-            fresh.kind = kind;
-            self.engine.register(fresh.registration(), self.now);
+        if let Some(replacement) = workers.find(|other| other.slot == worker.slot) {
+            replacement.label = label;
+            self.engine.register(replacement.registration(), self.now);
         }
     }
 
     /// Tells a new owner of the configuration, the nodes and the workers.
-    fn introduce(&mut self) {
+    fn brief_new_owner(&mut self) {
         self.engine.configure(self.config.clone());
         if !self.is_new_owner_blank {
-            self.tell_evacuation();
+            self.send_evacuation();
         }
         self.engine.set_hands(&self.nodes, self.now);
         for worker in self.workers.values() {
-            match worker.foreign_until {
+            match worker.overwritten_until {
                 None => self.engine.register(worker.entry(self.now), self.now),
                 Some(_) => self.engine.distrust(&worker.id, self.now),
             }
         }
     }
 
-    /// Has a worker's entry turn into one of another writer.
+    /// Overwrites a worker's entry for some time, as another writer would.
     pub(crate) fn turn_foreign(&mut self, id: &WorkerId, span: Duration) {
         if let Some(worker) = self.workers.get_mut(id) {
-            worker.foreign_until = Some(self.now + span);
+            worker.overwritten_until = Some(self.now + span);
             self.engine.distrust(id, self.now);
         }
     }
 
-    /// Has the workers write their entries again that another writer has written for long enough.
-    fn write_entries(&mut self) {
+    /// Lets workers rewrite their entries that have been overwritten for the set time.
+    fn restore_entries(&mut self) {
         for worker in self.workers.values_mut() {
-            if worker.foreign_until.is_some_and(|until| until <= self.now) {
-                worker.foreign_until = None;
+            if worker
+                .overwritten_until
+                .is_some_and(|until| until <= self.now)
+            {
+                worker.overwritten_until = None;
                 self.engine.register(worker.entry(self.now), self.now);
             }
         }
     }
 
-    /// Submits a job; its record is kept.
+    /// Submits a job.
     pub(crate) fn submit(&mut self, queue: &str, steps: Vec<Step>) -> JobId {
         self.submit_repeated(queue, steps, None)
     }
 
-    /// Submits a job that was received some time ago, and waited since for an owner.
+    /// Submits a job that was received some time ago and has waited for an owner since.
     pub(crate) fn submit_late(&mut self, queue: &str, steps: Vec<Step>, ago: Duration) -> JobId {
-        self.accept(queue, steps, None, self.now.saturating_sub(ago))
+        self.submit_received(queue, steps, None, self.now.saturating_sub(ago))
     }
 
-    /// Submits a job that may run at other times; its record is kept.
+    /// Submits a job that may have a schedule.
     pub(crate) fn submit_repeated(
         &mut self,
         queue: &str,
         steps: Vec<Step>,
         schedule: Option<Schedule>,
     ) -> JobId {
-        self.accept(queue, steps, schedule, self.now)
+        self.submit_received(queue, steps, schedule, self.now)
     }
 
-    fn accept(
+    fn submit_received(
         &mut self,
         queue: &str,
         steps: Vec<Step>,
         schedule: Option<Schedule>,
         received: Timestamp,
     ) -> JobId {
-        let accepted = self.make(queue, steps, schedule, received);
-        self.enter(accepted)
+        let accepted = self.create_job(queue, steps, schedule, received);
+        self.accept_or_announce(accepted)
     }
 
-    /// Takes a job in, told of before its acceptance is kept or after.
-    fn enter(&mut self, accepted: Accepted) -> JobId {
+    /// Stores the acceptance of a job, or first announces the job to the owner.
+    fn accept_or_announce(&mut self, accepted: Accepted) -> JobId {
         let job = accepted.job;
         if self.faults.crashers > 0 && self.chance(self.faults.crashers) {
-            self.make_crasher(job, &accepted.spec);
+            self.choose_crashing_task(job, &accepted.spec);
         }
         if self.chance(self.faults.announced) {
             self.announce(accepted);
@@ -512,31 +524,31 @@
         job
     }
 
-    /// Makes a job that is handed in now and not on record yet.
+    /// Creates a job that is received now and whose acceptance is not stored yet.
     pub(crate) fn hand_in(&mut self, queue: &str, steps: Vec<Step>) -> Accepted {
-        self.make(queue, steps, None, self.now)
+        self.create_job(queue, steps, None, self.now)
     }
 
-    /// Keeps a job's acceptance and tells the owner.
+    /// Stores the acceptance of a job and tells the owner of it.
     pub(crate) fn keep(&mut self, accepted: Accepted) {
         if let Some(name) = accepted.workspace_name() {
             let holder = (name.clone(), accepted.spec.clone());
-            self.holders.insert(accepted.job, holder);
+            self.workspace_jobs.insert(accepted.job, holder);
         }
         self.accepted.push(accepted.clone());
         self.engine.submit(accepted, self.now);
     }
 
-    fn make(
+    fn create_job(
         &mut self,
         queue: &str,
         steps: Vec<Step>,
         schedule: Option<Schedule>,
         received: Timestamp,
     ) -> Accepted {
-        self.serial += 1;
+        self.last_id += 1;
         Accepted {
-            job: JobId(self.serial),
+            job: JobId(self.last_id),
             queue: self.config.queues[&QueueName::from(queue)].clone(),
             spec: Arc::new(Spec {
                 text: "text".into(),
@@ -549,36 +561,36 @@
         }
     }
 
-    /// Tells the owner of a job whose acceptance is kept or refused later, or of which it hears nothing more.
+    /// Tells the owner of a job whose acceptance is stored or withdrawn later, or of which the owner never hears again.
     fn announce(&mut self, accepted: Accepted) {
         let job = accepted.job;
         self.engine.announce(accepted.clone(), self.now);
-        let takes = Duration::from_millis(self.rng.random_range(10..4_000));
+        let delay = Duration::from_millis(self.rng.random_range(10..4_000));
         match self.rng.random_range(0..6) {
-            0 => self.later(takes, Event::Withdrawn(job)),
+            0 => self.schedule(delay, Event::Withdrawn(job)),
             1 => {}
-            _ => self.later(takes, Event::Kept(Box::new(accepted))),
+            _ => self.schedule(delay, Event::AcceptanceStored(Box::new(accepted))),
         }
     }
 
-    /// Hands a job in once more, which puts its acceptance on record again.
+    /// Submits a job once more, which stores its acceptance again.
     pub(crate) fn hand_in_again(&mut self, job: JobId) {
         let mut accepted = self.accepted.iter();
         if let Some(accepted) = accepted.find(|accepted| accepted.job == job).cloned() {
-            self.forgotten.remove(&job);
+            self.removed.remove(&job);
             self.engine.submit(accepted, self.now);
         }
     }
 
-    /// Cancels a job; that is on record.
+    /// Cancels a job; the cancellation is stored.
     pub(crate) fn cancel(&mut self, job: JobId) {
-        // Half of them are by callers whose node could not ask the owner.
+        // Half of the cancellations come from callers whose node couldn't ask the owner.
         let cancellation = match job.0.is_multiple_of(2) {
             true => Cancellation::Unseen,
             false => Cancellation::Seen,
         };
-        let cancelled = self.cancelled.entry(job);
-        cancelled.or_insert((self.now, cancellation));
+        let entry = self.cancelled.entry(job);
+        entry.or_insert((self.now, cancellation));
         let cancelled = Cancelled {
             job,
             workspace: self.workspace_of(job),
@@ -587,29 +599,29 @@
         self.engine.cancel(&cancelled, self.now);
     }
 
-    /// Lets time pass.
+    /// Advances virtual time.
     pub(crate) fn run(&mut self, span: Duration) {
         let end = self.now + span;
         let tick = Duration::from_millis(25);
         while self.now < end && self.violations.is_empty() {
             let next_tick = self.now + tick;
-            while let Some((&(at, serial), _)) = self.events.first_key_value() {
+            while let Some((&(at, id), _)) = self.events.first_key_value() {
                 if at > next_tick {
                     break;
                 }
                 self.now = self.now.max(at);
-                if let Some((epoch, event)) = self.events.remove(&(at, serial)) {
-                    self.take(epoch, event);
+                if let Some((epoch, event)) = self.events.remove(&(at, id)) {
+                    self.handle(epoch, event);
                 }
-                self.pass();
+                self.advance_cell();
             }
             self.now = next_tick;
-            self.pass_second();
-            self.pass();
+            self.advance_second();
+            self.advance_cell();
         }
     }
 
-    /// Ends all faults.
+    /// Ends all faults except failing runs.
     pub(crate) fn calm(&mut self) {
         let failures = self.faults.failures;
         self.faults = Faults {
@@ -618,82 +630,82 @@
         };
         for worker in self.workers.values_mut() {
             worker.cut_until = self.now;
-            worker.foreign_until = worker.foreign_until.map(|_| self.now);
+            worker.overwritten_until = worker.overwritten_until.map(|_| self.now);
             worker.resize(4, self.now);
         }
-        self.write_entries();
-        self.store_back = self.now;
-        self.take_all_back();
+        self.restore_entries();
+        self.outage_end = self.now;
+        self.end_all_evacuations();
     }
 
-    /// Has the store go away for a while.
+    /// Starts an outage of the store.
     pub(crate) fn lose_store(&mut self, span: Duration) {
-        self.store_back = self.now + span;
+        self.outage_end = self.now + span;
     }
 
     fn chance(&mut self, thousandths: u32) -> bool {
         self.rng.random_range(0..1_000) < thousandths
     }
 
-    fn pass_second(&mut self) {
+    fn advance_second(&mut self) {
         if self.now < self.next_second {
             return;
         }
         self.next_second = self.now + Duration::from_secs(1);
-        self.write_entries();
+        self.restore_entries();
         for id in self.workers.keys().cloned().collect::<Vec<_>>() {
             if self.chance(self.faults.crashes) {
                 self.replace_worker(&id, "a");
-            } else if self.chance(self.faults.cuts) {
+            } else if self.chance(self.faults.disconnections) {
                 let span = Duration::from_millis(self.rng.random_range(1_000..12_000));
                 if let Some(worker) = self.workers.get_mut(&id) {
                     worker.cut_until = self.now + span;
                 }
             }
-            // Without this fault nothing is drawn: the histories of the seeds that are kept stay as they are.
+            // Draws no random number if the rate is zero, so that older seeds still give the same histories.
             if self.faults.foreign > 0 && self.chance(self.faults.foreign) {
                 let span = Duration::from_millis(self.rng.random_range(1_000..15_000));
                 self.turn_foreign(&id, span);
             }
         }
         if self.faults.releases > 0 {
-            self.release_workers();
+            self.replace_workers();
         }
-        if self.faults.shrinks > 0 {
+        if self.faults.capacity_changes > 0 {
             self.resize_workers();
         }
         if self.faults.restarts > 0 {
             self.restart_workers();
         }
-        self.report_workers();
-        self.read_operator();
+        self.register_workers();
+        self.read_operator_records();
         if self.faults.evacuations > 0 {
-            self.evacuate_by_chance();
+            self.change_evacuations();
         }
         if self.chance(self.faults.outages) {
             let span = Duration::from_millis(self.rng.random_range(1_000..5_000));
-            self.store_back = self.now + span;
+            self.outage_end = self.now + span;
         }
         if self.chance(self.faults.takeovers) {
             self.take_over();
         }
         if self.chance(self.faults.cancels) && !self.accepted.is_empty() {
-            let place = self.rng.random_range(0..self.accepted.len());
-            self.cancel(self.accepted[place].job);
+            let index = self.rng.random_range(0..self.accepted.len());
+            self.cancel(self.accepted[index].job);
         }
     }
 
-    /// Takes an acceptance off the record.
-    fn forget(&mut self, forgotten: Forgotten) {
-        self.forgotten.insert(forgotten.job);
-        if let Some(kept) = forgotten.cancellation
-            && let Some((_, cancellation)) = self.cancelled.get_mut(&forgotten.job)
+    /// Removes an acceptance from the store.
+    fn remove_acceptance(&mut self, removal: Forgotten) {
+        self.removed.insert(removal.job);
+        if let Some(stored) = removal.cancellation
+            && let Some((_, cancellation)) = self.cancelled.get_mut(&removal.job)
         {
-            *cancellation = kept;
+            *cancellation = stored;
         }
     }
 
-    /// The owner dies; another takes over with what is on record.
+    /// Replaces the owner by another one, which takes over with the records in the store.
     pub(crate) fn take_over(&mut self) {
         self.epoch = self.epoch.next();
         let mut inheritance = Inheritance {
@@ -709,9 +721,9 @@
                 .collect(),
             ..Inheritance::default()
         };
-        // A job that was handed in at two nodes stands in two partitions.
-        let again = self.on_record().step_by(3).cloned();
-        inheritance.accepted.extend(again);
+        // A job that was submitted at two nodes is stored in two partitions.
+        let duplicates = self.on_record().step_by(3).cloned();
+        inheritance.accepted.extend(duplicates);
         for entry in self.records.values() {
             match entry {
                 Entry::Job(job, progress) => inheritance.progress.push((*job, progress.clone())),
@@ -719,14 +731,14 @@
                 Entry::Gone(_) => {}
             }
         }
-        self.calls.clear();
+        self.heartbeats.clear();
         let bounds = evacuate::bounds(&self.faults);
         self.engine = Engine::new(self.epoch, bounds, inheritance, self.now);
-        self.forget_told();
-        self.introduce();
+        self.reset_owner_evacuation();
+        self.brief_new_owner();
     }
 
-    /// Returns how many of some jobs are completed.
+    /// Returns how many of the given jobs are completed.
     pub(crate) fn completed(&self, jobs: &[JobId]) -> usize {
         let states = jobs.iter().map(|job| self.engine.state(*job));
         states
@@ -734,38 +746,38 @@
             .count()
     }
 
-    /// Returns the acceptances that the store keeps.
+    /// Returns the acceptances that are in the store.
     pub(crate) fn on_record(&self) -> impl Iterator<Item = &Accepted> {
         let accepted = self.accepted.iter();
-        accepted.filter(|accepted| !self.forgotten.contains(&accepted.job))
+        accepted.filter(|accepted| !self.removed.contains(&accepted.job))
     }
 
-    fn later(&mut self, span: Duration, event: Event) {
-        self.serial += 1;
-        let at = (self.now + span, self.serial);
+    fn schedule(&mut self, span: Duration, event: Event) {
+        self.last_id += 1;
+        let at = (self.now + span, self.last_id);
         self.events.insert(at, (self.epoch, event));
     }
 
-    fn pass(&mut self) {
+    fn advance_cell(&mut self) {
         let ended: Vec<WorkerId> = self
             .workers
             .values_mut()
             .filter_map(|worker| worker.advance(self.now).then(|| worker.id.clone()))
             .collect();
         for id in ended {
-            self.answer_waiting(&id);
+            self.answer_waiting_heartbeat(&id);
         }
         let effects = self.engine.advance(self.now);
         for effect in effects {
-            self.carry_out(effect);
+            self.execute(effect);
         }
         self.check_waiting();
     }
 
-    fn carry_out(&mut self, effect: Effect) {
+    fn execute(&mut self, effect: Effect) {
         match effect {
             Effect::Start(order) => {
-                self.check_leaves(&order);
+                self.check_sent_start(&order);
                 if self.chance(self.faults.lost_orders) {
                     let timeout = Event::Started(
                         order.to.worker.clone(),
@@ -774,14 +786,14 @@
                         StartAnswer::Silent,
                     );
                     if self.chance(500) {
-                        let late = Duration::from_millis(self.rng.random_range(2_000..12_000));
+                        let delay = Duration::from_millis(self.rng.random_range(2_000..12_000));
                         let worker = self.workers.get(&order.to.worker);
                         let incarnation = worker.map(Worker::incarnation);
-                        self.later(late, Event::LateStart(order, incarnation));
+                        self.schedule(delay, Event::LateStart(order, incarnation));
                     }
-                    self.later(ORDER, timeout);
+                    self.schedule(ORDER_TIMEOUT, timeout);
                 } else {
-                    self.later(WAY, Event::Start(order));
+                    self.schedule(NETWORK_DELAY, Event::Start(order));
                 }
             }
             Effect::Stop(order) => {
@@ -792,25 +804,25 @@
                         order.run,
                         StopAnswer::Silent,
                     );
-                    self.later(ORDER, answer);
+                    self.schedule(ORDER_TIMEOUT, answer);
                 } else {
-                    self.later(WAY, Event::Stop(order));
+                    self.schedule(NETWORK_DELAY, Event::Stop(order));
                 }
             }
             Effect::Hold(order) => {
                 let (worker, asked) = (order.to.worker.clone(), order.asked);
                 let timeout = order.wait + Duration::from_millis(800);
-                self.later(timeout, Event::HoldTimeout(worker.clone(), asked));
-                self.calls.insert((worker, asked));
-                self.later(WAY, Event::Hold(Box::new(order)));
+                self.schedule(timeout, Event::HeartbeatTimeout(worker.clone(), asked));
+                self.heartbeats.insert((worker, asked));
+                self.schedule(NETWORK_DELAY, Event::Heartbeat(Box::new(order)));
             }
             Effect::Advise {
                 node,
                 step,
                 workers,
             } if self.nodes_down.contains(&node) => {
-                self.unadvised += 1;
-                self.later(REFUSED, Event::Unadvised(node, step));
+                self.failed_advice_calls += 1;
+                self.schedule(CONNECTION_REFUSED_DELAY, Event::AdviceFailed(node, step));
                 drop(workers);
             }
             Effect::Advise {
@@ -819,16 +831,16 @@
                 workers,
             } => {
                 self.asked.push(workers.len());
-                self.check_asked(&workers);
-                let took = Duration::from_millis(20 + workers.len() as u64);
-                self.later(took, Event::Advised(node, step, workers));
+                self.check_advice_call(&workers);
+                let call_duration = Duration::from_millis(20 + workers.len() as u64);
+                self.schedule(call_duration, Event::Advised(node, step, workers));
             }
             Effect::Record(entries) => {
-                let wait = self.now.until(self.store_back) + self.append;
-                self.later(wait, Event::Recorded(entries));
+                let wait = self.now.until(self.outage_end) + self.append;
+                self.schedule(wait, Event::Recorded(entries));
             }
-            Effect::Forget(jobs) => jobs.into_iter().for_each(|job| self.forget(job)),
-            Effect::Note(Note::Placed { task, worker, .. }) => self.check_place(task, &worker),
+            Effect::Forget(jobs) => jobs.into_iter().for_each(|job| self.remove_acceptance(job)),
+            Effect::Note(Note::Placed { task, worker, .. }) => self.check_placement(task, &worker),
             Effect::Note(Note::Waits { step, why, .. }) => self.waits.push((step.job, why)),
             Effect::Note(Note::Stopping {
                 task,
@@ -837,64 +849,69 @@
             }) => self.preempted.push((self.now, task)),
             Effect::Note(Note::NotStarted {
                 why: "ticket-aged", ..
-            }) => self.aged += 1,
+            }) => self.expired_ticket_starts += 1,
             Effect::Note(Note::Crashed { task, verdict, .. }) => {
                 self.check_given_up(task, verdict == "given-up");
             }
-            // Nothing fills in the histories.
+            // No history has best-effort tasks, so there is nothing to throttle.
             Effect::Pace(_) | Effect::Note(_) => {}
             Effect::Deposed => self.violations.push("the owner was deposed".to_owned()),
         }
     }
 
-    fn take(&mut self, epoch: Epoch, event: Event) {
-        // Orders of a dead owner still arrive; what comes back to it is lost.
-        let is_alive = epoch == self.epoch;
+    fn handle(&mut self, epoch: Epoch, event: Event) {
+        // Orders of a dead owner still arrive, but the answers to it are lost.
+        let is_current = epoch == self.epoch;
         match event {
-            Event::Start(order) => self.deliver_start(&order, is_alive, true),
+            Event::Start(order) => self.deliver_start(&order, is_current, true),
             Event::LateStart(order, incarnation) => {
-                if self.takes_late(&order.to.worker, incarnation) {
-                    self.deliver_start(&order, is_alive, false);
+                if self.accepts_late_order(&order.to.worker, incarnation) {
+                    self.deliver_start(&order, is_current, false);
                 }
             }
-            Event::Stop(order) => self.deliver_stop(&order, is_alive),
-            Event::Hold(order) => self.deliver_hold(*order, is_alive),
-            Event::Kept(accepted) => {
-                // Whoever owns the cell by then is told.
+            Event::Stop(order) => self.deliver_stop(&order, is_current),
+            Event::Heartbeat(order) => self.deliver_heartbeat(*order, is_current),
+            Event::AcceptanceStored(accepted) => {
+                // Tells the current owner, which may be another one than at the time of the announcement.
                 self.keep(*accepted);
             }
             Event::Crash(worker, task) => self.crash(worker, task),
-            Event::Back(place) => {
-                self.add_worker(place);
-                self.tell_of(place);
+            Event::NewWorker(slot) => {
+                self.add_worker(slot);
+                self.register_slot(slot);
             }
-            Event::Restarted(entry, place, restart) => self.come_back(*entry, place, restart),
+            Event::Restarted(entry, slot, restart) => self.complete_restart(*entry, slot, restart),
             Event::Unlisted(worker) => self.engine.unregister(&worker, self.now),
-            Event::OperatorRead => self.read_operator(),
-            _ if !is_alive => {}
+            Event::OperatorRead => self.read_operator_records(),
+            _ if !is_current => {}
             Event::Started(worker, task, run, answer) => {
                 self.engine.started(&worker, task, run, answer, self.now);
             }
             Event::Stopped(worker, task, run, answer) => {
                 self.engine.stopped(&worker, task, run, answer, self.now);
             }
-            Event::Held(worker, asked, answer) => self.end_call(&worker, asked, answer),
-            Event::HoldTimeout(worker, asked) => self.end_call(&worker, asked, HoldAnswer::Silent),
+            Event::HeartbeatAnswered(worker, asked, answer) => {
+                self.end_heartbeat(&worker, asked, answer)
+            }
+            Event::HeartbeatTimeout(worker, asked) => {
+                self.end_heartbeat(&worker, asked, HoldAnswer::Silent)
+            }
             Event::Withdrawn(job) => self.engine.withdraw(job, self.now),
-            Event::Unadvised(node, step) => self.engine.advised(&node, step, None, self.now),
+            Event::AdviceFailed(node, step) => self.engine.advised(&node, step, None, self.now),
             Event::Recorded(entries) => {
                 for entry in entries {
                     let bytes = record::encode(&entry).expect("a record can be encoded");
-                    let entry: Entry = record::decode(&bytes).expect("it can be decoded again");
+                    let entry: Entry =
+                        record::decode(&bytes).expect("the record can be decoded again");
                     self.records.insert(entry.key(), entry);
                 }
                 self.engine.recorded(self.now);
             }
             Event::Advised(node, step, workers) => {
-                // Which workers may run a step is fixed by the step and the worker's place.
+                // Allows two thirds of the workers, determined by the job and the worker's slot.
                 let advised = workers.into_iter().filter(|id| {
-                    let place = self.workers.get(id).map_or(0, |worker| worker.place);
-                    !(u64::from(place) + step.job.0).is_multiple_of(3)
+                    let slot = self.workers.get(id).map_or(0, |worker| worker.slot);
+                    !(u64::from(slot) + step.job.0).is_multiple_of(3)
                 });
                 let advised = advised
                     .map(|worker| Advised {
--- a/crates/cell/tests/cell/world/restart.rs
+++ b/crates/cell/tests/cell/world/restart.rs
@@ -1,4 +1,4 @@
-//! Workers that restart under the ids that they have.
+//! Workers that restart under their id, as another incarnation.
 
 use std::time::Duration;
 
@@ -17,21 +17,21 @@
     worker::Worker, //
 };
 
-/// After so many calls for its inventory an incarnation is known to its owner.
-const KNOWN_AFTER: u32 = 2;
+/// Number of heartbeats after which the owner knows an incarnation.
+const HEARTBEATS_UNTIL_KNOWN: u32 = 2;
 
 /// How a worker restarts under its id.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Restart {
-    /// For how long nothing answers.
+    /// For how long nothing answers at its address.
     pub away: Duration,
-    /// Whether its connections break; else calls wait for answers in vain.
+    /// Whether its connections break; else its heartbeats time out.
     pub is_broken: bool,
-    /// How long after that it reports itself anew; until then its entry is that of before.
+    /// For how long after that its entry is still the one of the former incarnation.
     pub untold: Duration,
-    /// The kind that it comes back as.
+    /// The first label of the new incarnation.
     pub kind: &'static str,
-    /// For how many tasks it has room then.
+    /// The capacity of the new incarnation, in tasks.
     pub room: u32,
 }
 
@@ -48,61 +48,65 @@
 }
 
 impl World {
-    /// Has a worker go down and come back under its id, where it is up.
+    /// Restarts a worker under its id, unless it is down.
     pub(crate) fn restart(&mut self, id: &WorkerId, restart: Restart) {
         if let Some(worker) = self.workers.remove(id) {
-            self.end_worker(id.clone(), &worker, restart);
+            self.go_down_for_restart(id.clone(), &worker, restart);
         }
     }
 
-    /// Has all workers restart under their ids.
+    /// Restarts all workers under their ids.
     pub(crate) fn restart_all(&mut self, restart: Restart) {
         for id in self.workers.keys().cloned().collect::<Vec<_>>() {
             self.restart(&id, restart);
         }
     }
 
-    pub(super) fn end_worker(&mut self, id: WorkerId, worker: &Worker, restart: Restart) {
-        self.note_under(worker);
+    pub(super) fn go_down_for_restart(&mut self, id: WorkerId, worker: &Worker, restart: Restart) {
+        self.record_crash_under(worker);
         if restart.is_broken {
-            self.break_calls(&id);
+            self.break_connections(&id);
         }
-        self.down.insert(id.clone(), self.now + restart.away);
+        self.down_until.insert(id.clone(), self.now + restart.away);
         let entry = Box::new(worker.entry(self.now));
-        let back = Event::Restarted(entry, worker.place, restart);
-        self.later(restart.away, back);
+        let back = Event::Restarted(entry, worker.slot, restart);
+        self.schedule(restart.away, back);
     }
 
-    pub(super) fn come_back(&mut self, entry: Registration, place: u32, restart: Restart) {
+    pub(super) fn complete_restart(&mut self, entry: Registration, slot: u32, restart: Restart) {
         let now = self.now;
-        let worker = self.begin_worker(entry.id.clone(), place);
-        worker.follow(entry, restart, now);
-        self.tell_of(place);
+        let worker = self.insert_worker(entry.id.clone(), slot);
+        worker.become_next_incarnation(entry, restart, now);
+        self.register_slot(slot);
     }
 
-    /// Returns whether a worker carries out an order that was left unanswered when it was some incarnation.
+    /// Returns whether a worker executes a late order that was sent to the given incarnation of it.
     ///
-    /// The next one may get it too. Nobody could tell it from one that was meant for that one if it came before the owner
-    /// can have heard of it and answered, so it is lost then.
-    pub(super) fn takes_late(&self, id: &WorkerId, incarnation: Option<Incarnation>) -> bool {
+    /// The next incarnation may get the order too. If it came before the owner can have heard of that incarnation, the
+    /// worker couldn't tell it from an order that was meant for the new incarnation, so such an order is lost.
+    pub(super) fn accepts_late_order(
+        &self,
+        id: &WorkerId,
+        incarnation: Option<Incarnation>,
+    ) -> bool {
         let worker = self.workers.get(id);
         worker.is_none_or(|worker| {
-            Some(worker.incarnation()) == incarnation || worker.calls >= KNOWN_AFTER
+            Some(worker.incarnation()) == incarnation || worker.heartbeats >= HEARTBEATS_UNTIL_KNOWN
         })
     }
 
     pub(super) fn restart_workers(&mut self) {
         for id in self.workers.keys().cloned().collect::<Vec<_>>() {
-            // Of those that leave their successors have taken the places already.
-            let stays = self.workers[&id].leaves.is_none();
+            // The slot of a worker that leaves has its replacement already.
+            let stays = self.workers[&id].leaves_at.is_none();
             if stays && self.chance(self.faults.restarts) {
-                let restart = self.draw_restart();
+                let restart = self.random_restart();
                 self.restart(&id, restart);
             }
         }
     }
 
-    pub(super) fn draw_restart(&mut self) -> Restart {
+    pub(super) fn random_restart(&mut self) -> Restart {
         Restart {
             away: Duration::from_millis(self.rng.random_range(100..3_000)),
             is_broken: self.chance(500),
--- a/crates/cell/tests/cell/world/worker.rs
+++ b/crates/cell/tests/cell/world/worker.rs
@@ -1,4 +1,4 @@
-//! A worker as the platform's are.
+//! Simulation of a worker of the platform.
 
 use std::{
     collections::BTreeMap,
@@ -43,167 +43,183 @@
     size, //
 };
 
-/// The data centres in which workers stand in turn.
+/// The data centres. Slots alternate between them.
 pub(crate) const DATA_CENTRES: [&str; 2] = ["north", "south"];
 
-/// The longest lease that it grants, in milliseconds of its clock.
-const LEASE: u64 = 6_000;
-/// How long a stop takes.
-const STOP: Duration = Duration::from_millis(300);
+/// The longest lease that a worker accepts, in milliseconds of its clock.
+const MAX_LEASE_MS: u64 = 6_000;
+/// How long a task takes to stop.
+const STOP_DURATION: Duration = Duration::from_millis(300);
 
 #[derive(Debug)]
 struct Task {
     run: Run,
-    ends: Timestamp,
+    ends_at: Timestamp,
     how: How,
 }
 
-/// One incarnation.
+/// One incarnation of a worker.
 #[derive(Debug)]
 pub(crate) struct Worker {
     pub(crate) id: WorkerId,
-    pub(crate) place: u32,
-    /// The kind of this incarnation, which is its first label.
-    pub(crate) kind: &'static str,
-    /// Until when nothing reaches it.
+    pub(crate) slot: u32,
+    /// The first label of this incarnation, which tests may set.
+    pub(crate) label: &'static str,
+    /// Until when the worker is unreachable.
     pub(crate) cut_until: Timestamp,
-    /// Since when it has had how much room; the last is the present one.
-    rooms: Vec<(Timestamp, Resources)>,
-    /// Until when its entry is another writer's, where it is.
-    pub(crate) foreign_until: Option<Timestamp>,
-    /// What the store says of it yet and until when, where that is of its former incarnation.
-    stale: Option<(Registration, Timestamp)>,
-    /// When it is gone, where it has said that it leaves.
-    pub(crate) leaves: Option<Timestamp>,
-    /// How many calls for its inventory it has had.
-    pub(super) calls: u32,
-    /// Until when a call waits for an end, and when it was made.
-    pub(crate) waiting: Option<(Timestamp, Timestamp)>,
-    born: Timestamp,
-    rate: f64,
+    /// The capacities of this worker, each with the time since when it applies; the last one is current.
+    capacities: Vec<(Timestamp, Resources)>,
+    /// Until when another writer has overwritten this worker's entry, if one has.
+    pub(crate) overwritten_until: Option<Timestamp>,
+    /// The entry of the former incarnation, and until when the store still has it.
+    stale_entry: Option<(Registration, Timestamp)>,
+    /// When this worker is gone, if it has announced that it leaves.
+    pub(crate) leaves_at: Option<Timestamp>,
+    /// How many heartbeats this worker has got.
+    pub(super) heartbeats: u32,
+    /// Until when a heartbeat waits for the end of a run, and when the heartbeat was sent.
+    pub(crate) waiting_heartbeat: Option<(Timestamp, Timestamp)>,
+    started_at: Timestamp,
+    /// Speed of the worker's clock, relative to virtual time.
+    clock_rate: f64,
     fence: Fence,
-    deadline: u64,
+    /// When the lease expires, in milliseconds of the worker's clock.
+    lease_deadline: u64,
     tasks: BTreeMap<TaskId, Task>,
-    highest: BTreeMap<TaskId, Run>,
+    /// The highest run of each task that was started or stopped here.
+    highest_runs: BTreeMap<TaskId, Run>,
     ended: Vec<Ended>,
-    /// The last end that was there when a lease lapsed.
-    lapsed: u64,
-    /// The highest end that it was told to forget: its list is only gone through when a call names a higher one.
+    /// The serial number of the last end that existed when the lease was seen to have expired.
+    last_end_at_expiry: u64,
+    /// The highest serial number of an end that the owner has acknowledged. Ends are removed only when a heartbeat
+    /// acknowledges a higher one.
     acknowledged: u64,
-    serial: u64,
+    /// The serial number of the last end.
+    last_end: u64,
 }
 
-/// How long a worker that leaves goes on at least.
-pub(crate) const LEAVES_AFTER: Duration = Duration::from_secs(2);
-/// What it has room for: four tasks of the size that the tests use.
-const CAPACITY: Resources = size(4_000, 4_096);
-/// The size of all tasks in the tests.
-pub(crate) const TASK: Resources = size(1_000, 1_024);
+/// Minimum time that a leaving worker keeps running.
+pub(crate) const MIN_LEAVING_DURATION: Duration = Duration::from_secs(2);
+/// Default capacity of a worker: four tasks of the size that the tests use.
+const DEFAULT_CAPACITY: Resources = size(4_000, 4_096);
+/// The usual size of a task in the tests.
+pub(crate) const TASK_SIZE: Resources = size(1_000, 1_024);
 
 impl Worker {
-    pub(crate) fn new(id: WorkerId, place: u32, rate: f64, now: Timestamp) -> Self {
+    pub(crate) fn new(id: WorkerId, slot: u32, rate: f64, now: Timestamp) -> Self {
         Self {
             id,
-            place,
-            kind: "a",
-            rooms: vec![(now, CAPACITY)],
+            slot,
+            label: "a",
+            capacities: vec![(now, DEFAULT_CAPACITY)],
             cut_until: now,
-            foreign_until: None,
-            stale: None,
-            calls: 0,
-            leaves: None,
-            waiting: None,
-            born: now,
-            rate,
+            overwritten_until: None,
+            stale_entry: None,
+            heartbeats: 0,
+            leaves_at: None,
+            waiting_heartbeat: None,
+            started_at: now,
+            clock_rate: rate,
             fence: Fence::first(Epoch(0)),
-            deadline: 0,
+            lease_deadline: 0,
             tasks: BTreeMap::new(),
-            highest: BTreeMap::new(),
+            highest_runs: BTreeMap::new(),
             ended: Vec::new(),
-            lapsed: 0,
+            last_end_at_expiry: 0,
             acknowledged: 0,
-            serial: 0,
+            last_end: 0,
         }
     }
 
-    /// Has it be another incarnation than the one that the store tells of, with a room and a kind of its own.
-    pub(super) fn follow(&mut self, entry: Registration, restart: Restart, now: Timestamp) {
-        self.stale = Some((entry, now + restart.untold));
-        self.kind = restart.kind;
-        let room = TASK.checked_mul(restart.room).unwrap_or(CAPACITY);
-        self.rooms = vec![(now, room)];
+    /// Makes this the next incarnation of a restarted worker, whose former entry stays in the store for some time.
+    pub(super) fn become_next_incarnation(
+        &mut self,
+        entry: Registration,
+        restart: Restart,
+        now: Timestamp,
+    ) {
+        self.stale_entry = Some((entry, now + restart.untold));
+        self.label = restart.kind;
+        let capacity = TASK_SIZE
+            .checked_mul(restart.room)
+            .unwrap_or(DEFAULT_CAPACITY);
+        self.capacities = vec![(now, capacity)];
     }
 
-    /// Has it say that it leaves, which it writes into its entry itself.
-    pub(super) fn leave(&mut self, leaves: Timestamp) {
-        self.leaves = Some(leaves);
-        self.stale = None;
+    /// Announces that this worker leaves, by writing its own entry.
+    pub(super) fn announce_leaving(&mut self, leaves: Timestamp) {
+        self.leaves_at = Some(leaves);
+        self.stale_entry = None;
     }
 
-    /// Returns what the store says of it.
+    /// Returns the worker's entry in the store.
     pub(crate) fn entry(&self, now: Timestamp) -> Registration {
-        let stale = self.stale.as_ref().filter(|(_, until)| *until > now);
+        let stale = self.stale_entry.as_ref().filter(|(_, until)| *until > now);
         stale.map_or_else(|| self.registration(), |(entry, _)| entry.clone())
     }
 
     pub(crate) fn registration(&self) -> Registration {
-        let port = 7_000 + u16::try_from(self.place).unwrap_or(0);
+        let port = 7_000 + u16::try_from(self.slot).unwrap_or(0);
         Registration {
             incarnation: Some(self.incarnation()),
             id: self.id.clone(),
             address: SocketAddr::from(([127, 0, 0, 1], port)),
             pool: PoolName::from("pool"),
             capacity: self.capacity(),
-            labels: vec![self.kind.into(), format!("r{}", self.place % 2).into()],
+            labels: vec![self.label.into(), format!("r{}", self.slot % 2).into()],
             data_centre: Some(self.data_centre()),
-            leaving: self.leaves.map(|_| LEAVES_AFTER),
+            leaving: self.leaves_at.map(|_| MIN_LEAVING_DURATION),
         }
     }
 
-    /// Returns where it stands.
+    /// Returns the data centre of this worker.
     pub(super) fn data_centre(&self) -> DataCentre {
-        let place = usize::try_from(self.place).unwrap_or(0);
-        DataCentre::from(DATA_CENTRES[place % DATA_CENTRES.len()])
+        let slot = usize::try_from(self.slot).unwrap_or(0);
+        DataCentre::from(DATA_CENTRES[slot % DATA_CENTRES.len()])
     }
 
-    pub(super) const fn born(&self) -> Timestamp {
-        self.born
+    pub(super) const fn started_at(&self) -> Timestamp {
+        self.started_at
     }
 
     pub(super) fn incarnation(&self) -> Incarnation {
-        Incarnation(self.born.as_micros() / 1_000)
+        Incarnation(self.started_at.as_micros() / 1_000)
     }
 
     fn capacity(&self) -> Resources {
-        self.rooms.last().map_or(CAPACITY, |(_, room)| *room)
+        self.capacities
+            .last()
+            .map_or(DEFAULT_CAPACITY, |(_, capacity)| *capacity)
     }
 
-    /// Has room for so many tasks from now on.
+    /// Sets the capacity to a number of tasks.
     pub(crate) fn resize(&mut self, tasks: u32, now: Timestamp) {
-        let room = TASK.checked_mul(tasks).unwrap_or(CAPACITY);
-        if room != self.capacity() {
-            self.rooms.push((now, room));
+        let capacity = TASK_SIZE.checked_mul(tasks).unwrap_or(DEFAULT_CAPACITY);
+        if capacity != self.capacity() {
+            self.capacities.push((now, capacity));
         }
     }
 
     fn clock(&self, now: Timestamp) -> u64 {
-        let elapsed = now.since(self.born).mul_f64(self.rate);
+        let elapsed = now.since(self.started_at).mul_f64(self.clock_rate);
         u64::try_from(elapsed.as_millis()).unwrap_or(0)
     }
 
-    fn extend(&mut self, deadline: Option<u64>, now: Timestamp) {
-        let most = self.clock(now) + LEASE;
-        self.deadline = self.deadline.max(deadline.unwrap_or(0).min(most));
+    fn extend_lease(&mut self, deadline: Option<u64>, now: Timestamp) {
+        let max_deadline = self.clock(now) + MAX_LEASE_MS;
+        self.lease_deadline = self
+            .lease_deadline
+            .max(deadline.unwrap_or(0).min(max_deadline));
     }
 
     pub(crate) fn start(
         &mut self,
         order: &Start,
-        works: Duration,
+        duration: Duration,
         how: How,
         now: Timestamp,
     ) -> StartAnswer {
-        if self.is_beyond(&order.to) {
+        if self.rejects_fence(&order.to) {
             return StartAnswer::Fenced;
         }
         self.fence = order.to.fence;
@@ -214,9 +230,9 @@
         {
             return StartAnswer::Started;
         }
-        self.extend(Some(order.deadline), now);
+        self.extend_lease(Some(order.deadline), now);
         if self
-            .highest
+            .highest_runs
             .get(&order.task)
             .is_some_and(|run| *run >= order.run)
         {
@@ -227,78 +243,79 @@
         }
         let task = Task {
             run: order.run,
-            ends: now + works,
+            ends_at: now + duration,
             how,
         };
         self.tasks.insert(order.task, task);
-        self.highest.insert(order.task, order.run);
+        self.highest_runs.insert(order.task, order.run);
         StartAnswer::Started
     }
 
     pub(crate) fn stop(&mut self, order: &Stop, now: Timestamp) -> StopAnswer {
-        if self.is_beyond(&order.to) {
+        if self.rejects_fence(&order.to) {
             return StopAnswer::Fenced;
         }
         self.fence = order.to.fence;
-        let highest = self.highest.entry(order.task).or_default();
+        let highest = self.highest_runs.entry(order.task).or_default();
         *highest = (*highest).max(order.run);
         if let Some(task) = self.tasks.get_mut(&order.task)
             && task.run <= order.run
-            && task.ends > now + STOP
+            && task.ends_at > now + STOP_DURATION
         {
-            task.ends = now + STOP;
+            task.ends_at = now + STOP_DURATION;
             task.how = How::Stopped;
         }
         StopAnswer::Confirmed
     }
 
-    /// Returns whether it refuses an order for its fence.
-    pub(crate) fn is_beyond(&self, order: &Destination) -> bool {
+    /// Returns whether this worker rejects an order because its fence is too low.
+    pub(crate) fn rejects_fence(&self, order: &Destination) -> bool {
         order.fence < self.fence
     }
 
-    /// Takes a call for the inventory; returns the ends that it may forget, done or failed.
+    /// Handles a heartbeat; returns the acknowledged ends of tasks, with whether each is done (else it failed).
     ///
-    /// Those that were there when a lease lapsed are left out: the platform doesn't hold them against a start elsewhere,
-    /// which the lapse allowed.
-    pub(crate) fn hold(
+    /// Ends that existed when the lease expired are left out: the expiry allows the owner to start these tasks
+    /// elsewhere, so they don't count against such a start.
+    pub(crate) fn heartbeat(
         &mut self,
         order: &Hold,
         is_lost: bool,
         now: Timestamp,
     ) -> Vec<(TaskId, Run, bool)> {
         self.fence = order.to.fence;
-        self.calls += 1;
-        self.extend(order.deadline, now);
-        let is_news = order.acknowledged > self.acknowledged;
+        self.heartbeats += 1;
+        self.extend_lease(order.deadline, now);
+        let is_new_acknowledgement = order.acknowledged > self.acknowledged;
         self.acknowledged = self.acknowledged.max(order.acknowledged);
-        let (forgotten, kept) = std::mem::take(&mut self.ended)
+        let (acknowledged, kept) = std::mem::take(&mut self.ended)
             .into_iter()
-            .partition(|end| is_news && end.serial <= order.acknowledged);
+            .partition(|end| is_new_acknowledgement && end.serial <= order.acknowledged);
         self.ended = kept;
         let is_waiting = self.ended.is_empty() && !order.wait.is_zero();
         if !order.wait.is_zero() {
-            // The answer to a call that is lost takes the place of one that waits.
-            self.waiting = (is_waiting && !is_lost).then_some((now + order.wait, order.asked));
+            // A lost heartbeat replaces the one that waits.
+            self.waiting_heartbeat =
+                (is_waiting && !is_lost).then_some((now + order.wait, order.asked));
         }
-        let forgotten: Vec<Ended> = forgotten;
-        let counted = forgotten
-            .into_iter()
-            .filter(|end| matches!(end.how, How::Done | How::Failed) && end.serial > self.lapsed);
+        let acknowledged: Vec<Ended> = acknowledged;
+        let counted = acknowledged.into_iter().filter(|end| {
+            matches!(end.how, How::Done | How::Failed) && end.serial > self.last_end_at_expiry
+        });
         counted
             .map(|end| (end.task, end.run, end.how == How::Done))
             .collect()
     }
 
-    /// Lets time pass; returns whether a call that waits has to be answered.
+    /// Advances to a time; returns whether the waiting heartbeat has to be answered.
     pub(crate) fn advance(&mut self, now: Timestamp) -> bool {
-        let lapsed = self.clock(now) > self.deadline;
-        if lapsed {
-            self.lapsed = self.serial;
+        let is_expired = self.clock(now) > self.lease_deadline;
+        if is_expired {
+            self.last_end_at_expiry = self.last_end;
         }
         let mut ended = Vec::new();
         self.tasks.retain(|id, task| {
-            let how = match (lapsed, task.ends <= now) {
+            let how = match (is_expired, task.ends_at <= now) {
                 (true, _) => How::Lapsed,
                 (false, true) => task.how,
                 (false, false) => return true,
@@ -308,21 +325,21 @@
         });
         let has_ended = !ended.is_empty();
         for (task, run, how) in ended {
-            self.serial += 1;
+            self.last_end += 1;
             self.ended.push(Ended {
-                serial: self.serial,
+                serial: self.last_end,
                 task,
                 run,
                 how,
                 checkpoint: None,
             });
         }
-        self.waiting
+        self.waiting_heartbeat
             .is_some_and(|(until, _)| has_ended || until <= now)
     }
 
     pub(crate) fn inventory(&self, now: Timestamp) -> Inventory {
-        // What is being stopped is not listed until it has ended.
+        // A task that is being stopped is not listed until it has ended.
         let running = self.tasks.iter();
         let running = running.filter(|(_, task)| task.how != How::Stopped);
         let running = running.map(|(id, task)| Running {
@@ -343,7 +360,7 @@
         self.tasks.keys().copied()
     }
 
-    pub(crate) fn count(&self, task: TaskId) -> usize {
+    pub(crate) fn runs(&self, task: TaskId) -> usize {
         usize::from(self.tasks.contains_key(&task))
     }
 
@@ -352,13 +369,13 @@
         ended.any(|end| end.task == task && end.how == How::Done)
     }
 
-    /// Returns whether it holds more than it has had room for at any time of late.
-    pub(crate) fn is_overfilled(&self, late: Duration, now: Timestamp) -> bool {
-        let used = TASK.checked_mul(u32::try_from(self.tasks.len()).unwrap_or(u32::MAX));
-        let ends = self.rooms.iter().skip(1).map(|(since, _)| *since);
+    /// Returns whether the running tasks exceed each capacity that the worker has had within `grace`.
+    pub(crate) fn exceeds_capacity(&self, grace: Duration, now: Timestamp) -> bool {
+        let used = TASK_SIZE.checked_mul(u32::try_from(self.tasks.len()).unwrap_or(u32::MAX));
+        let ends = self.capacities.iter().skip(1).map(|(since, _)| *since);
         let ends = ends.chain([now]);
-        let mut recent = self.rooms.iter().zip(ends);
-        let fits = |room: &Resources| used.is_some_and(|used| used.fits(room));
-        !recent.any(|((_, room), end)| now.since(end) <= late && fits(room))
+        let mut recent = self.capacities.iter().zip(ends);
+        let fits = |capacity: &Resources| used.is_some_and(|used| used.fits(capacity));
+        !recent.any(|((_, capacity), end)| now.since(end) <= grace && fits(capacity))
     }
 }
