--- a/crates/cell/tests/cell/history.rs
+++ b/crates/cell/tests/cell/history.rs
@@ -226,7 +226,7 @@
 ///
 /// The second worker that the task crashes stays down until its lease expires. The owner remembers which tasks that
 /// worker had just started, to count the crash once the worker is known to be gone. The owner dies before that, and the
-/// next one doesn't know of the crash.
+/// next one doesn't know of the crash. The task then starts three more times instead of two.
 #[test]
 fn a_crashing_task_is_given_up_though_the_owner_that_saw_the_crash_dies() {
     let faults = Faults {
--- a/crates/cell/tests/cell/slow.rs
+++ b/crates/cell/tests/cell/slow.rs
@@ -42,7 +42,7 @@
     world.run(25 * SECOND);
     assert_eq!(world.completed(&jobs), jobs.len());
     assert_eq!(world.violations, Vec::<String>::new());
-    // The engine learns from the first records how long an append takes.
+    // The engine learns from the first record how long an append takes.
     assert!(
         world.expired_ticket_starts <= 4,
         "{} starts were withdrawn",
