--- a/crates/cell/tests/cell/announce.rs
+++ b/crates/cell/tests/cell/announce.rs
@@ -1,4 +1,4 @@
-//! Jobs that the owner hears of before their acceptance is on record.
+//! Jobs that are announced to the owner before the store has recorded their acceptance.
 
 use std::time::Duration;
 
@@ -13,43 +13,48 @@
     quick_step, //
 };
 
-const STORE: Duration = Duration::from_millis(350);
+/// How long the store takes per append.
+const STORE_LATENCY: Duration = Duration::from_millis(350);
 
-/// A store takes 0.35 s a call: how long after it was handed in a job's first order leaves.
-fn first_start(is_announced: bool) -> Duration {
+/// Returns the time from the submission of a job to its first start, with a store that takes 0.35 s per append.
+fn time_to_first_start(is_announced: bool) -> Duration {
     let mut world = World::new(1, Faults::default());
-    world.append = STORE;
+    world.append = STORE_LATENCY;
     world.run(Duration::from_secs(1));
-    let handed_in = world.now;
+    let submitted = world.now;
     let accepted = world.hand_in("urgent", vec![quick_step()]);
     if is_announced {
         world.engine.announce(accepted.clone(), world.now);
     }
-    world.run(STORE);
-    assert_eq!(world.starts, 0, "nothing starts that is not accepted");
+    world.run(STORE_LATENCY);
+    assert_eq!(world.starts, 0, "nothing starts before its acceptance");
     world.keep(accepted);
     while world.starts == 0 {
         world.run(Duration::from_millis(1));
     }
-    world.now.since(handed_in)
+    world.now.since(submitted)
 }
 
 #[test]
-fn a_slow_store_is_waited_for_once_not_twice() {
-    let (announced, plain) = (first_start(true), first_start(false));
+fn an_announced_job_waits_for_a_slow_store_once_not_twice() {
+    let (announced, plain) = (time_to_first_start(true), time_to_first_start(false));
     assert!(announced <= Duration::from_millis(450), "{announced:?}");
-    assert!(plain >= 2 * STORE, "{plain:?}");
+    assert!(plain >= 2 * STORE_LATENCY, "{plain:?}");
 }
 
 #[test]
-fn a_job_whose_acceptance_is_refused_never_starts_and_holds_no_room() {
+fn a_job_whose_acceptance_is_refused_never_starts_and_frees_its_capacity() {
     let mut world = World::new(1, Faults::default());
     world.run(Duration::from_secs(1));
     let accepted = world.hand_in("urgent", vec![quick_step()]);
     let (job, queue) = (accepted.job, QueueName::from("urgent"));
     world.engine.announce(accepted, world.now);
     world.run(Duration::from_millis(300));
-    assert_eq!(world.engine.counts().claims, 2, "its places are kept");
+    assert_eq!(
+        world.engine.counts().claims,
+        2,
+        "capacity is reserved for it"
+    );
     assert_eq!(world.engine.state(job), None);
     assert_eq!(world.engine.pending(&queue), 0);
     world.engine.withdraw(job, world.now);
@@ -59,14 +64,18 @@
 }
 
 #[test]
-fn a_job_that_is_kept_after_it_was_given_up_runs_once() {
+fn a_job_accepted_after_its_announcement_expired_runs_once() {
     let mut world = World::new(1, Faults::default());
     world.run(Duration::from_secs(1));
     let accepted = world.hand_in("urgent", vec![quick_step()]);
     let job = accepted.job;
     world.engine.announce(accepted.clone(), world.now);
     world.run(Duration::from_secs(4));
-    assert_eq!(world.engine.counts().claims, 0, "nobody told of it again");
+    assert_eq!(
+        world.engine.counts().claims,
+        0,
+        "the announcement has expired"
+    );
     world.keep(accepted);
     world.run(Duration::from_secs(8));
     assert_eq!(world.engine.state(job), Some(State::Completed));
--- a/crates/cell/tests/cell/crash.rs
+++ b/crates/cell/tests/cell/crash.rs
@@ -1,10 +1,10 @@
 //! Tasks that crash each worker that starts them.
 //!
-//! Urgent tasks of a busy fleet were started again every 3.3 s for as long as the day lasted, and each start took a worker
-//! down with all that ran there: workers crashed 10 ms after such a start, came back after 3 s as other incarnations, and
-//! by the end a sixteenth of them was down at any time. A crashed worker tells of no end, so no try was used up: what
-//! was lost with a worker was put back as if it had never been started. The owner's log showed it: the step of such a task
-//! waited again in the instant in which its worker was found to be another incarnation.
+//! A crashed worker reports no end of its runs. If the owner puts back what was lost with a worker as if it had never
+//! been started, no attempt is used up, and a task that crashes its workers is started again without end. Each start
+//! takes down a worker with everything that runs there: workers crash 10 ms after such a start and come back after 3 s
+//! as other incarnations. With a start every 3.3 s, a sixteenth of a busy fleet is down at any time. The owner's log
+//! shows this fault when the step of such a task waits again as soon as its worker is found to be another incarnation.
 
 use std::time::Duration;
 
@@ -26,18 +26,18 @@
     quick_step, //
 };
 
-/// What befalls the cell meanwhile, once a second.
+/// What else goes wrong in the cell while the job runs, at intervals of some seconds.
 #[derive(Clone, Copy, Debug)]
-enum Beside {
+enum Disturbance {
     Nothing,
     Takeovers,
     Outages,
     LostOrders,
-    /// Half of the workers that go down come back under their ids.
+    /// Half of the workers that crash come back under their ids.
     Restarts,
 }
 
-fn single() -> Step {
+fn single_task() -> Step {
     Step {
         count: 1,
         ..quick_step()
@@ -52,10 +52,10 @@
     }
 }
 
-fn lasting() -> Step {
+fn long_running() -> Step {
     Step {
         lasting: true,
-        ..single()
+        ..single_task()
     }
 }
 
@@ -70,16 +70,21 @@
     step.task(last.count - 1)
 }
 
-/// Plays a minute with a job whose last task crashes its workers, beside others; returns the world and all jobs.
-fn play(queue: &str, steps: Vec<Step>, beside: Beside) -> (World, JobId, Vec<JobId>) {
+/// Runs a minute with a job whose last task crashes its workers and with other jobs; returns the world, that job and the
+/// others.
+fn run_scenario(
+    queue: &str,
+    steps: Vec<Step>,
+    disturbance: Disturbance,
+) -> (World, JobId, Vec<JobId>) {
     let faults = Faults {
-        lost_orders: if matches!(beside, Beside::LostOrders) {
+        lost_orders: if matches!(disturbance, Disturbance::LostOrders) {
             150
         } else {
             0
         },
-        // None by itself: a thousandth of a second's chance, drawn below one.
-        restarts: u32::from(matches!(beside, Beside::Restarts)),
+        // Crashed workers come back under their ids only where this is above zero; at 1 hardly any restarts by chance.
+        restarts: u32::from(matches!(disturbance, Disturbance::Restarts)),
         ..Faults::default()
     };
     let mut world = World::new(1, faults);
@@ -96,11 +101,11 @@
                     ..quick_step()
                 }],
             ));
-            others.push(world.submit("urgent", vec![single()]));
+            others.push(world.submit("urgent", vec![single_task()]));
         }
-        match beside {
-            Beside::Takeovers if second % 3 == 1 => world.take_over(),
-            Beside::Outages if second % 5 == 1 => world.lose_store(Duration::from_secs(2)),
+        match disturbance {
+            Disturbance::Takeovers if second % 3 == 1 => world.take_over(),
+            Disturbance::Outages if second % 5 == 1 => world.lose_store(Duration::from_secs(2)),
             _ => {}
         }
         world.run(Duration::from_secs(1));
@@ -109,40 +114,41 @@
 }
 
 #[rstest]
-#[case::an_urgent_task("urgent", vec![single()], Beside::Nothing)]
-#[case::a_task_of_a_later_step("batch", vec![quick_step(), Step { after: vec![0], ..quick_step() }], Beside::Nothing)]
-#[case::a_member_of_a_gang("gang", vec![gang()], Beside::Nothing)]
-#[case::a_lasting_task("batch", vec![lasting()], Beside::Nothing)]
-#[case::while_owners_change("urgent", vec![single()], Beside::Takeovers)]
-#[case::a_member_of_a_gang_while_owners_change("gang", vec![gang()], Beside::Takeovers)]
-#[case::while_the_store_goes_away("urgent", vec![single()], Beside::Outages)]
-#[case::while_orders_are_lost("urgent", vec![single()], Beside::LostOrders)]
-#[case::whose_workers_come_back_under_their_ids("urgent", vec![single()], Beside::Restarts)]
-#[case::a_gang_whose_workers_come_back_under_their_ids("gang", vec![gang()], Beside::Restarts)]
-fn a_task_that_crashes_its_workers_is_given_up(
+#[case::an_urgent_task("urgent", vec![single_task()], Disturbance::Nothing)]
+#[case::a_task_of_a_later_step("batch", vec![quick_step(), Step { after: vec![0], ..quick_step() }], Disturbance::Nothing)]
+#[case::a_member_of_a_gang("gang", vec![gang()], Disturbance::Nothing)]
+#[case::a_long_running_task("batch", vec![long_running()], Disturbance::Nothing)]
+#[case::while_owners_change("urgent", vec![single_task()], Disturbance::Takeovers)]
+#[case::a_member_of_a_gang_while_owners_change("gang", vec![gang()], Disturbance::Takeovers)]
+#[case::while_the_store_goes_away("urgent", vec![single_task()], Disturbance::Outages)]
+#[case::while_orders_are_lost("urgent", vec![single_task()], Disturbance::LostOrders)]
+#[case::whose_workers_come_back_under_their_ids("urgent", vec![single_task()], Disturbance::Restarts)]
+#[case::a_gang_whose_workers_come_back_under_their_ids("gang", vec![gang()], Disturbance::Restarts)]
+fn a_job_whose_task_crashes_its_workers_fails_and_the_others_complete(
     #[case] queue: &str,
     #[case] steps: Vec<Step>,
-    #[case] beside: Beside,
+    #[case] disturbance: Disturbance,
 ) {
-    let (world, job, others) = play(queue, steps, beside);
+    let (world, job, others) = run_scenario(queue, steps, disturbance);
     assert_eq!(world.violations, Vec::<String>::new());
     assert_eq!(world.engine.state(job), Some(State::Failed));
     assert_eq!(world.completed(&others), others.len());
 }
 
-/// Its workers stay away until their leases have lapsed and come back under their ids, and owners change meanwhile.
+/// The crashed workers stay away until their leases have expired and come back under their ids, and owners change
+/// meanwhile.
 ///
-/// Callers saw such a task take one worker after the other down, for as long as it was not cancelled. A worker that is silent and
-/// listed may only be cut off, so its crash is doubted until it is known to be gone. The owner that doubted it died before that,
-/// and the next one counted nothing.
+/// A worker that is silent but still listed may only be cut off, so its crash is unconfirmed until it is known to be gone.
+/// If the owner dies before that and the next owner doesn't know of the unconfirmed crash, no crash is ever counted, and
+/// the task takes down one worker after the other until it is cancelled.
 #[rstest]
-#[case::a_single_task("urgent", vec![single()])]
+#[case::a_single_task("urgent", vec![single_task()])]
 #[case::a_member_of_a_gang("gang", vec![gang()])]
-#[case::a_lasting_task("batch", vec![lasting()])]
-fn a_doubted_crash_is_counted_by_the_next_owner(
+#[case::a_long_running_task("batch", vec![long_running()])]
+fn an_unconfirmed_crash_is_counted_by_the_next_owner(
     #[case] queue: &str,
     #[case] steps: Vec<Step>,
-    #[values(7, 8, 9, 11, 180)] between: u64,
+    #[values(7, 8, 9, 11, 180)] seconds_between_takeovers: u64,
     #[values(true, false)] is_broken: bool,
 ) {
     let mut world = World::new(1, Faults::default());
@@ -154,28 +160,28 @@
     world.run(Duration::from_secs(1));
     let job = world.submit(queue, steps.clone());
     world.crashers.insert(last_task(job, &steps));
-    for _ in 0..180 / between {
-        world.run(Duration::from_secs(between));
+    for _ in 0..180 / seconds_between_takeovers {
+        world.run(Duration::from_secs(seconds_between_takeovers));
         world.take_over();
     }
     assert_eq!(world.violations, Vec::<String>::new());
     assert_eq!(world.engine.state(job), Some(State::Failed));
 }
 
-/// Two workers go down by themselves when they had just begun a task, which works well on the third one.
+/// Two workers crash for another reason just after they started a task; on the third worker the task keeps running.
 #[test]
-fn a_task_that_works_on_after_two_crashes_is_cleared() {
+fn a_task_that_keeps_running_after_two_crashes_shares_its_worker_again() {
     let mut world = World::new(1, Faults::default());
     world.run(Duration::from_secs(1));
-    let job = world.submit("batch", vec![lasting()]);
-    let task = last_task(job, &[lasting()]);
+    let job = world.submit("batch", vec![long_running()]);
+    let task = last_task(job, &[long_running()]);
     world.crashers.insert(task);
     while world.taken_along.len() < 2 {
         world.run(Duration::from_millis(25));
     }
     world.crashers.clear();
     world.run(Duration::from_secs(10));
-    // What is started now finds room on each worker, that of the lasting task included.
+    // The other job fits only if its tasks may also run on the worker of the long-running task.
     let others = world.submit(
         "batch",
         vec![Step {
@@ -191,26 +197,26 @@
     assert_eq!(world.violations, Vec::<String>::new());
 }
 
-/// No worker is ever empty: each holds a task that lasts.
+/// No worker is ever empty: each runs a long-running task.
 #[test]
-fn a_task_doesn_t_wait_for_an_empty_worker_for_ever() {
+fn a_task_suspected_of_crashes_doesn_t_wait_for_an_empty_worker_for_ever() {
     let mut world = World::new(1, Faults::default());
     world.run(Duration::from_secs(1));
     let service = Step {
         count: 8,
         anti_affinity: Some(1),
-        ..lasting()
+        ..long_running()
     };
     world.submit("batch", vec![service]);
     world.run(Duration::from_secs(1));
-    let job = world.submit("urgent", vec![single()]);
-    world.crashers.insert(last_task(job, &[single()]));
+    let job = world.submit("urgent", vec![single_task()]);
+    world.crashers.insert(last_task(job, &[single_task()]));
     world.run(Duration::from_secs(60));
     assert_eq!(world.violations, Vec::<String>::new());
     assert_eq!(world.engine.state(job), Some(State::Failed));
 }
 
-/// Half of the workers, as of one rack, go down twice, just after they have begun tasks that harm nobody.
+/// Half of the workers, as if in one rack, crash twice, just after they have started tasks that are not the cause.
 #[test]
 fn a_rack_that_goes_down_twice_fails_no_job() {
     let mut world = World::new(1, Faults::default());
@@ -239,35 +245,36 @@
     assert_eq!(world.completed(&jobs), jobs.len());
 }
 
-/// How a fleet fared of whose jobs some crash their workers.
-struct Fare {
-    /// How many others each of these took along with each worker that it took down.
-    taken_along: Vec<Vec<usize>>,
-    /// How many of the others were completed when the load ended, of how many.
+/// What a fleet with tasks that crash their workers has achieved.
+struct Summary {
+    /// For each of these tasks and each worker that it crashed: how many other tasks were lost with that worker.
+    tasks_lost: Vec<Vec<usize>>,
+    /// How many of the other jobs were completed when the load ended, and how many there were.
     completed: (usize, usize),
     violations: Vec<String>,
-    wronged: u32,
+    /// How many tasks failed for crashes that they did not cause.
+    wrongly_failed: u32,
 }
 
-/// Tells how a fleet fares once its load has ended, and what comes of the rest of it.
-fn fare(mut world: World, others: &[JobId]) -> Fare {
+/// Summarizes a world at the end of its load, then lets it run for 30 s more to finish the rest.
+fn summarize(mut world: World, others: &[JobId]) -> Summary {
     let completed = (world.completed(others), others.len());
     world.run(Duration::from_secs(30));
-    let taken_along = |task: &TaskId| {
+    let tasks_lost = |task: &TaskId| {
         let crashes = world.taken_along.iter();
         let own = crashes.filter(|(crashed, _)| crashed == task);
         own.map(|(_, others)| *others).collect()
     };
-    Fare {
-        taken_along: world.crashers.iter().map(taken_along).collect(),
+    Summary {
+        tasks_lost: world.crashers.iter().map(tasks_lost).collect(),
         completed,
         violations: world.violations,
-        wronged: world.wronged,
+        wrongly_failed: world.wronged,
     }
 }
 
-/// Plays 40 s of two thirds of the load that 48 workers bear, 20 jobs of four tasks a second.
-fn play_fleet(seed: u64, crashers: u32) -> Fare {
+/// Runs 40 s at two thirds of the load that 48 workers can handle: 20 jobs of four tasks per second.
+fn run_fleet(seed: u64, crashers: u32) -> Summary {
     let faults = Faults {
         crashers,
         ..Faults::default()
@@ -290,32 +297,35 @@
         .into_iter()
         .filter(|job| !world.crashes(*job))
         .collect();
-    fare(world, &others)
+    summarize(world, &others)
 }
 
-/// One task in 500 crashes its workers: three go down under it, nothing is taken along the third time, and the others are served
-/// as without.
+/// One task in 500 crashes its workers: it takes down three of them, the third without any other task, and the other jobs
+/// complete as often as without such tasks.
 #[test]
-fn a_fleet_with_crashing_tasks_serves_the_others() {
-    let without = play_fleet(1, 0);
-    let with = play_fleet(1, 8);
-    assert_eq!(with.violations, Vec::<String>::new());
-    assert_eq!(with.wronged, 0);
-    assert!(with.taken_along.len() >= 5, "some crash their workers");
-    for others in &with.taken_along {
-        assert!(matches!(others[..], [_, _, 0]), "{:?}", with.taken_along);
+fn a_fleet_with_crashing_tasks_completes_the_other_jobs() {
+    let baseline = run_fleet(1, 0);
+    let crashing = run_fleet(1, 8);
+    assert_eq!(crashing.violations, Vec::<String>::new());
+    assert_eq!(crashing.wrongly_failed, 0);
+    assert!(
+        crashing.tasks_lost.len() >= 5,
+        "some tasks crash their workers"
+    );
+    for others in &crashing.tasks_lost {
+        assert!(matches!(others[..], [_, _, 0]), "{:?}", crashing.tasks_lost);
     }
-    let share = |fare: &Fare| fare.completed.0 as f64 / fare.completed.1 as f64;
-    let (with, without) = (share(&with), share(&without));
+    let share = |summary: &Summary| summary.completed.0 as f64 / summary.completed.1 as f64;
+    let (crashing, baseline) = (share(&crashing), share(&baseline));
     assert!(
-        with > without - 0.02,
-        "{with} of them, and {without} without"
+        crashing > baseline - 0.02,
+        "{crashing} of the others completed, and {baseline} without crashes"
     );
 }
 
-/// The same on eight workers of which four fifths are busy, and eight tasks that crash them one after the other.
+/// The same on eight workers that are four fifths busy, with eight tasks that crash workers one after the other.
 #[test]
-fn on_a_busy_fleet_nothing_is_taken_along_from_the_third_crash_on() {
+fn on_a_busy_fleet_the_third_crash_of_a_task_loses_no_other_task() {
     let mut world = World::new(1, Faults::default());
     let step = Step {
         count: 4,
@@ -324,14 +334,14 @@
     for nth in 0..200 {
         world.submit("batch", vec![step.clone()]);
         if nth < 160 && nth % 20 == 10 {
-            let job = world.submit("urgent", vec![single()]);
-            world.crashers.insert(last_task(job, &[single()]));
+            let job = world.submit("urgent", vec![single_task()]);
+            world.crashers.insert(last_task(job, &[single_task()]));
         }
         world.run(Duration::from_millis(250));
     }
     assert_eq!(world.violations, Vec::<String>::new());
-    let fare = fare(world, &[]);
-    for others in &fare.taken_along {
-        assert!(matches!(others[..], [_, _, 0]), "{:?}", fare.taken_along);
+    let summary = summarize(world, &[]);
+    for others in &summary.tasks_lost {
+        assert!(matches!(others[..], [_, _, 0]), "{:?}", summary.tasks_lost);
     }
 }
--- a/crates/cell/tests/cell/desk.rs
+++ b/crates/cell/tests/cell/desk.rs
@@ -1,4 +1,4 @@
-//! Which nodes ask for advice: long calls leave some to short ones, and as many as those need.
+//! Choice of the nodes that call the advice service: long calls leave as many nodes free as short calls need.
 
 use std::time::Duration;
 
@@ -41,12 +41,12 @@
     Some(node)
 }
 
-/// Has so many short calls at a time be out for 10 s, each for 40 ms; returns when that is over.
-fn ask_shortly(desk: &mut Desk, at_once: usize) -> Timestamp {
+/// Keeps this many short calls in flight for 10 s, each for 40 ms; returns the time at the end.
+fn run_short_calls(desk: &mut Desk, in_flight: usize) -> Timestamp {
     let span = Duration::from_millis(40);
     let mut now = Timestamp::from_millis(1_000);
     for _ in 0..250 {
-        let nodes: Vec<NodeName> = (0..at_once)
+        let nodes: Vec<NodeName> = (0..in_flight)
             .filter_map(|_| begin(desk, false, now))
             .collect();
         now = now + span;
@@ -57,7 +57,7 @@
     now
 }
 
-/// Half of the nodes, as it was, let 44 of 97 stand idle while long calls waited.
+/// Reserving half of the nodes for short calls would leave 44 of 97 idle while long calls wait.
 #[rstest]
 #[case::large_without_short_calls(97, 0, 96)]
 #[case::large(97, 5, 86)]
@@ -70,39 +70,42 @@
     #[case] long: usize,
 ) {
     let mut desk = desk(nodes);
-    let now = ask_shortly(&mut desk, short);
+    let now = run_short_calls(&mut desk, short);
     let out = (0..nodes).filter_map(|_| begin(&mut desk, true, now));
     assert_eq!(out.count(), long);
-    let is_left = begin(&mut desk, false, now).is_some();
-    assert_eq!(is_left, nodes > 1, "a short call finds a node");
+    let has_free_node = begin(&mut desk, false, now).is_some();
+    assert_eq!(has_free_node, nodes > 1, "a short call finds a free node");
 }
 
-/// A process that is down fails its calls at once: it must not be the one that is idle whenever others are busy.
+/// A node whose process is down fails its calls at once, so it would be idle, and be chosen, whenever others are busy.
 #[test]
-fn a_node_whose_call_brought_no_answer_is_not_asked_again_at_once() {
+fn a_node_whose_call_got_no_answer_is_called_again_after_a_backoff() {
     let at = Timestamp::from_millis;
     let mut desk = desk(2);
     let names = [NodeName::from("n0"), NodeName::from("n1")];
     let [first, second] = &names;
-    let ask_first = |desk: &mut Desk, is_answered, now| {
+    let call_first = |desk: &mut Desk, is_answered, now| {
         assert_eq!(begin(desk, false, now).as_ref(), Some(first));
         desk.finish(first, STEP, is_answered, now);
     };
-    ask_first(&mut desk, false, at(0));
+    call_first(&mut desk, false, at(0));
     assert_eq!(desk.idle(false), Some(second));
     assert!(!desk.wake(at(249)));
-    // It is known to be there all the while.
+    // Listing the node again doesn't end its backoff.
     desk.set_hands(&names);
     assert_eq!(desk.idle(false), Some(second));
     assert!(desk.wake(at(250)));
-    ask_first(&mut desk, false, at(250));
+    call_first(&mut desk, false, at(250));
     assert!(!desk.wake(at(749)));
     assert!(desk.wake(at(750)));
     for nth in 1..5 {
-        ask_first(&mut desk, false, at(nth * 1_000));
-        assert!(desk.wake(at(nth * 1_000 + 1_000)), "1 s at most");
+        call_first(&mut desk, false, at(nth * 1_000));
+        assert!(
+            desk.wake(at(nth * 1_000 + 1_000)),
+            "the backoff is 1 s at most"
+        );
     }
-    ask_first(&mut desk, true, at(9_000));
-    ask_first(&mut desk, false, at(9_000));
-    assert!(desk.wake(at(9_250)), "an answer ends the row");
+    call_first(&mut desk, true, at(9_000));
+    call_first(&mut desk, false, at(9_000));
+    assert!(desk.wake(at(9_250)), "an answer resets the backoff");
 }
--- a/crates/cell/tests/cell/evacuate.rs
+++ b/crates/cell/tests/cell/evacuate.rs
@@ -1,4 +1,4 @@
-//! Data centres that are evacuated: nothing is started there, by whichever way a start comes.
+//! Evacuated data centres: no task is started there, whichever way the start comes about.
 
 use std::time::Duration;
 
@@ -21,8 +21,8 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-/// Returns faults by which the bound on starts after an evacuation is in force; hardly anything else comes of them.
-fn bound() -> Faults {
+/// Returns faults that put the bounded on starts after an evacuation in force, with hardly any evacuation by chance.
+fn bounded() -> Faults {
     Faults {
         evacuations: 1,
         ..Faults::default()
@@ -49,13 +49,13 @@
     }
 }
 
-/// Lets time pass until a job is completed; returns how long that took.
+/// Runs the world until a job is completed; returns how long that took.
 fn complete(world: &mut World, job: JobId) -> Duration {
     let began = world.now;
     while world.engine.state(job) != Some(State::Completed) {
         assert!(
             world.now.since(began) < 30 * SECOND,
-            "it is never completed"
+            "the job is never completed"
         );
         world.run(Duration::from_millis(100));
         assert_eq!(world.violations, Vec::<String>::new());
@@ -63,7 +63,7 @@
     world.now.since(began)
 }
 
-fn is_told(world: &World, job: JobId, why: Wait) -> bool {
+fn has_reported(world: &World, job: JobId, why: Wait) -> bool {
     world.waits.contains(&(job, why))
 }
 
@@ -81,7 +81,7 @@
     assert!(world.tasks_in("north").is_empty());
 }
 
-/// What runs there runs on.
+/// Tasks that already run in the data centre keep running.
 #[test]
 fn an_evacuation_stops_nothing() {
     let mut world = world(Faults::default());
@@ -91,11 +91,13 @@
     assert_eq!(before.len(), 16);
     world.evacuate("north");
     complete(&mut world, job);
-    assert_eq!(world.starts, 32, "no task was started twice");
+    assert_eq!(world.starts, 32, "no task is started twice");
 }
 
 #[rstest]
-fn with_all_evacuated_jobs_wait_and_say_why(#[values("urgent", "gang", "batch")] queue: &str) {
+fn with_all_data_centres_evacuated_jobs_wait_and_report_the_reason(
+    #[values("urgent", "gang", "batch")] queue: &str,
+) {
     let mut world = world(Faults::default());
     for data_centre in DATA_CENTRES {
         world.evacuate(data_centre);
@@ -108,7 +110,11 @@
     let job = world.submit(queue, vec![step]);
     world.run(10 * SECOND);
     assert_eq!(world.engine.state(job), Some(State::Queued));
-    assert!(is_told(&world, job, Wait::Evacuated), "{:?}", world.waits);
+    assert!(
+        has_reported(&world, job, Wait::Evacuated),
+        "{:?}",
+        world.waits
+    );
     assert_eq!(world.starts, 0);
     world.take_back("south");
     complete(&mut world, job);
@@ -127,8 +133,8 @@
 }
 
 #[test]
-fn an_evacuation_may_be_taken_back_and_repeated_within_a_second() {
-    let mut world = world(bound());
+fn an_evacuation_may_be_revoked_and_repeated_within_a_second() {
+    let mut world = world(bounded());
     let job = world.submit("batch", vec![wide_step(64)]);
     for _ in 0..3 {
         world.evacuate("north");
@@ -140,11 +146,14 @@
     complete(&mut world, job);
 }
 
-/// Orders that wait for their record when the evacuation comes don't leave; a gang starts as a whole elsewhere.
+/// Orders whose record is not written yet when the evacuation comes aren't sent; a gang starts as a whole elsewhere.
 #[rstest]
 #[case::single("batch", wide_step(16))]
 #[case::gang("gang", gang(8))]
-fn what_waits_for_its_record_is_placed_anew(#[case] queue: &str, #[case] step: Step) {
+fn orders_that_wait_for_their_record_are_placed_in_the_other_data_centre(
+    #[case] queue: &str,
+    #[case] step: Step,
+) {
     let mut world = world(Faults::default());
     world.append = Duration::from_millis(600);
     let job = world.submit(queue, vec![step]);
@@ -153,10 +162,10 @@
     complete(&mut world, job);
 }
 
-/// An outage of the store ends long after the evacuation; the owner is told of it a second later.
+/// An outage of the store ends long after the evacuation, and the owner reads of the evacuation up to a second later.
 #[test]
-fn nothing_leaves_that_waited_for_its_record_through_an_outage() {
-    let mut world = world(bound());
+fn no_order_that_waited_through_an_outage_is_sent_to_an_evacuated_data_centre() {
+    let mut world = world(bounded());
     world.lose_store(7 * SECOND);
     let job = world.submit("batch", vec![wide_step(32)]);
     world.run(SECOND);
@@ -164,10 +173,10 @@
     complete(&mut world, job);
 }
 
-/// The owner can write its records and can't read the operator's: it doesn't know what is evacuated.
+/// The owner can write its own records but can't read the operator's, so it doesn't know what is evacuated.
 #[test]
 fn an_owner_that_can_t_read_what_is_evacuated_starts_nothing() {
-    let mut world = world(bound());
+    let mut world = world(bounded());
     world.is_operator_away = true;
     world.run(Duration::from_millis(500));
     let early = world.submit("batch", vec![wide_step(4)]);
@@ -177,14 +186,17 @@
     let late = world.submit("batch", vec![wide_step(4)]);
     world.run(10 * SECOND);
     assert_eq!(world.engine.state(late), Some(State::Queued));
-    assert!(is_told(&world, late, Wait::Evacuation), "{:?}", world.waits);
+    assert!(
+        has_reported(&world, late, Wait::Evacuation),
+        "{:?}",
+        world.waits
+    );
     world.is_operator_away = false;
     complete(&mut world, late);
 }
 
-/// Without a bound an owner goes by what it has read last.
 #[test]
-fn without_a_bound_an_owner_goes_by_what_it_read_last() {
+fn without_a_bound_an_owner_relies_on_its_last_reading() {
     let mut world = world(Faults::default());
     world.is_operator_away = true;
     world.run(10 * SECOND);
@@ -196,7 +208,7 @@
 fn a_new_owner_starts_nothing_before_it_knows_what_is_evacuated(
     #[values(true, false)] has_read: bool,
 ) {
-    let mut world = world(bound());
+    let mut world = world(bounded());
     world.evacuate("north");
     world.run(SECOND);
     world.is_operator_away = true;
@@ -209,9 +221,9 @@
     complete(&mut world, job);
 }
 
-/// A worker answers no order when the evacuation comes: the order isn't given there again.
+/// Orders get no answer before the evacuation comes, and aren't sent to workers there again.
 #[test]
-fn an_order_without_an_answer_isn_t_repeated() {
+fn an_unanswered_order_isn_t_sent_again_to_an_evacuated_data_centre() {
     let faults = Faults {
         lost_orders: 1_000,
         ..Faults::default()
@@ -226,9 +238,9 @@
     complete(&mut world, job);
 }
 
-/// Steps that wait for room, with tickets for workers there, keep no places and make none.
+/// Steps that wait for room and hold tickets for workers there neither reserve room there nor preempt tasks.
 #[test]
-fn nobody_makes_way_in_an_evacuated_data_centre() {
+fn no_task_is_preempted_in_an_evacuated_data_centre() {
     let mut world = world(Faults::default());
     let filler = Step {
         checkpointing: true,
@@ -238,32 +250,32 @@
     world.run(Duration::from_millis(200));
     world.evacuate("north");
     world.run(Duration::from_millis(400));
-    let before = world.preempted.len();
+    let preempted_before = world.preempted.len();
     let job = world.submit("urgent", vec![wide_step(8)]);
     world.run(Duration::from_millis(100));
     let there = world.tasks_in("north");
-    let stopped = &world.preempted[before..];
-    assert!(stopped.iter().all(|(_, task)| !there.contains(task)));
+    let preempted = &world.preempted[preempted_before..];
+    assert!(preempted.iter().all(|(_, task)| !there.contains(task)));
     complete(&mut world, job);
     complete(&mut world, filler);
 }
 
-/// The calls about a wide gang wait for the one node that can ask.
+/// Advice calls for a wide gang are queued: only one node can make them.
 #[test]
-fn calls_that_wait_for_a_node_leave_out_whom_it_concerns() {
+fn queued_advice_calls_leave_out_evacuated_workers() {
     let mut world = World::sized(1, Faults::default(), 300, &["a"]);
     world.run(SECOND);
     let job = world.submit("gang", vec![gang(100)]);
     world.run(Duration::from_millis(50));
-    assert_eq!(world.asked.len(), 1, "the others wait");
+    assert_eq!(world.asked.len(), 1, "the other calls are queued");
     world.evacuate_only(&["north"]);
     complete(&mut world, job);
     assert!(world.asked.len() > 1);
 }
 
-/// A new owner knows of what may run on workers before it has read where they stand.
+/// A new owner knows which runs workers may have before it has read in which data centres the workers are.
 #[test]
-fn a_new_owner_uses_the_workers_elsewhere_that_it_inherits() {
+fn a_new_owner_uses_inherited_workers_of_the_other_data_centre() {
     let mut world = world(Faults::default());
     let early = world.submit("batch", vec![wide_step(32)]);
     world.run(Duration::from_millis(200));
@@ -274,9 +286,9 @@
     complete(&mut world, late);
 }
 
-/// A gang was told whom it may use in a data centre that is evacuated then: it is asked about others.
+/// The workers that the advice allowed for a gang are evacuated, so advice is requested for other workers.
 #[test]
-fn a_gang_is_asked_about_others_than_those_that_are_evacuated() {
+fn advice_for_a_gang_is_requested_again_for_workers_that_are_not_evacuated() {
     let mut world = World::sized(1, Faults::default(), 96, &["a", "b", "c"]);
     world.evacuate_only(&["south"]);
     world.run(SECOND);
--- a/crates/cell/tests/cell/foreign.rs
+++ b/crates/cell/tests/cell/foreign.rs
@@ -1,4 +1,4 @@
-//! A worker whose entry turns into one of another writer.
+//! Workers whose registry entry is replaced by one that another writer has written and the owner can't use.
 
 use std::time::Duration;
 
@@ -23,7 +23,7 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 /// Longer than any test.
-const FOR_GOOD: Duration = Duration::from_secs(600);
+const FOREVER: Duration = Duration::from_secs(600);
 
 fn step(count: u16) -> Step {
     Step {
@@ -38,8 +38,8 @@
     world.workers.keys().cloned().collect()
 }
 
-/// Makes a world whose workers all run something, as a job fills them.
-fn full() -> (World, JobId) {
+/// Creates a world in which one job fills all workers; returns that job too.
+fn fully_loaded() -> (World, JobId) {
     let mut world = World::new(3, Faults::default());
     world.run(SECOND);
     let job = world.submit("batch", vec![step(32)]);
@@ -48,43 +48,43 @@
     (world, job)
 }
 
-fn completed(world: &World, job: JobId) -> bool {
+fn is_completed(world: &World, job: JobId) -> bool {
     world.engine.state(job) == Some(State::Completed)
 }
 
 #[test]
-fn what_runs_goes_on_and_nothing_new_is_started() {
-    let (mut world, job) = full();
+fn with_foreign_entries_runs_continue_and_no_task_is_started() {
+    let (mut world, job) = fully_loaded();
     for id in workers(&world) {
-        world.turn_foreign(&id, FOR_GOOD);
+        world.turn_foreign(&id, FOREVER);
     }
     let next = world.submit("batch", vec![step(1)]);
-    // Longer than its leases: they are renewed all the while.
+    // Longer than the leases last, so they must have been renewed.
     world.run(30 * SECOND);
     assert_eq!(world.violations, Vec::<String>::new());
-    assert!(completed(&world, job), "its tasks ran to their ends");
-    assert_eq!(world.starts, 32, "each where it was first started");
+    assert!(is_completed(&world, job), "its tasks ran to completion");
+    assert_eq!(world.starts, 32, "each task is started once");
     assert_eq!(world.engine.state(next), Some(State::Queued));
-    assert_eq!(world.engine.worker_count(), 8, "none counts as gone");
+    assert_eq!(world.engine.worker_count(), 8, "no worker is given up");
 }
 
 #[test]
-fn a_good_entry_brings_a_worker_back() {
-    let (mut world, _) = full();
+fn a_valid_entry_makes_a_worker_available_again() {
+    let (mut world, _) = fully_loaded();
     for id in workers(&world) {
         world.turn_foreign(&id, 5 * SECOND);
     }
     let next = world.submit("batch", vec![step(1)]);
     world.run(4 * SECOND);
     assert_eq!(world.engine.state(next), Some(State::Queued));
-    // Its task takes 3 s at most.
+    // The task takes 3 s at most.
     world.run(8 * SECOND);
-    assert!(completed(&world, next));
+    assert!(is_completed(&world, next));
     assert_eq!(world.violations, Vec::<String>::new());
 }
 
 #[test]
-fn an_entry_says_nothing_of_a_worker_that_is_not_known() {
+fn a_foreign_entry_of_an_unknown_worker_is_ignored() {
     let mut world = World::new(3, Faults::default());
     let stranger = WorkerId::from("another");
     world.engine.distrust(&stranger, world.now);
@@ -92,59 +92,59 @@
     assert_eq!(world.engine.worker_count(), 8);
 }
 
-/// A capacity or an address that nobody confirms must not stay in force for good.
+/// A capacity or an address that no entry confirms must not stay in force for ever.
 #[test]
-fn a_worker_that_is_silent_too_is_given_up_when_its_leases_have_lapsed() {
-    let (mut world, job) = full();
-    let cut = workers(&world)[0].clone();
-    world.workers.get_mut(&cut).unwrap().cut_until = world.now + FOR_GOOD;
-    world.turn_foreign(&cut, FOR_GOOD);
+fn a_silent_worker_with_a_foreign_entry_is_given_up_when_its_leases_have_expired() {
+    let (mut world, job) = fully_loaded();
+    let cut_off = workers(&world)[0].clone();
+    world.workers.get_mut(&cut_off).unwrap().cut_until = world.now + FOREVER;
+    world.turn_foreign(&cut_off, FOREVER);
     world.run(Bounds::default().lapse() / 2);
     assert_eq!(
         world.engine.worker_count(),
         8,
-        "it may run on under its lease"
+        "the worker may still run tasks under its lease"
     );
-    assert!(!completed(&world, job));
+    assert!(!is_completed(&world, job));
     world.run(2 * Bounds::default().lapse());
     assert_eq!(world.engine.worker_count(), 7);
     world.run(10 * SECOND);
-    assert!(completed(&world, job), "its tasks ran elsewhere");
+    assert!(is_completed(&world, job), "its tasks ran on other workers");
     assert_eq!(world.violations, Vec::<String>::new());
 }
 
 #[test]
-fn a_new_owner_finds_what_runs_on_a_worker_whose_entry_it_can_not_read() {
-    let (mut world, job) = full();
+fn a_new_owner_finds_the_runs_of_a_worker_with_a_foreign_entry() {
+    let (mut world, job) = fully_loaded();
     for id in workers(&world) {
-        world.turn_foreign(&id, FOR_GOOD);
+        world.turn_foreign(&id, FOREVER);
     }
     world.take_over();
     world.run(2 * (Bounds::default().lapse() + FORMER_OWNER));
     assert_eq!(world.violations, Vec::<String>::new());
-    assert!(completed(&world, job));
-    assert_eq!(world.starts, 32, "nothing was started twice");
+    assert!(is_completed(&world, job));
+    assert_eq!(world.starts, 32, "no task is started twice");
 }
 
-/// The loss of a worker and what it runs after its return may stand in one record.
+/// One record may contain both the loss of a worker and the runs that it starts after its return.
 #[test]
-fn a_new_owner_finds_what_runs_on_a_worker_that_was_lost_and_came_back() {
+fn a_new_owner_finds_the_runs_of_a_worker_that_was_lost_and_came_back() {
     let mut world = World::new(3, Faults::default());
     world.run(SECOND);
     let lost = workers(&world)[0].clone();
     world.workers.get_mut(&lost).unwrap().cut_until = world.now + 10 * SECOND;
     world.turn_foreign(&lost, 11 * SECOND);
-    // One record is on its way all the while.
+    // One write stays in flight for the whole outage.
     world.lose_store(15 * SECOND);
     world.submit("batch", vec![step(1)]);
     world.run(10 * SECOND);
-    assert_eq!(world.engine.worker_count(), 7, "it is given up");
+    assert_eq!(world.engine.worker_count(), 7, "the worker is given up");
     world.run(3 * SECOND);
-    assert_eq!(world.engine.worker_count(), 8, "it is back");
+    assert_eq!(world.engine.worker_count(), 8, "the worker is back");
     world.submit("batch", vec![step(64)]);
     world.run(2 * SECOND + SECOND / 10);
-    assert!(world.starts > 16, "tasks run everywhere");
-    world.turn_foreign(&lost, FOR_GOOD);
+    assert!(world.starts > 16, "tasks run on all workers");
+    world.turn_foreign(&lost, FOREVER);
     world.take_over();
     world.run(30 * SECOND);
     assert_eq!(world.violations, Vec::<String>::new());
--- a/crates/cell/tests/cell/forget.rs
+++ b/crates/cell/tests/cell/forget.rs
@@ -1,4 +1,4 @@
-//! What is kept of jobs that are over.
+//! Finished jobs: their acceptance is removed from the record, their outcome stays.
 
 use std::time::Duration;
 
@@ -40,10 +40,10 @@
 };
 
 #[test]
-fn how_a_job_ended_outlives_its_acceptance_and_a_takeover() {
+fn the_outcome_of_a_job_outlives_its_acceptance_and_a_takeover() {
     let mut world = World::new(1, Faults::default());
     world.run(Duration::from_secs(1));
-    let done: Vec<JobId> = (0..10)
+    let completed: Vec<JobId> = (0..10)
         .map(|_| world.submit("urgent", vec![quick_step()]))
         .collect();
     let cancelled = world.submit("batch", vec![quick_step()]);
@@ -52,29 +52,37 @@
     let open = world.submit("batch", vec![quick_step()]);
     world.run(Duration::from_millis(100));
     let starts = world.starts;
-    assert_eq!(world.on_record().count(), 1, "the open one");
+    assert_eq!(world.on_record().count(), 1, "only the unfinished job");
     world.take_over();
-    for job in &done {
+    for job in &completed {
         world.hand_in_again(*job);
     }
     world.run(Duration::from_secs(12));
     let state = |job| world.engine.state(job);
-    assert!(done.iter().all(|job| state(*job) == Some(State::Completed)));
+    assert!(
+        completed
+            .iter()
+            .all(|job| state(*job) == Some(State::Completed))
+    );
     assert_eq!(state(cancelled), Some(State::Cancelled));
     assert_eq!(state(open), Some(State::Completed));
-    assert_eq!(world.starts, starts, "nothing ran again");
+    assert_eq!(world.starts, starts, "no finished job runs again");
     assert_eq!(world.on_record().count(), 0);
     assert_eq!(world.violations, Vec::<String>::new());
 }
 
-/// Callers may cancel a job while no owner is there who knows it.
+/// Callers may cancel a job while the cell has no owner that knows it.
 #[test]
 fn a_job_that_was_cancelled_before_it_was_known_never_starts_and_is_shown_as_cancelled() {
     let now = Timestamp::from_millis(2_000);
     let id = accepted(7).job;
     let mut engine = Engine::new(Epoch(1), Bounds::default(), Inheritance::default(), now);
     engine.cancel(&cancelled(id, Cancellation::Unseen), now);
-    assert_eq!(engine.state(id), None, "it may never have been handed in");
+    assert_eq!(
+        engine.state(id),
+        None,
+        "the job may never have been submitted"
+    );
     engine.submit(accepted(7), now);
     assert_eq!(engine.state(id), Some(State::Cancelled));
     assert_eq!(engine.counts().open_steps, 0);
@@ -95,10 +103,10 @@
     assert_eq!(engine.state(id), Some(State::Cancelled));
 }
 
-/// Its node was told that the store has refused it, and its word of that got lost. Nobody may be shown a job that was
-/// refused, and nothing of it is on record that could be taken off.
+/// The store has refused the job, and the node's message that says so got lost. Callers must not see a refused job, and
+/// the store has no acceptance of it to remove.
 #[test]
-fn a_cancelled_job_that_was_only_announced_is_not_put_on_record_as_seen() {
+fn a_cancelled_job_that_was_only_announced_is_neither_shown_nor_removed() {
     let start = Timestamp::from_millis(2_000);
     let id = accepted(7).job;
     let mut engine = Engine::new(Epoch(1), Bounds::default(), Inheritance::default(), start);
@@ -114,15 +122,15 @@
             _ => None,
         }));
     }
-    assert_eq!(engine.state(id), None, "it was never accepted");
+    assert_eq!(engine.state(id), None, "the job was never accepted");
     assert_eq!(forgotten, Vec::<Vec<Forgotten>>::new());
 }
 
-/// The next owner knows from the cancellation alone whether the job was ever handed in.
+/// The next owner knows only from the cancellation whether the job was ever submitted.
 #[rstest]
 #[case::unseen(Cancellation::Unseen, None)]
 #[case::seen(Cancellation::Seen, Some(State::Cancelled))]
-fn a_cancelled_job_that_is_off_the_record_is_shown_if_it_was_handed_in(
+fn a_cancelled_job_without_an_acceptance_on_record_is_shown_if_it_was_submitted(
     #[case] cancellation: Cancellation,
     #[case] shown: Option<State>,
 ) {
@@ -149,8 +157,8 @@
     }
 }
 
-/// How many jobs a day of the size to design for has.
-const JOBS: u64 = 12_000;
+/// How many jobs there are in a day of the load that the cell is designed for.
+const DAILY_JOBS: u64 = 12_000;
 
 fn accepted(job: u64) -> Accepted {
     Accepted {
@@ -168,18 +176,18 @@
     }
 }
 
-fn bytes(entry: &Entry) -> usize {
+fn encoded_len(entry: &Entry) -> usize {
     entry.key().len() + record::encode(entry).unwrap().len()
 }
 
 #[test]
-fn a_takeover_reads_little_of_the_jobs_that_are_over() {
-    let over = Progress {
+fn a_takeover_reads_little_of_finished_jobs() {
+    let finished = Progress {
         outcome: Some(Outcome::Completed),
         ..Progress::default()
     };
-    let all: Vec<Accepted> = (0..JOBS).map(accepted).collect();
-    let ended = all.iter().map(|accepted| (accepted.job, over.clone()));
+    let all: Vec<Accepted> = (0..DAILY_JOBS).map(accepted).collect();
+    let ended = all.iter().map(|accepted| (accepted.job, finished.clone()));
     let inheritance = Inheritance {
         accepted: all.clone(),
         progress: ended.clone().collect(),
@@ -194,17 +202,17 @@
         _ => None,
     });
     assert_eq!(forgotten.sum::<usize>(), all.len());
-    let acceptances = all
+    let acceptance_sizes = all
         .iter()
         .map(|accepted| record::encode(accepted).unwrap().len());
-    let before: usize = acceptances.sum();
-    let after: usize = ended
-        .map(|(job, progress)| bytes(&Entry::Job(job, progress)))
+    let acceptance_bytes: usize = acceptance_sizes.sum();
+    let remaining_bytes: usize = ended
+        .map(|(job, progress)| encoded_len(&Entry::Job(job, progress)))
         .sum();
     println!(
-        "{after} bytes of {JOBS} jobs that are over, {} before",
-        after + before
+        "{remaining_bytes} bytes for {DAILY_JOBS} finished jobs, {} with their acceptances",
+        remaining_bytes + acceptance_bytes
     );
-    assert!(after <= 400_000, "{after} bytes");
+    assert!(remaining_bytes <= 400_000, "{remaining_bytes} bytes");
     assert_eq!(engine.state(JobId(7 << 32)), Some(State::Completed));
 }
