--- a/crates/cell/tests/cell/crash.rs
+++ b/crates/cell/tests/cell/crash.rs
@@ -70,8 +70,9 @@
     step.task(last.count - 1)
 }
 
-/// Runs a minute with a job whose last task crashes its workers and with other jobs; returns the world, that job and the
-/// others.
+/// Runs a minute with a job whose last task crashes its workers and with other jobs.
+///
+/// Returns the world, that job and the others.
 fn run_scenario(
     queue: &str,
     steps: Vec<Step>,
@@ -135,12 +136,12 @@
     assert_eq!(world.completed(&others), others.len());
 }
 
-/// The crashed workers stay away until their leases have expired and come back under their ids, and owners change
+/// The crashed workers stay away until their leases have expired, then come back under their ids, and owners change
 /// meanwhile.
 ///
-/// A worker that is silent but still listed may only be cut off, so its crash is unconfirmed until it is known to be gone.
-/// If the owner dies before that and the next owner doesn't know of the unconfirmed crash, no crash is ever counted, and
-/// the task takes down one worker after the other until it is cancelled.
+/// A worker that is silent but still listed may only be cut off, so its crash is unconfirmed until it is known to be
+/// gone. If the owner dies before that and the next owner doesn't know of the unconfirmed crash, no crash is ever
+/// counted, and the task takes down one worker after the other until it is cancelled.
 #[rstest]
 #[case::a_single_task("urgent", vec![single_task()])]
 #[case::a_member_of_a_gang("gang", vec![gang()])]
@@ -300,8 +301,8 @@
     summarize(world, &others)
 }
 
-/// One task in 500 crashes its workers: it takes down three of them, the third without any other task, and the other jobs
-/// complete as often as without such tasks.
+/// One task in 500 crashes its workers: it takes down three of them, the third without any other task, and the other
+/// jobs complete as often as without such tasks.
 #[test]
 fn a_fleet_with_crashing_tasks_completes_the_other_jobs() {
     let baseline = run_fleet(1, 0);
--- a/crates/cell/tests/cell/incarnation.rs
+++ b/crates/cell/tests/cell/incarnation.rs
@@ -1,4 +1,4 @@
-//! One worker that restarts under its id: what the next incarnation tells, and what is on its way meanwhile.
+//! One worker that restarts under its id: what the next incarnation reports, and messages in flight meanwhile.
 
 use std::time::Duration;
 
@@ -59,7 +59,7 @@
 const FIRST: Incarnation = Incarnation(1_000);
 const SECOND: Incarnation = Incarnation(2_000);
 
-/// Makes a job of some tasks.
+/// Returns a job with this many tasks.
 fn accepted(job: JobId, count: u16, received: Timestamp) -> Accepted {
     let step = Step {
         count,
@@ -81,31 +81,31 @@
     }
 }
 
-/// An engine with one worker, whose calls are answered by hand.
-struct Rig {
+/// An engine with one worker; the test answers the calls to the worker.
+struct Harness {
     engine: Engine,
     now: Timestamp,
     worker: WorkerId,
-    holds: Vec<Hold>,
+    heartbeats: Vec<Hold>,
     starts: Vec<Start>,
     stops: Vec<Stop>,
-    notes: Vec<Note>,
+    log_records: Vec<Note>,
     records: Vec<Entry>,
     is_deposed: bool,
-    /// Whether the store answers.
+    /// Whether the store answers writes.
     has_store: bool,
 }
 
-impl Rig {
-    /// Makes one whose worker was heard as the first incarnation.
+impl Harness {
+    /// Creates a harness whose worker has answered as the first incarnation.
     fn new() -> Self {
-        let mut rig = Self::inheriting(Inheritance::default());
-        rig.register(FIRST);
-        rig.answer(FIRST, &[]);
-        rig
+        let mut harness = Self::inheriting(Inheritance::default());
+        harness.register(FIRST);
+        harness.send_inventory(FIRST, &[]);
+        harness
     }
 
-    /// Makes one of a new owner, whose worker was not heard yet.
+    /// Creates a harness of a new owner whose worker has not answered yet.
     fn inheriting(inheritance: Inheritance) -> Self {
         let now = Timestamp::from_millis(1_000);
         let mut engine = Engine::new(Epoch(1), Bounds::default(), inheritance, now);
@@ -114,10 +114,10 @@
             engine,
             now,
             worker: WorkerId::from("w1"),
-            holds: Vec::new(),
+            heartbeats: Vec::new(),
             starts: Vec::new(),
             stops: Vec::new(),
-            notes: Vec::new(),
+            log_records: Vec::new(),
             records: Vec::new(),
             is_deposed: false,
             has_store: true,
@@ -128,7 +128,7 @@
         self.report(incarnation, None);
     }
 
-    /// Has the worker report itself, and that it leaves after a while if it does.
+    /// Registers the worker; `leaving` is the time until it leaves, where it does.
     fn report(&mut self, incarnation: Incarnation, leaving: Option<Duration>) {
         let registration = Registration {
             id: self.worker.clone(),
@@ -141,11 +141,11 @@
             leaving,
         };
         self.engine.register(registration, self.now);
-        self.pass(Duration::ZERO);
+        self.advance(Duration::ZERO);
     }
 
-    /// Lets time pass and takes in what has to be done; records are kept at once, where the store answers.
-    fn pass(&mut self, span: Duration) {
+    /// Advances the time and collects the effects; records are written at once where the store answers.
+    fn advance(&mut self, span: Duration) {
         self.now = self.now + span;
         loop {
             let effects = self.engine.advance(self.now);
@@ -158,10 +158,10 @@
                         self.records.extend(entries);
                         self.engine.recorded(self.now);
                     }
-                    Effect::Hold(hold) => self.holds.push(hold),
+                    Effect::Hold(heartbeat) => self.heartbeats.push(heartbeat),
                     Effect::Start(start) => self.starts.push(*start),
                     Effect::Stop(stop) => self.stops.push(stop),
-                    Effect::Note(note) => self.notes.push(note),
+                    Effect::Note(note) => self.log_records.push(note),
                     Effect::Deposed => self.is_deposed = true,
                     _ => {}
                 }
@@ -169,13 +169,18 @@
         }
     }
 
-    /// Answers the last call as an incarnation that runs some tasks.
-    fn answer(&mut self, incarnation: Incarnation, running: &[(TaskId, Run)]) {
-        let hold = self.holds.pop().expect("the worker is called");
-        self.answer_to(&hold, incarnation, running);
+    /// Answers the last heartbeat as an incarnation that runs these tasks.
+    fn send_inventory(&mut self, incarnation: Incarnation, running: &[(TaskId, Run)]) {
+        let heartbeat = self.heartbeats.pop().expect("a heartbeat is in flight");
+        self.send_inventory_to(&heartbeat, incarnation, running);
     }
 
-    fn answer_to(&mut self, hold: &Hold, incarnation: Incarnation, running: &[(TaskId, Run)]) {
+    fn send_inventory_to(
+        &mut self,
+        heartbeat: &Hold,
+        incarnation: Incarnation,
+        running: &[(TaskId, Run)],
+    ) {
         let running = running.iter().map(|(task, run)| Running {
             task: *task,
             run: *run,
@@ -188,69 +193,71 @@
             running: running.collect(),
             ended: Vec::new(),
         };
-        self.held(hold, HoldAnswer::Listed(inventory));
+        self.answer_heartbeat(heartbeat, HoldAnswer::Listed(inventory));
     }
 
-    fn held(&mut self, hold: &Hold, answer: HoldAnswer) {
-        self.engine.held(&self.worker, hold.asked, answer, self.now);
-        self.pass(MILLISECOND);
+    fn answer_heartbeat(&mut self, heartbeat: &Hold, answer: HoldAnswer) {
+        self.engine
+            .held(&self.worker, heartbeat.asked, answer, self.now);
+        self.advance(MILLISECOND);
     }
 
     fn started(&mut self, task: TaskId, run: Run, answer: StartAnswer) {
         self.engine
             .started(&self.worker, task, run, answer, self.now);
-        self.pass(MILLISECOND);
+        self.advance(MILLISECOND);
     }
 
-    /// Submits a job of some tasks, whose orders leave.
+    /// Submits a job with this many tasks; returns the tasks whose start orders were sent.
     fn submit(&mut self, job: JobId, count: u16) -> Vec<TaskId> {
         self.engine.submit(accepted(job, count, self.now), self.now);
         let before = self.starts.len();
-        self.pass(50 * MILLISECOND);
+        self.advance(50 * MILLISECOND);
         self.starts[before..]
             .iter()
             .map(|start| start.task)
             .collect()
     }
 
-    fn believes(&self, word: &str) -> bool {
-        let mut notes = self.notes.iter();
-        notes.any(|note| matches!(note, Note::Worker { belief, .. } if *belief == word))
+    fn has_logged_belief(&self, expected: &str) -> bool {
+        let mut log_records = self.log_records.iter();
+        log_records.any(|note| matches!(note, Note::Worker { belief, .. } if *belief == expected))
     }
 
-    fn crashes(&self) -> usize {
-        let notes = self.notes.iter();
-        notes
+    fn crash_count(&self) -> usize {
+        let log_records = self.log_records.iter();
+        log_records
             .filter(|note| matches!(note, Note::Crashed { .. }))
             .count()
     }
 
-    /// Has the connections break and the second incarnation answer the next call, and the one with the raised fence.
+    /// Breaks the connection, then has the second incarnation answer the next heartbeat and the one with the raised
+    /// fence.
     fn restart(&mut self, running: &[(TaskId, Run)]) {
-        let hold = self.holds.pop().expect("the worker is called");
-        self.held(&hold, HoldAnswer::Broken);
-        self.pass(300 * MILLISECOND);
-        self.answer(SECOND, running);
-        self.answer(SECOND, running);
+        let heartbeat = self.heartbeats.pop().expect("a heartbeat is in flight");
+        self.answer_heartbeat(&heartbeat, HoldAnswer::Broken);
+        self.advance(300 * MILLISECOND);
+        self.send_inventory(SECOND, running);
+        self.send_inventory(SECOND, running);
     }
 }
 
 #[test]
-fn a_new_incarnation_is_called_with_a_higher_fence_before_anything_is_given_up() {
-    let mut rig = Rig::new();
-    let tasks = rig.submit(JobId(1), 1);
-    let hold = rig.holds.pop().unwrap();
-    rig.held(&hold, HoldAnswer::Broken);
-    rig.pass(300 * MILLISECOND);
-    rig.answer(SECOND, &[]);
-    let fence = rig.holds.last().unwrap().to.fence;
-    assert!(fence > hold.to.fence);
-    // Its order is on its way yet, and could arrive before that call.
-    assert_eq!(rig.starts.len(), 1);
-    rig.register(SECOND);
-    rig.answer(SECOND, &[]);
-    rig.pass(50 * MILLISECOND);
-    let again = rig.starts.last().unwrap();
+fn a_new_incarnation_gets_a_higher_fence_before_lost_tasks_are_started_again() {
+    let mut harness = Harness::new();
+    let tasks = harness.submit(JobId(1), 1);
+    let heartbeat = harness.heartbeats.pop().unwrap();
+    harness.answer_heartbeat(&heartbeat, HoldAnswer::Broken);
+    harness.advance(300 * MILLISECOND);
+    harness.send_inventory(SECOND, &[]);
+    let fence = harness.heartbeats.last().unwrap().to.fence;
+    assert!(fence > heartbeat.to.fence);
+    // The order is still in flight and could arrive before that heartbeat.
+    assert_eq!(harness.starts.len(), 1);
+    harness.register(SECOND);
+    harness.send_inventory(SECOND, &[]);
+    harness.advance(50 * MILLISECOND);
+    let again = harness.starts.last().unwrap();
     assert_eq!(
         (again.task, again.run, again.to.fence),
         (tasks[0], Run(2), fence)
@@ -258,80 +265,80 @@
 }
 
 #[test]
-fn an_order_that_is_refused_for_the_raised_fence_deposes_nobody() {
-    let mut rig = Rig::new();
-    let tasks = rig.submit(JobId(1), 1);
-    rig.restart(&[]);
-    rig.started(tasks[0], Run(1), StartAnswer::Fenced);
-    assert!(!rig.is_deposed);
-    // A later owner's fence shows in the answer to the next call.
-    let hold = rig.holds.pop().unwrap();
-    rig.held(&hold, HoldAnswer::Fenced);
-    assert!(rig.is_deposed);
+fn an_order_refused_for_the_raised_fence_doesn_t_depose_the_owner() {
+    let mut harness = Harness::new();
+    let tasks = harness.submit(JobId(1), 1);
+    harness.restart(&[]);
+    harness.started(tasks[0], Run(1), StartAnswer::Fenced);
+    assert!(!harness.is_deposed);
+    // The fence of a later owner shows in the answer to the next heartbeat.
+    let heartbeat = harness.heartbeats.pop().unwrap();
+    harness.answer_heartbeat(&heartbeat, HoldAnswer::Fenced);
+    assert!(harness.is_deposed);
 }
 
 #[test]
-fn a_call_that_is_refused_for_the_raised_fence_is_made_again() {
-    let mut rig = Rig::new();
-    rig.pass(MILLISECOND);
-    let main = rig.holds.pop().unwrap();
-    // The report of the next incarnation brings a second call, which is answered first.
-    rig.pass(5 * MILLISECOND);
-    rig.register(SECOND);
-    rig.answer(SECOND, &[]);
-    let calls = rig.holds.len();
-    rig.held(&main, HoldAnswer::Fenced);
-    assert!(!rig.is_deposed);
-    assert_eq!(rig.holds.len(), calls + 1);
+fn a_heartbeat_refused_for_the_raised_fence_is_sent_again() {
+    let mut harness = Harness::new();
+    harness.advance(MILLISECOND);
+    let first = harness.heartbeats.pop().unwrap();
+    // The registration of the next incarnation causes a second heartbeat, which is answered first.
+    harness.advance(5 * MILLISECOND);
+    harness.register(SECOND);
+    harness.send_inventory(SECOND, &[]);
+    let heartbeats = harness.heartbeats.len();
+    harness.answer_heartbeat(&first, HoldAnswer::Fenced);
+    assert!(!harness.is_deposed);
+    assert_eq!(harness.heartbeats.len(), heartbeats + 1);
 }
 
 #[test]
-fn an_answer_of_a_former_incarnation_that_was_overtaken_changes_nothing() {
-    let mut rig = Rig::new();
-    rig.pass(MILLISECOND);
-    let main = rig.holds.pop().unwrap();
-    rig.pass(5 * MILLISECOND);
-    rig.register(SECOND);
-    rig.answer(SECOND, &[]);
-    rig.notes.clear();
-    rig.answer_to(&main, FIRST, &[]);
-    assert!(!rig.believes("reborn"));
-    // The second one has no order that it doesn't list.
-    rig.answer(SECOND, &[]);
-    assert!(!rig.believes("reborn"));
+fn a_late_answer_of_a_former_incarnation_changes_nothing() {
+    let mut harness = Harness::new();
+    harness.advance(MILLISECOND);
+    let first = harness.heartbeats.pop().unwrap();
+    harness.advance(5 * MILLISECOND);
+    harness.register(SECOND);
+    harness.send_inventory(SECOND, &[]);
+    harness.log_records.clear();
+    harness.send_inventory_to(&first, FIRST, &[]);
+    assert!(!harness.has_logged_belief("reborn"));
+    // The second incarnation has no order that it doesn't list.
+    harness.send_inventory(SECOND, &[]);
+    assert!(!harness.has_logged_belief("reborn"));
 }
 
 #[test]
-fn what_the_next_incarnation_has_begun_did_not_go_down_with_the_one_before() {
-    let mut rig = Rig::new();
-    let tasks = rig.submit(JobId(1), 2);
-    rig.started(tasks[0], Run(1), StartAnswer::Started);
-    rig.started(tasks[1], Run(1), StartAnswer::Started);
-    rig.restart(&[(tasks[0], Run(1))]);
-    assert_eq!(rig.crashes(), 1);
-    assert_eq!(rig.engine.counts().claims, 1);
+fn a_run_that_the_next_incarnation_lists_did_not_crash_the_former_one() {
+    let mut harness = Harness::new();
+    let tasks = harness.submit(JobId(1), 2);
+    harness.started(tasks[0], Run(1), StartAnswer::Started);
+    harness.started(tasks[1], Run(1), StartAnswer::Started);
+    harness.restart(&[(tasks[0], Run(1))]);
+    assert_eq!(harness.crash_count(), 1);
+    assert_eq!(harness.engine.counts().claims, 1);
 }
 
 #[test]
-fn a_crash_is_not_taken_back_since_the_next_incarnation_answers() {
-    let mut rig = Rig::new();
+fn a_crash_is_not_retracted_when_the_next_incarnation_answers() {
+    let mut harness = Harness::new();
     for restart in 1..=5u64 {
         let tasks = match restart {
-            1 => rig.submit(JobId(1), 1),
-            _ => vec![rig.starts.last().unwrap().task],
+            1 => harness.submit(JobId(1), 1),
+            _ => vec![harness.starts.last().unwrap().task],
         };
-        let run = rig.starts.last().unwrap().run;
-        rig.started(tasks[0], run, StartAnswer::Started);
-        let hold = rig.holds.pop().unwrap();
-        rig.held(&hold, HoldAnswer::Broken);
-        rig.pass(300 * MILLISECOND);
+        let run = harness.starts.last().unwrap().run;
+        harness.started(tasks[0], run, StartAnswer::Started);
+        let heartbeat = harness.heartbeats.pop().unwrap();
+        harness.answer_heartbeat(&heartbeat, HoldAnswer::Broken);
+        harness.advance(300 * MILLISECOND);
         let next = Incarnation(1_000 + restart);
-        rig.answer(next, &[]);
-        rig.register(next);
-        rig.answer(next, &[]);
-        rig.pass(3 * Duration::from_secs(1));
+        harness.send_inventory(next, &[]);
+        harness.register(next);
+        harness.send_inventory(next, &[]);
+        harness.advance(3 * Duration::from_secs(1));
     }
-    let counted = rig.notes.iter().filter_map(|note| match note {
+    let counted = harness.log_records.iter().filter_map(|note| match note {
         Note::Crashed { crashes, .. } => Some(*crashes),
         _ => None,
     });
@@ -339,116 +346,116 @@
 }
 
 #[test]
-fn a_stop_that_a_former_incarnation_confirmed_is_ordered_of_the_next() {
-    let mut rig = Rig::new();
-    let tasks = rig.submit(JobId(1), 1);
+fn a_stop_confirmed_by_a_former_incarnation_is_ordered_of_the_next() {
+    let mut harness = Harness::new();
+    let tasks = harness.submit(JobId(1), 1);
     for _ in 0..3 {
-        rig.started(tasks[0], Run(1), StartAnswer::Silent);
+        harness.started(tasks[0], Run(1), StartAnswer::Silent);
     }
-    assert_eq!(rig.stops.len(), 1);
-    rig.engine.stopped(
-        &rig.worker,
+    assert_eq!(harness.stops.len(), 1);
+    harness.engine.stopped(
+        &harness.worker,
         tasks[0],
         Run(1),
         StopAnswer::Confirmed,
-        rig.now,
+        harness.now,
     );
-    rig.restart(&[]);
-    assert_eq!(rig.stops.len(), 2);
-    // One of the orders that got no answer may have left late and is refused from then on.
-    assert_eq!(rig.engine.counts().claims, 1);
+    harness.restart(&[]);
+    assert_eq!(harness.stops.len(), 2);
+    // One of the unanswered orders may still arrive late, and is refused from then on.
+    assert_eq!(harness.engine.counts().claims, 1);
 }
 
 #[test]
 fn a_worker_that_is_lost_and_comes_back_under_its_id_gets_a_higher_fence() {
-    let mut rig = Rig::new();
-    let first = rig.holds.pop().unwrap();
-    rig.held(&first, HoldAnswer::Gone);
-    rig.register(SECOND);
-    assert!(rig.holds.last().unwrap().to.fence > first.to.fence);
+    let mut harness = Harness::new();
+    let first = harness.heartbeats.pop().unwrap();
+    harness.answer_heartbeat(&first, HoldAnswer::Gone);
+    harness.register(SECOND);
+    assert!(harness.heartbeats.last().unwrap().to.fence > first.to.fence);
 }
 
 #[test]
-fn an_order_whose_worker_fell_silent_before_its_record_was_kept_does_not_leave() {
-    let mut rig = Rig::new();
-    rig.has_store = false;
-    assert_eq!(rig.submit(JobId(1), 1), []);
-    let hold = rig.holds.pop().unwrap();
-    rig.held(&hold, HoldAnswer::Broken);
-    rig.has_store = true;
-    rig.engine.recorded(rig.now);
-    rig.pass(50 * MILLISECOND);
-    assert_eq!(rig.starts, []);
-    // The same incarnation answers again, and the task is placed anew.
-    rig.pass(200 * MILLISECOND);
-    rig.answer(FIRST, &[]);
-    rig.pass(50 * MILLISECOND);
-    assert_eq!(rig.starts.len(), 1);
+fn an_order_is_not_sent_if_its_worker_falls_silent_before_its_record_is_written() {
+    let mut harness = Harness::new();
+    harness.has_store = false;
+    assert_eq!(harness.submit(JobId(1), 1), []);
+    let heartbeat = harness.heartbeats.pop().unwrap();
+    harness.answer_heartbeat(&heartbeat, HoldAnswer::Broken);
+    harness.has_store = true;
+    harness.engine.recorded(harness.now);
+    harness.advance(50 * MILLISECOND);
+    assert_eq!(harness.starts, []);
+    // The same incarnation answers again, and the task is placed again.
+    harness.advance(200 * MILLISECOND);
+    harness.send_inventory(FIRST, &[]);
+    harness.advance(50 * MILLISECOND);
+    assert_eq!(harness.starts.len(), 1);
 }
 
-/// An order waits for its record while the store is slow, and its worker says meanwhile that it leaves.
+/// An order waits for its record while the store is slow, and meanwhile its worker reports that it leaves.
 ///
-/// What is started there is lost with the worker, or crashes it at a moment when that looks as if it had left.
+/// A task started there is lost with the worker, or crashes it at a moment when the crash looks like a departure.
 #[test]
 fn an_order_that_waited_for_its_record_doesn_t_go_to_a_worker_that_leaves() {
-    let mut rig = Rig::new();
-    rig.has_store = false;
-    assert_eq!(rig.submit(JobId(1), 1), []);
-    rig.report(FIRST, Some(Duration::from_secs(2)));
-    rig.has_store = true;
-    rig.engine.recorded(rig.now);
-    rig.pass(50 * MILLISECOND);
-    assert_eq!(rig.starts, []);
+    let mut harness = Harness::new();
+    harness.has_store = false;
+    assert_eq!(harness.submit(JobId(1), 1), []);
+    harness.report(FIRST, Some(Duration::from_secs(2)));
+    harness.has_store = true;
+    harness.engine.recorded(harness.now);
+    harness.advance(50 * MILLISECOND);
+    assert_eq!(harness.starts, []);
 }
 
-/// An order gets no answer, and its worker says that it leaves before it is given again.
+/// An order gets no answer, and its worker reports that it leaves before the order is sent again.
 #[test]
 fn an_order_without_an_answer_is_not_given_again_to_a_worker_that_leaves() {
-    let mut rig = Rig::new();
-    let tasks = rig.submit(JobId(1), 1);
-    rig.report(FIRST, Some(Duration::from_secs(2)));
-    rig.started(tasks[0], Run(1), StartAnswer::Silent);
-    assert_eq!((rig.starts.len(), rig.stops.len()), (1, 1));
+    let mut harness = Harness::new();
+    let tasks = harness.submit(JobId(1), 1);
+    harness.report(FIRST, Some(Duration::from_secs(2)));
+    harness.started(tasks[0], Run(1), StartAnswer::Silent);
+    assert_eq!((harness.starts.len(), harness.stops.len()), (1, 1));
 }
 
-/// A worker goes down when it had just begun a task. That it had said that it leaves before doesn't clear the task: it
-/// gets nothing new for a while before it is gone.
+/// A worker crashes just after it started a task. That the worker has reported before that it leaves doesn't clear the
+/// task: a leaving worker gets no new task for a while before it is gone.
 #[test]
 fn a_crash_of_a_worker_that_leaves_is_counted() {
-    let mut rig = Rig::new();
-    let tasks = rig.submit(JobId(1), 1);
-    rig.report(FIRST, Some(Duration::from_secs(2)));
-    rig.started(tasks[0], Run(1), StartAnswer::Started);
-    let hold = rig.holds.pop().unwrap();
-    rig.held(&hold, HoldAnswer::Broken);
-    rig.pass(300 * MILLISECOND);
-    let hold = rig.holds.pop().unwrap();
-    rig.held(&hold, HoldAnswer::Gone);
-    assert_eq!(rig.crashes(), 1);
+    let mut harness = Harness::new();
+    let tasks = harness.submit(JobId(1), 1);
+    harness.report(FIRST, Some(Duration::from_secs(2)));
+    harness.started(tasks[0], Run(1), StartAnswer::Started);
+    let heartbeat = harness.heartbeats.pop().unwrap();
+    harness.answer_heartbeat(&heartbeat, HoldAnswer::Broken);
+    harness.advance(300 * MILLISECOND);
+    let heartbeat = harness.heartbeats.pop().unwrap();
+    harness.answer_heartbeat(&heartbeat, HoldAnswer::Gone);
+    assert_eq!(harness.crash_count(), 1);
 }
 
-/// Connections are reset: the order and the call for the inventory break, and the worker is heard again soon.
+/// A connection reset ends the order and the heartbeat without an answer, and the worker answers again soon.
 #[test]
-fn an_order_without_an_answer_is_given_again_once_its_silent_worker_is_heard() {
-    let mut rig = Rig::new();
-    let tasks = rig.submit(JobId(1), 1);
-    let hold = rig.holds.pop().unwrap();
-    rig.held(&hold, HoldAnswer::Broken);
-    rig.started(tasks[0], Run(1), StartAnswer::Silent);
-    assert_eq!(rig.starts.len(), 1);
-    rig.pass(200 * MILLISECOND);
-    rig.answer(FIRST, &[]);
-    assert_eq!((rig.starts.len(), rig.stops.len()), (2, 0));
-    assert_eq!(rig.starts[1].run, Run(1));
+fn an_unanswered_order_is_sent_again_once_its_silent_worker_answers() {
+    let mut harness = Harness::new();
+    let tasks = harness.submit(JobId(1), 1);
+    let heartbeat = harness.heartbeats.pop().unwrap();
+    harness.answer_heartbeat(&heartbeat, HoldAnswer::Broken);
+    harness.started(tasks[0], Run(1), StartAnswer::Silent);
+    assert_eq!(harness.starts.len(), 1);
+    harness.advance(200 * MILLISECOND);
+    harness.send_inventory(FIRST, &[]);
+    assert_eq!((harness.starts.len(), harness.stops.len()), (2, 0));
+    assert_eq!(harness.starts[1].run, Run(1));
 }
 
-/// Returns what is left of a job's progress on record.
+/// Returns a job's progress as it is read back from its record.
 fn read_back(progress: &Progress) -> Progress {
     let bytes = record::encode(progress).unwrap();
     record::decode(&bytes).unwrap()
 }
 
-/// Returns what a new owner finds of a task under which the worker's first incarnation went down, or may have.
+/// Returns what a new owner finds of a task that has crashed the worker's first incarnation, or may have.
 fn inherited(job: JobId, is_doubted: bool) -> Inheritance {
     let crash = Crash {
         run: Run(1),
@@ -482,30 +489,30 @@
     }
 }
 
-/// A former owner believed that a worker had gone down under a task, but it answers: nothing is held against the task any more.
+/// A former owner believed that a task had crashed a worker, but the worker answers: the crash no longer counts.
 #[rstest]
-#[case::that_was_doubted(true)]
+#[case::that_was_unconfirmed(true)]
 #[case::that_was_counted(false)]
 fn a_new_owner_takes_back_a_crash_of_a_worker_that_answers(#[case] is_doubted: bool) {
     let job = JobId(1);
-    let mut rig = Rig::inheriting(inherited(job, is_doubted));
-    rig.register(FIRST);
-    rig.answer(FIRST, &[]);
-    rig.pass(50 * MILLISECOND);
-    let kept = rig.records.iter().rev().find_map(|entry| match entry {
-        Entry::Job(of, progress) if *of == job => Some(progress),
+    let mut harness = Harness::inheriting(inherited(job, is_doubted));
+    harness.register(FIRST);
+    harness.send_inventory(FIRST, &[]);
+    harness.advance(50 * MILLISECOND);
+    let progress = harness.records.iter().rev().find_map(|entry| match entry {
+        Entry::Job(id, progress) if *id == job => Some(progress),
         _ => None,
     });
-    let kept = kept.expect("what is held against the task is kept anew");
-    assert_eq!(kept.occurrences[0].1[0].crashes, Vec::<Crashes>::new());
+    let progress = progress.expect("the task's crashes are recorded again");
+    assert_eq!(progress.occurrences[0].1[0].crashes, Vec::<Crashes>::new());
 }
 
-/// The worker answers as another incarnation: what a former owner doubted is certain now.
+/// The worker answers as another incarnation, which confirms the crash that a former owner could not confirm.
 #[test]
-fn a_new_owner_counts_a_doubted_crash_once_another_incarnation_answers() {
-    let mut rig = Rig::inheriting(inherited(JobId(1), true));
-    rig.register(SECOND);
-    assert_eq!(rig.crashes(), 0);
-    rig.answer(SECOND, &[]);
-    assert_eq!(rig.crashes(), 1);
+fn a_new_owner_counts_an_unconfirmed_crash_once_another_incarnation_answers() {
+    let mut harness = Harness::inheriting(inherited(JobId(1), true));
+    harness.register(SECOND);
+    assert_eq!(harness.crash_count(), 0);
+    harness.send_inventory(SECOND, &[]);
+    assert_eq!(harness.crash_count(), 1);
 }
--- a/crates/cell/tests/cell/limit.rs
+++ b/crates/cell/tests/cell/limit.rs
@@ -1,4 +1,5 @@
-//! Limits of workspaces: never exceeded, whatever becomes of orders, workers and owners, and at nobody else's cost.
+//! Resource limits of workspaces: they are never exceeded, whatever happens to orders, workers and owners, and a
+//! workspace at its limit doesn't delay others.
 
 use std::time::Duration;
 
@@ -57,7 +58,7 @@
     }
 }
 
-/// Makes a calm world of eight workers with room for four tasks each, and these limits.
+/// Creates a world without faults, with these limits and eight workers that have room for four tasks each.
 fn world(limits: &[(&'static str, u32)]) -> World {
     let mut world = World::new(1, Faults::default());
     world.set_limits(limits);
@@ -66,17 +67,17 @@
 }
 
 #[test]
-fn a_workspace_at_its_limit_runs_in_waves_and_holds_nobody_up() {
+fn a_workspace_at_its_limit_uses_all_of_it_and_delays_no_other() {
     let mut world = world(&[("hot", 4), ("calm", 32)]);
     let hot = world.submit_for("hot", "batch", vec![step(24)]);
     world.run(SECOND / 10);
     let calm = world.submit_for("calm", "batch", vec![step(20)]);
-    let mut most = 0;
+    let mut peak = 0;
     for _ in 0..40 {
         world.run(SECOND / 10);
-        most = most.max(world.running(&name("hot")).cpu.get() / TASK.cpu.get());
+        peak = peak.max(world.running(&name("hot")).cpu.get() / TASK.cpu.get());
     }
-    assert_eq!(most, 4, "all of the limit is used, and no more");
+    assert_eq!(peak, 4, "the whole limit is used and not exceeded");
     assert_eq!(world.engine.state(calm), Some(State::Completed));
     assert!(world.waits.contains(&(hot, Wait::Limit)));
     world.run(20 * SECOND);
@@ -84,17 +85,18 @@
     assert_eq!(world.violations, Vec::<String>::new());
 }
 
-/// Single tasks of the same workspace would take each piece of its limit before there is enough for the gang.
+/// Without a reservation, single tasks of the same workspace take what becomes free of its limit, so that it never
+/// suffices for the gang.
 #[test]
-fn a_gang_comes_to_its_limit_beside_smaller_tasks_of_its_workspace() {
+fn a_gang_starts_under_its_limit_beside_smaller_tasks_of_its_workspace() {
     let mut world = world(&[("hot", 4)]);
-    let come = |world: &mut World| {
-        // They take four fifths of the limit, by and by.
+    let submit_single = |world: &mut World| {
+        // These tasks use about four fifths of the limit after some time.
         world.submit_for("hot", "batch", vec![step(1)]);
         world.run(SECOND / 2);
     };
-    (0..8).for_each(|_| come(&mut world));
-    // It is in time for some seconds.
+    (0..8).for_each(|_| submit_single(&mut world));
+    // With this estimate the gang is in time for some seconds.
     let long = Step {
         estimate: 5 * SECOND,
         ..gang(4)
@@ -102,11 +104,11 @@
     let gang = world.submit_for("hot", "gang", vec![long]);
     let mut waited = 0;
     while world.engine.state(gang) != Some(State::Completed) && waited < 60 {
-        come(&mut world);
+        submit_single(&mut world);
         waited += 1;
     }
     // Tasks run for up to 3 s.
-    assert!(waited <= 14, "it took {waited} halves of a second");
+    assert!(waited <= 14, "the gang waited {waited} half seconds");
     assert_eq!(world.violations, Vec::<String>::new());
 }
 
@@ -115,7 +117,7 @@
 #[case::a_gang_that_never_can(gang(5), Err(Invalid::Limit(0)))]
 #[case::tasks_that_can_run_one_after_the_other(step(50), Ok(()))]
 #[case::a_task_that_never_can(Step { size: size(1_000, 5_000), ..step(1) }, Err(Invalid::Limit(0)))]
-fn a_job_that_its_workspace_can_never_run_is_known_at_once(
+fn a_job_that_its_workspace_can_never_run_is_invalid(
     #[case] step: Step,
     #[case] expected: Result<(), Invalid>,
 ) {
@@ -132,7 +134,7 @@
 }
 
 #[test]
-fn a_gang_that_a_lowered_limit_leaves_no_room_waits_for_it_and_holds_no_other_up() {
+fn a_gang_larger_than_a_lowered_limit_waits_and_delays_no_other_job() {
     let mut world = world(&[("hot", 8)]);
     world.set_limits(&[("hot", 3)]);
     let gang = world.submit_for("hot", "gang", vec![gang(4)]);
@@ -152,11 +154,11 @@
     #[values(false, true)] takes_over: bool,
 ) {
     let mut world = world(&[("hot", 12)]);
-    let lasting = Step {
+    let long_running = Step {
         lasting: true,
         ..step(12)
     };
-    world.submit_for("hot", "batch", vec![lasting]);
+    world.submit_for("hot", "batch", vec![long_running]);
     world.run(SECOND);
     assert_eq!(world.running(&name("hot")), TASK.checked_mul(12).unwrap());
     world.set_limits(&[("hot", 4)]);
@@ -171,9 +173,9 @@
     assert_eq!(world.violations, Vec::<String>::new());
 }
 
-/// The record of a start waits for the store; by the time that it is kept a lower limit is in force.
+/// The record of a start waits for the store; by the time it is written, a lower limit is in force.
 #[test]
-fn an_order_that_waited_for_its_record_does_not_leave_above_a_limit_that_was_lowered_meanwhile() {
+fn an_order_that_waited_for_its_record_is_not_sent_above_a_lowered_limit() {
     let mut world = world(&[("hot", 12)]);
     world.lose_store(3 * SECOND);
     let job = world.submit_for("hot", "batch", vec![step(12)]);
@@ -184,21 +186,21 @@
     assert_eq!(world.engine.state(job), Some(State::Completed));
 }
 
-/// Nobody is stopped, and nobody asked for advice, for a step that its own limit holds back.
+/// For a step held back by its own limit, no task is preempted and no advice is requested.
 #[test]
-fn nobody_makes_way_for_a_step_that_its_limit_holds_back() {
+fn no_task_is_preempted_for_a_step_that_its_limit_holds_back() {
     let mut world = world(&[("hot", 4), ("calm", 32)]);
-    let lasting = Step {
+    let long_running = Step {
         lasting: true,
         ..step(4)
     };
-    world.submit_for("hot", "batch", vec![lasting]);
+    world.submit_for("hot", "batch", vec![long_running]);
     world.run(SECOND / 5);
-    let yielding = Step {
+    let preemptible = Step {
         checkpointing: true,
         ..step(200)
     };
-    world.submit_for("calm", "batch", vec![yielding]);
+    world.submit_for("calm", "batch", vec![preemptible]);
     world.run(SECOND / 5);
     let asked = world.asked.len();
     let urgent = world.submit_for("hot", "urgent", vec![step(2)]);
@@ -210,13 +212,13 @@
 }
 
 #[test]
-fn runs_on_workers_that_are_cut_off_count_until_their_leases_have_lapsed() {
+fn runs_on_workers_that_are_cut_off_count_until_their_leases_have_expired() {
     let mut world = world(&[("hot", 4)]);
-    let lasting = Step {
+    let long_running = Step {
         lasting: true,
         ..step(4)
     };
-    world.submit_for("hot", "batch", vec![lasting]);
+    world.submit_for("hot", "batch", vec![long_running]);
     world.run(SECOND);
     for worker in world.workers.values_mut() {
         worker.cut_until = world.now + 4 * SECOND;
@@ -247,8 +249,8 @@
 }
 
 #[rstest]
-#[case::while_it_is_remembered_whole(1)]
-#[case::when_only_its_end_is_remembered(12)]
+#[case::while_the_whole_job_is_known(1)]
+#[case::when_only_its_outcome_is_known(12)]
 fn callers_of_another_workspace_do_not_learn_that_a_job_exists(#[case] seconds: u32) {
     let (hot, calm) = (name("hot"), name("calm"));
     let mut world = world(&[("hot", 4), ("calm", 32)]);
@@ -266,7 +268,7 @@
     }
 }
 
-/// The cancellation is on record before the job is, and stays there: ids are the callers' own choice.
+/// Callers choose the ids of jobs, so a cancellation may be recorded before the job, and it stays on record.
 #[rstest]
 #[case::before_it_was_known(true)]
 #[case::when_it_was_known(false)]
@@ -290,9 +292,9 @@
     assert_eq!(world.engine.state(job), Some(State::Completed));
 }
 
-/// An id belongs to the workspace whose job was known first; another one's under it never runs.
+/// An id belongs to the workspace whose job was known first; a job of another workspace with the same id never runs.
 #[test]
-fn a_job_under_the_id_of_another_workspace_changes_nothing_of_that_ones() {
+fn a_job_with_the_id_of_a_job_of_another_workspace_does_not_affect_it() {
     let mut world = world(&[("hot", 4), ("calm", 32)]);
     let first = world.hand_in_for("hot", "batch", vec![step(2)]);
     let mut second = world.hand_in_for("calm", "batch", vec![step(4)]);
@@ -306,9 +308,10 @@
     assert_eq!(world.starts, 2);
 }
 
-/// A new owner finds both on record, that which never ran first; what was done is the other one's.
+/// A new owner finds the acceptances of both jobs, first the one that never ran; the progress on record belongs to the
+/// other one.
 #[test]
-fn an_id_stays_the_job_of_which_something_is_done_over_a_takeover() {
+fn a_takeover_leaves_an_id_to_the_job_that_has_progress() {
     let mut world = world(&[("hot", 4), ("calm", 32)]);
     let mut late = world.hand_in_for("calm", "batch", vec![step(4)]);
     let then = Step {
@@ -331,7 +334,7 @@
 }
 
 #[test]
-fn a_count_tells_only_of_the_jobs_of_ones_own_workspace() {
+fn the_pending_count_includes_only_jobs_of_the_callers_workspace() {
     let mut world = world(&[("hot", 1), ("calm", 1)]);
     let batch = "batch".into();
     for _ in 0..3 {
@@ -347,10 +350,11 @@
     assert_eq!(world.engine.pending_for(&batch, Some(&name("calm"))), 0);
 }
 
-/// One workspace sends half as much again as the whole fleet bears, beside two that send what they usually do: these are
-/// served as if it weren't there, and it gets all of its limit.
+/// One workspace submits half as much again as the whole fleet can handle, and two others submit their usual load.
+///
+/// The others are served as if the first one weren't there, and the first one gets its whole limit.
 #[test]
-fn a_hot_workspace_takes_nothing_from_the_others() {
+fn an_overloaded_workspace_does_not_delay_the_others() {
     let nodes = ["a", "b", "c", "d", "e", "f"];
     let mut world = World::sized(1, Faults::default(), 48, &nodes);
     world.set_limits(&[("hot", 84), ("calm", 192), ("small", 48)]);
@@ -358,7 +362,7 @@
     let mut others = Vec::new();
     let mut hot = Vec::new();
     let mut used = Vec::new();
-    // The fleet bears some 12 tasks in each tenth of a second.
+    // The fleet can handle some 12 tasks in each tenth of a second.
     for tick in 0..100 {
         hot.extend((0..9).map(|_| world.submit_for("hot", "batch", vec![step(2)])));
         others.push(world.submit_for("calm", "urgent", vec![step(2)]));
@@ -370,18 +374,23 @@
         world.run(SECOND / 10);
         used.push(world.running(&name("hot")).cpu.get() / TASK.cpu.get());
     }
-    // Two tasks that run for up to 3 s, one after the other at the worst.
+    // At worst, two tasks of up to 3 s each run one after the other.
     world.run(6 * SECOND);
     assert_eq!(world.violations, Vec::<String>::new());
     assert_eq!(world.completed(&others), others.len());
     let steady = &used[40..];
     let mean = steady.iter().sum::<u32>() as usize / steady.len();
-    assert!(mean >= 75, "the hot one has {mean} tasks running of 84");
+    assert!(
+        mean >= 75,
+        "the overloaded workspace runs {mean} tasks on average, with a limit of 84"
+    );
     assert!(world.completed(&hot) > 150);
 }
 
-/// Plays a history of two workspaces, one of which is kept to a limit that is lowered and raised.
-fn play(seed: u64, faults: Faults) -> Vec<String> {
+/// Runs a history of two workspaces whose limits are lowered and raised.
+///
+/// Returns the violations found.
+fn run_history(seed: u64, faults: Faults) -> Vec<String> {
     let mut world = World::new(seed, faults);
     world.set_limits(&[("hot", 6), ("calm", 10)]);
     world.run(SECOND);
@@ -412,16 +421,16 @@
     world.violations
 }
 
-/// Everything that can go wrong, together, with entries of other writers and workers that are replaced.
-const ALL: Faults = Faults {
+/// All faults together, with entries of other writers and workers that are replaced.
+const ALL_FAULTS: Faults = Faults {
     foreign: 30,
     releases: 30,
     ..history::ALL
 };
 
 #[test]
-fn a_calm_history_with_limits_completes_every_job() {
-    assert_eq!(play(1, Faults::default()), Vec::<String>::new());
+fn a_history_with_limits_and_no_faults_completes_every_job() {
+    assert_eq!(run_history(1, Faults::default()), Vec::<String>::new());
 }
 
 proptest! {
@@ -430,22 +439,22 @@
     #[test]
     fn no_start_goes_above_a_limit_when_orders_are_lost_or_late(seed in any::<u64>()) {
         let faults = Faults { lost_orders: 120, lost_holds: 30, failures: 50, announced: 300, ..Faults::default() };
-        prop_assert_eq!(play(seed, faults), Vec::<String>::new());
+        prop_assert_eq!(run_history(seed, faults), Vec::<String>::new());
     }
 
     #[test]
     fn no_start_goes_above_a_limit_when_owners_die(seed in any::<u64>()) {
         let faults = Faults { takeovers: 250, lost_orders: 40, outages: 60, announced: 300, ..Faults::default() };
-        prop_assert_eq!(play(seed, faults), Vec::<String>::new());
+        prop_assert_eq!(run_history(seed, faults), Vec::<String>::new());
     }
 
     #[test]
-    fn no_start_goes_above_a_limit_when_all_of_that_comes_together(seed in any::<u64>()) {
-        prop_assert_eq!(play(seed, ALL), Vec::<String>::new());
+    fn no_start_goes_above_a_limit_when_all_faults_come_together(seed in any::<u64>()) {
+        prop_assert_eq!(run_history(seed, ALL_FAULTS), Vec::<String>::new());
     }
 
     #[test]
     fn no_start_goes_above_a_limit_when_workers_restart_under_their_ids(seed in any::<u64>()) {
-        prop_assert_eq!(play(seed, Faults { restarts: 40, ..ALL }), Vec::<String>::new());
+        prop_assert_eq!(run_history(seed, Faults { restarts: 40, ..ALL_FAULTS }), Vec::<String>::new());
     }
 }
--- a/crates/cell/tests/cell/pending.rs
+++ b/crates/cell/tests/cell/pending.rs
@@ -1,4 +1,4 @@
-//! How many jobs are said to wait.
+//! The number of pending jobs that the engine reports.
 
 use std::time::Duration;
 
@@ -53,7 +53,7 @@
 };
 
 #[test]
-fn a_job_whose_start_came_to_nothing_still_waits() {
+fn a_job_whose_start_order_gets_no_answer_is_still_pending() {
     let faults = Faults {
         lost_orders: 1_000,
         ..Faults::default()
@@ -76,8 +76,8 @@
     assert_eq!(world.violations, Vec::<String>::new());
 }
 
-/// The jobs that are over when a new owner takes over, and as many that wait.
-const EACH: u64 = 5;
+/// How many jobs are over when a new owner takes over, and as many wait.
+const JOBS_EACH: u64 = 5;
 
 fn accepted(job: u64) -> Accepted {
     Accepted {
@@ -95,8 +95,8 @@
     }
 }
 
-/// Returns the first task of a job and its run.
-fn first(job: u64) -> (TaskId, Run) {
+/// Returns the first task of a job and its first run.
+fn first_run(job: u64) -> (TaskId, Run) {
     let step = StepId {
         job: JobId(job),
         occurrence: 0,
@@ -105,12 +105,12 @@
     (step.task(0), Run(1))
 }
 
-/// Makes the engine of a new owner with one worker and jobs from 1 on, some of which are over, and takes in what
-/// the worker lists.
-fn inherit(over: Inheritance, listed: Inventory) -> Engine {
+/// Creates the engine of a new owner with one worker and jobs with ids from 1 on, some of which are over, and has the
+/// worker answer with this inventory.
+fn take_over(over: Inheritance, listed: Inventory) -> Engine {
     let now = Timestamp::from_millis(2_000);
     let inheritance = Inheritance {
-        accepted: (1..=2 * EACH).map(accepted).collect(),
+        accepted: (1..=2 * JOBS_EACH).map(accepted).collect(),
         ..over
     };
     let mut engine = Engine::new(Epoch(2), Bounds::default(), inheritance, now);
@@ -139,21 +139,23 @@
     engine
 }
 
-// A former owner's last record says that jobs are over, and it gave the cell up before it told their workers to
-// forget the ends. On a day of a slow store that were 21 to 29 jobs of one queue; 25 jobs fewer were said to wait
-// than waited, until the cell changed hands again.
+// A former owner records that jobs are over, but gives the cell up before it acknowledges their ends to the workers, so
+// they report these ends again to the new owner. With a slow store this happens to 21 to 29 jobs of one queue. If these
+// ends lower the number of pending jobs, the engine reports 25 jobs fewer than there are until the next takeover.
 #[test]
-fn ends_of_jobs_that_are_over_take_none_from_those_that_wait() {
-    let over = Progress {
+fn ends_of_jobs_that_are_over_do_not_lower_the_pending_count() {
+    let completed = Progress {
         outcome: Some(Outcome::Completed),
         ..Progress::default()
     };
     let over = Inheritance {
-        progress: (1..=EACH).map(|job| (JobId(job), over.clone())).collect(),
+        progress: (1..=JOBS_EACH)
+            .map(|job| (JobId(job), completed.clone()))
+            .collect(),
         ..Inheritance::default()
     };
-    let ended = (1..=EACH).map(|job| {
-        let (task, run) = first(job);
+    let ended = (1..=JOBS_EACH).map(|job| {
+        let (task, run) = first_run(job);
         Ended {
             serial: job,
             task,
@@ -168,15 +170,18 @@
         running: Vec::new(),
         ended: ended.collect(),
     };
-    let engine = inherit(over, listed);
-    assert_eq!(u64::from(engine.pending(&QueueName::from("batch"))), EACH);
+    let engine = take_over(over, listed);
+    assert_eq!(
+        u64::from(engine.pending(&QueueName::from("batch"))),
+        JOBS_EACH
+    );
 }
 
-// The same for jobs that were cancelled before the cell changed hands and whose tasks are listed still.
+// The same for jobs that were cancelled before the takeover and whose tasks the worker still lists.
 #[test]
-fn runs_of_jobs_that_are_cancelled_take_none_from_those_that_wait() {
+fn runs_of_cancelled_jobs_do_not_lower_the_pending_count() {
     let over = Inheritance {
-        cancelled: (1..=EACH)
+        cancelled: (1..=JOBS_EACH)
             .map(|job| Cancelled {
                 job: JobId(job),
                 workspace: None,
@@ -185,8 +190,8 @@
             .collect(),
         ..Inheritance::default()
     };
-    let running = (1..=EACH).map(|job| {
-        let (task, run) = first(job);
+    let running = (1..=JOBS_EACH).map(|job| {
+        let (task, run) = first_run(job);
         Running {
             task,
             run,
@@ -200,19 +205,22 @@
         running: running.collect(),
         ended: Vec::new(),
     };
-    let engine = inherit(over, listed);
-    assert_eq!(u64::from(engine.pending(&QueueName::from("batch"))), EACH);
+    let engine = take_over(over, listed);
+    assert_eq!(
+        u64::from(engine.pending(&QueueName::from("batch"))),
+        JOBS_EACH
+    );
 }
 
-// A stop that overtakes its start has the start turned away as old, and nothing has begun. Found by reading; no log
-// has shown it.
+// If a stop overtakes its start, the worker refuses the start as old and begins nothing. Found by reading the code; no
+// log has shown it.
 #[test]
-fn a_job_whose_start_was_turned_away_as_old_still_waits() {
+fn a_job_whose_start_is_refused_as_old_is_still_pending() {
     let mut world = World::new(1, Faults::default());
     world.run(Duration::from_secs(1));
     let job = world.submit("batch", vec![quick_step()]);
     let worker = world.workers.keys().next().cloned().unwrap();
-    let (task, run) = first(job.0);
+    let (task, run) = first_run(job.0);
     let now = world.now;
     world
         .engine
--- a/crates/cell/tests/cell/preempt.rs
+++ b/crates/cell/tests/cell/preempt.rs
@@ -1,9 +1,9 @@
-//! Preemption: it is worth what starts because of it, and comes to rest.
+//! Preemption: it stops no more tasks than the steps that start because of it need, and it comes to an end.
 //!
-//! Long after some workers had gone down, half of all runs of a fleet were stopped, and one task was placed some forty times: gangs
-//! that were late had tasks make way that were in time, and these came before the gangs in the next pass and took the
-//! room back. The owner's log showed it: 2,023 decisions to make room, 108 of which were followed by a start of the step
-//! that they were for, on the same worker.
+//! If late gangs preempt tasks that are in time, and these come before the gangs in the next scheduling pass, the tasks
+//! take the room back and the preemptions repeat. Long after some workers have failed, half of all runs of a fleet are
+//! then still stopped, and one task is placed some forty times. The owner's log shows this fault when few preemptions
+//! are followed by a start of the step that they were for on the same worker: 108 of 2,023.
 
 use std::time::Duration;
 
@@ -23,11 +23,11 @@
 
 /// How many workers there are, with room for four tasks of the usual size each.
 const WORKERS: u32 = 48;
-/// How many members a gang has; each takes a whole worker.
+/// How many members a gang has; each fills a whole worker.
 const MEMBERS: u16 = 8;
 
-/// Tasks that save their work and make way for others.
-fn yielding() -> Step {
+/// Returns a step whose tasks save checkpoints and may be preempted.
+fn preemptible() -> Step {
     Step {
         count: 4,
         checkpointing: true,
@@ -46,37 +46,39 @@
     }
 }
 
-/// Plays 20 s of a load in parts of a hundred of what the fleet bears; some gangs come in the middle, late already.
-fn play(seed: u64, load: u32, late: usize) -> (World, Vec<JobId>) {
+/// Runs 20 s with a load in percent of what the fleet can handle; after 5 s some gangs come that are already late.
+fn run_load(seed: u64, load: u32, late_gang_count: usize) -> (World, Vec<JobId>) {
     let nodes = ["a", "b", "c", "d", "e", "f"];
     let mut world = World::sized(seed, Faults::default(), WORKERS, &nodes);
     world.run(Duration::from_secs(1));
     let mut gangs = Vec::new();
-    let mut share = 0;
+    let mut percent_due = 0;
     for tick in 0..200 {
         if tick == 50 {
             let ago = Duration::from_secs(8);
-            gangs.extend((0..late).map(|_| world.submit_late("gang", vec![wide_gang()], ago)));
+            gangs.extend(
+                (0..late_gang_count).map(|_| world.submit_late("gang", vec![wide_gang()], ago)),
+            );
         }
-        // The fleet bears three of these jobs each tenth of a second.
-        share += 3 * load;
-        for _ in 0..share / 100 {
-            world.submit("batch", vec![yielding()]);
+        // The fleet can handle three of these jobs in each tenth of a second.
+        percent_due += 3 * load;
+        for _ in 0..percent_due / 100 {
+            world.submit("batch", vec![preemptible()]);
         }
-        share %= 100;
+        percent_due %= 100;
         world.run(Duration::from_millis(100));
     }
     (world, gangs)
 }
 
-/// What makes room for a late gang starts it, or isn't done: no more tasks make way than the gangs have taken the room of.
+/// A preemption for a late gang lets that gang start, so no more tasks are preempted than the gangs take the room of.
 #[rstest]
-fn no_more_tasks_make_way_than_the_steps_that_start_need(
+fn no_more_tasks_are_preempted_than_the_steps_that_start_need(
     #[values(70, 85, 95)] load: u32,
     #[values(1, 2, 3)] seed: u64,
 ) {
-    let (mut world, gangs) = play(seed, load, 4);
-    let ended = world.now;
+    let (mut world, gangs) = run_load(seed, load, 4);
+    let load_ended = world.now;
     world.run(Duration::from_secs(30));
     assert_eq!(world.violations, Vec::<String>::new());
     let states = gangs.iter().map(|gang| world.engine.state(*gang));
@@ -87,8 +89,11 @@
     );
     // Each member takes the room of four tasks.
     let needed = gangs.len() * usize::from(MEMBERS) * 4;
-    let made_way = world.preempted.len();
-    assert!(made_way <= needed, "{made_way} made way, {needed} would do");
-    let rest = ended + Duration::from_secs(5);
-    assert!(world.preempted.iter().all(|(at, _)| *at <= rest));
+    let preempted = world.preempted.len();
+    assert!(
+        preempted <= needed,
+        "{preempted} preempted, {needed} would suffice"
+    );
+    let settled_by = load_ended + Duration::from_secs(5);
+    assert!(world.preempted.iter().all(|(at, _)| *at <= settled_by));
 }
--- a/crates/cell/tests/cell/restart.rs
+++ b/crates/cell/tests/cell/restart.rs
@@ -1,14 +1,15 @@
-//! Workers that come back under the ids that they had, and count from one again.
+//! Workers that restart under the same id and number the ends of their runs from one again.
 //!
-//! Seventeen of 48 workers restarted within half a second. What they ran from then on succeeded, was not noticed for seconds, and
-//! was started a second time, two tasks at the same moment. On a fleet of 350 whose workers restarted each 14 s, accepted jobs were
-//! left with tasks that waited for room to the end of the day, while less than half of the fleet was in use.
+//! A worker numbers the ends of its runs. If the owner stores the last processed number by the worker's id alone, it
+//! skips the ends of a new incarnation up to that number: their runs keep their room, and their tasks count as running.
+//! Once the new count passes the old one, the owner acknowledges all these ends at once, the worker lists the runs no
+//! more, and their tasks are started again although they have succeeded.
 //!
-//! A worker numbers the ends of its runs. The owner remembered by the worker's id the last number that it had taken in, and
-//! passed over ends up to it, those of the new incarnation too: their runs kept their room, and their tasks counted as
-//! running. Once the new count passed the old one, all those ends were acknowledged at once, the runs were listed no more, and
-//! their tasks started again. The evidence: of the doubled runs no end was logged, their tasks waited again in the very
-//! instant of the first end that was, and 2,333 runs took room on a fleet that was more than half empty.
+//! When 17 of 48 workers restart within half a second, finished runs go unnoticed for seconds and tasks run twice, two
+//! of them at the same moment. When the workers of a fleet of 350 restart every 14 s, tasks of accepted jobs wait for
+//! room without end while less than half of the fleet is in use: 2,333 runs hold room that nothing uses. The log shows
+//! this fault when no end is logged for the repeated runs, and their tasks wait again at the moment of the first end
+//! that is logged.
 
 use std::time::Duration;
 
@@ -32,8 +33,8 @@
     }]
 }
 
-/// Makes a world in which each worker has told of some dozens of ends.
-fn experienced(faults: Faults) -> World {
+/// Creates a world in which each worker has reported some dozens of ends of runs.
+fn world_with_ended_runs(faults: Faults) -> World {
     let mut world = World::new(1, faults);
     world.run(Duration::from_secs(1));
     for _ in 0..20 {
@@ -46,9 +47,9 @@
 #[rstest]
 #[case::connections_break(Restart::default())]
 #[case::connections_fall_silent(Restart { is_broken: false, ..Restart::default() })]
-#[case::it_reports_itself_late(LATE)]
-fn what_a_new_incarnation_has_done_is_done(#[case] restart: Restart) {
-    let mut world = experienced(Faults::default());
+#[case::registration_comes_late(LATE_REGISTRATION)]
+fn ends_reported_by_a_new_incarnation_count(#[case] restart: Restart) {
+    let mut world = world_with_ended_runs(Faults::default());
     world.restart_all(restart);
     world.run(Duration::from_secs(2));
     let starts = world.starts;
@@ -61,22 +62,26 @@
     assert_eq!(world.engine.counts().claims, 0);
 }
 
-/// What befalls the cell meanwhile, once in some seconds.
+/// What else goes wrong in the cell meanwhile, at intervals of some seconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Beside {
+enum Disturbance {
     Nothing,
     Takeovers,
     Outages,
     LostOrders,
 }
 
-/// Plays forty seconds in which one worker restarts each second; returns the world and its jobs.
-fn play(restart: Restart, beside: Beside) -> (World, Vec<JobId>) {
+/// Runs 40 s in which one worker restarts each second, and 60 s without faults; returns the world and its jobs.
+fn run_restarts(restart: Restart, disturbance: Disturbance) -> (World, Vec<JobId>) {
     let faults = Faults {
-        lost_orders: if beside == Beside::LostOrders { 100 } else { 0 },
+        lost_orders: if disturbance == Disturbance::LostOrders {
+            100
+        } else {
+            0
+        },
         ..Faults::default()
     };
-    let mut world = experienced(faults);
+    let mut world = world_with_ended_runs(faults);
     let ids: Vec<_> = world.workers.keys().cloned().collect();
     let mut jobs = Vec::new();
     for second in 0..40 {
@@ -88,9 +93,9 @@
         };
         jobs.push(world.submit("gang", vec![gang]));
         world.restart(&ids[second % ids.len()], restart);
-        match beside {
-            Beside::Takeovers if second % 3 == 1 => world.take_over(),
-            Beside::Outages if second % 5 == 1 => world.lose_store(Duration::from_secs(2)),
+        match disturbance {
+            Disturbance::Takeovers if second % 3 == 1 => world.take_over(),
+            Disturbance::Outages if second % 5 == 1 => world.lose_store(Duration::from_secs(2)),
             _ => {}
         }
         world.run(Duration::from_secs(1));
@@ -101,26 +106,26 @@
 }
 
 #[rstest]
-#[case::connections_break(Restart::default(), Beside::Nothing)]
-#[case::connections_fall_silent(Restart { is_broken: false, ..Restart::default() }, Beside::Nothing)]
-#[case::it_is_away_for_long(Restart { away: Duration::from_secs(3), ..Restart::default() }, Beside::Nothing)]
-#[case::it_is_back_at_once(Restart { away: Duration::from_millis(20), ..Restart::default() }, Beside::Nothing)]
-#[case::while_owners_change(Restart::default(), Beside::Takeovers)]
-#[case::while_the_store_goes_away(Restart::default(), Beside::Outages)]
-#[case::while_orders_are_lost(Restart::default(), Beside::LostOrders)]
-#[case::silent_while_orders_are_lost(Restart { is_broken: false, ..Restart::default() }, Beside::LostOrders)]
-fn every_job_comes_to_its_end_though_workers_restart(
+#[case::connections_break(Restart::default(), Disturbance::Nothing)]
+#[case::connections_fall_silent(Restart { is_broken: false, ..Restart::default() }, Disturbance::Nothing)]
+#[case::it_is_away_for_long(Restart { away: Duration::from_secs(3), ..Restart::default() }, Disturbance::Nothing)]
+#[case::it_is_back_at_once(Restart { away: Duration::from_millis(20), ..Restart::default() }, Disturbance::Nothing)]
+#[case::while_owners_change(Restart::default(), Disturbance::Takeovers)]
+#[case::while_the_store_goes_away(Restart::default(), Disturbance::Outages)]
+#[case::while_orders_are_lost(Restart::default(), Disturbance::LostOrders)]
+#[case::silent_while_orders_are_lost(Restart { is_broken: false, ..Restart::default() }, Disturbance::LostOrders)]
+fn every_job_completes_though_workers_restart(
     #[case] restart: Restart,
-    #[case] beside: Beside,
+    #[case] disturbance: Disturbance,
 ) {
-    let (world, jobs) = play(restart, beside);
+    let (world, jobs) = run_restarts(restart, disturbance);
     assert_eq!(world.violations, Vec::<String>::new());
     assert_eq!(world.completed(&jobs), jobs.len());
     assert_eq!(world.engine.counts().claims, 0);
 }
 
-/// A worker that reports itself late.
-const LATE: Restart = Restart {
+/// A restart after which the worker registers itself late.
+const LATE_REGISTRATION: Restart = Restart {
     away: Duration::from_millis(300),
     is_broken: true,
     untold: Duration::from_millis(1_400),
@@ -128,15 +133,17 @@
     room: 4,
 };
 
-/// A worker comes back as another kind, or with less room, and reports that only 1.4 s later. Whatever is started meanwhile goes to the others.
+/// A worker comes back with another label or with less room, and registers that only 1.4 s later.
+///
+/// Tasks started meanwhile go to the other workers.
 #[rstest]
-#[case::of_another_kind(Restart { kind: "rare", ..LATE }, Beside::Nothing)]
-#[case::with_less_room(Restart { room: 1, ..LATE }, Beside::Nothing)]
-#[case::of_another_kind_while_the_store_is_away(Restart { kind: "rare", ..LATE }, Beside::Outages)]
-#[case::with_less_room_while_the_store_is_away(Restart { room: 1, ..LATE }, Beside::Outages)]
-fn nothing_is_started_on_what_a_former_incarnation_reported(
+#[case::with_another_label(Restart { kind: "rare", ..LATE_REGISTRATION }, Disturbance::Nothing)]
+#[case::with_less_room(Restart { room: 1, ..LATE_REGISTRATION }, Disturbance::Nothing)]
+#[case::with_another_label_while_the_store_is_away(Restart { kind: "rare", ..LATE_REGISTRATION }, Disturbance::Outages)]
+#[case::with_less_room_while_the_store_is_away(Restart { room: 1, ..LATE_REGISTRATION }, Disturbance::Outages)]
+fn no_task_is_started_by_labels_or_room_of_a_former_incarnation(
     #[case] restart: Restart,
-    #[case] beside: Beside,
+    #[case] disturbance: Disturbance,
 ) {
     let mut world = World::new(1, Faults::default());
     world.run(Duration::from_secs(1));
@@ -150,11 +157,11 @@
             };
             jobs.push(world.submit("batch", vec![step]));
         }
-        if beside == Beside::Outages {
+        if disturbance == Disturbance::Outages {
             world.lose_store(Duration::from_millis(2_500));
             world.run(Duration::from_millis(100));
         }
-        // Of the last two workers the kind and the room stay.
+        // The last two workers are never restarted, so that some workers keep the label and the room.
         world.restart(&ids[second % (ids.len() - 2)], restart);
         world.run(Duration::from_secs(1));
     }
@@ -164,25 +171,25 @@
     assert_eq!(world.completed(&jobs), jobs.len());
 }
 
-/// Workers tell of ends while the store is away, and restart before these are on record.
+/// Workers report ends during an outage of the store, and restart before these ends are on record.
 #[test]
 fn ends_of_a_former_incarnation_that_are_recorded_late_are_not_acknowledged_to_the_next() {
-    for restarted in (1..20).map(|tenths| Duration::from_millis(100 * tenths)) {
-        let mut world = experienced(Faults::default());
+    for restart_after in (1..20).map(|tenths| Duration::from_millis(100 * tenths)) {
+        let mut world = world_with_ended_runs(Faults::default());
         let first = world.submit("batch", tasks(32));
         world.run(Duration::from_millis(400));
         world.lose_store(Duration::from_secs(4));
-        world.run(restarted);
+        world.run(restart_after);
         world.restart_all(Restart::default());
         world.run(Duration::from_secs(3));
         let second = world.submit("batch", tasks(32));
         world.run(Duration::from_secs(60));
-        assert_eq!(world.violations, Vec::<String>::new(), "{restarted:?}");
-        assert_eq!(world.completed(&[first, second]), 2, "{restarted:?}");
+        assert_eq!(world.violations, Vec::<String>::new(), "{restart_after:?}");
+        assert_eq!(world.completed(&[first, second]), 2, "{restart_after:?}");
     }
 }
 
-/// More tasks wait than there is room for; those left have tickets for workers that restart.
+/// More tasks wait than there is room for, and those left hold tickets for workers that restart.
 #[test]
 fn tickets_of_a_former_incarnation_are_not_used() {
     let mut world = World::new(1, Faults::default());
--- a/crates/cell/tests/cell/takeover.rs
+++ b/crates/cell/tests/cell/takeover.rs
@@ -1,4 +1,4 @@
-//! What a new owner does with what it finds.
+//! A new owner and the runs that the former owner has left.
 
 use std::time::Duration;
 
@@ -47,8 +47,8 @@
 
 const JOB: JobId = JobId(7);
 
-/// A job that was due a second ago and is due again in a minute.
-fn repeated(now: Timestamp) -> Accepted {
+/// Returns a job that was due a second ago and is due again in a minute.
+fn recurring_job(now: Timestamp) -> Accepted {
     let step = Step {
         count: 1,
         size: size(1_000, 1_024),
@@ -88,14 +88,14 @@
 
 #[test]
 fn a_task_on_a_silent_worker_waits_for_leases_that_the_former_owner_may_still_extend() {
-    let began = Timestamp::from_millis(100_000);
-    let (silent, well) = (WorkerId::from("w1"), WorkerId::from("w2"));
+    let takeover = Timestamp::from_millis(100_000);
+    let (silent, healthy) = (WorkerId::from("w1"), WorkerId::from("w2"));
     let step = StepId {
         job: JOB,
         occurrence: 0,
         step: 0,
     };
-    let mut accepted = repeated(began);
+    let mut accepted = recurring_job(takeover);
     let mut spec = (*accepted.spec).clone();
     spec.schedule = None;
     accepted.spec = spec.into();
@@ -110,16 +110,19 @@
         ..Inheritance::default()
     };
     let bounds = Bounds::default();
-    let mut engine = Engine::new(Epoch(2), bounds, inheritance, began);
-    engine.evacuate(Evacuation::default(), began, began);
-    engine.register(registration(&well), began);
-    let mut now = began;
-    let started = loop {
-        engine.register(registration(&well), now);
+    let mut engine = Engine::new(Epoch(2), bounds, inheritance, takeover);
+    engine.evacuate(Evacuation::default(), takeover, takeover);
+    engine.register(registration(&healthy), takeover);
+    let mut now = takeover;
+    let start_delay = loop {
+        engine.register(registration(&healthy), now);
         let mut effects = engine.advance(now);
-        assert!(now.since(began) < Duration::from_secs(60), "it starts");
+        assert!(
+            now.since(takeover) < Duration::from_secs(60),
+            "the task starts"
+        );
         if effects.iter().any(|e| matches!(e, Effect::Start(_))) {
-            break now.since(began);
+            break now.since(takeover);
         }
         for effect in effects.drain(..) {
             match effect {
@@ -128,7 +131,7 @@
                 }
                 Effect::Hold(hold) => {
                     let empty = HoldAnswer::Listed(Inventory::default());
-                    engine.held(&well, hold.asked, empty, now);
+                    engine.held(&healthy, hold.asked, empty, now);
                 }
                 Effect::Record(_) => engine.recorded(now),
                 _ => {}
@@ -136,10 +139,13 @@
         }
         now = now + Duration::from_millis(20);
     };
-    assert!(started >= bounds.lapse() + FORMER_OWNER, "{started:?}");
     assert!(
-        started < bounds.lapse() + FORMER_OWNER + Duration::from_secs(1),
-        "{started:?}"
+        start_delay >= bounds.lapse() + FORMER_OWNER,
+        "{start_delay:?}"
+    );
+    assert!(
+        start_delay < bounds.lapse() + FORMER_OWNER + Duration::from_secs(1),
+        "{start_delay:?}"
     );
 }
 
@@ -159,7 +165,7 @@
         runs: vec![(task, Run(1))],
     };
     let inheritance = Inheritance {
-        accepted: vec![repeated(now)],
+        accepted: vec![recurring_job(now)],
         workers: vec![(worker.clone(), usage)],
         ..Inheritance::default()
     };
--- a/crates/cell/tests/cell/wait.rs
+++ b/crates/cell/tests/cell/wait.rs
@@ -1,4 +1,4 @@
-//! Steps that can't run: what is told of them, and that they hold up nobody.
+//! Steps that can't run: the reason that is reported for them, and that they delay no other step.
 
 use std::time::Duration;
 
@@ -24,8 +24,8 @@
     size, //
 };
 
-/// A label that the world's workers don't have.
-const UNKNOWN: &str = "no-such-label";
+/// A label that no worker of the world has.
+const UNKNOWN_LABEL: &str = "no-such-label";
 
 fn labelled(label: &str) -> Step {
     Step {
@@ -48,47 +48,47 @@
 }
 
 #[rstest]
-#[case::label(labelled(UNKNOWN))]
+#[case::label(labelled(UNKNOWN_LABEL))]
 #[case::size(too_large())]
-fn callers_don_t_wait_behind_steps_that_no_worker_can_run(
-    #[case] hopeless: Step,
+fn jobs_don_t_wait_behind_steps_that_no_worker_can_run(
+    #[case] unsatisfiable: Step,
     #[values("urgent", "batch")] queue: &str,
 ) {
     let mut world = world();
     for _ in 0..400 {
-        world.submit(queue, vec![hopeless.clone()]);
+        world.submit(queue, vec![unsatisfiable.clone()]);
     }
     world.run(Duration::from_millis(200));
     let jobs: Vec<_> = (0..40)
         .map(|_| world.submit(queue, vec![quick_step()]))
         .collect();
-    let mut took = Duration::ZERO;
-    while world.completed(&jobs) < jobs.len() && took < Duration::from_secs(30) {
+    let mut elapsed = Duration::ZERO;
+    while world.completed(&jobs) < jobs.len() && elapsed < Duration::from_secs(30) {
         world.run(Duration::from_millis(100));
-        took += Duration::from_millis(100);
+        elapsed += Duration::from_millis(100);
     }
-    println!("{took:?}");
-    // They take 40 times 2 times 1.6 s of 8 workers' 32 places, so 4 s, and the last of them up to 3 s.
-    assert!(took <= Duration::from_secs(8), "{took:?}");
+    println!("{elapsed:?}");
+    // The jobs have 80 tasks of 1.6 s for 32 places on 8 workers, which takes 4 s; the last tasks take up to 3 s.
+    assert!(elapsed <= Duration::from_secs(8), "{elapsed:?}");
 }
 
-/// Has one of the workers come back as of another kind.
-fn relabel(world: &mut World, kind: &'static str) {
+/// Replaces one of the workers by one with another label.
+fn replace_one_worker(world: &mut World, label: &'static str) {
     if let Some(id) = world.workers.keys().next().cloned() {
-        world.replace_worker(&id, kind);
+        world.replace_worker(&id, label);
     }
 }
 
-/// Returns the reasons that were told of a job.
-fn told(world: &World, job: JobId) -> Vec<Wait> {
-    let own = world.waits.iter().filter(|(of, _)| *of == job);
+/// Returns the reasons to wait that were reported for a job.
+fn reported_waits(world: &World, job: JobId) -> Vec<Wait> {
+    let own = world.waits.iter().filter(|(id, _)| *id == job);
     own.map(|(_, why)| *why).collect()
 }
 
 #[rstest]
 fn a_step_runs_when_a_worker_with_its_label_comes(#[values(false, true)] is_taken_over: bool) {
     let mut world = world();
-    let job = world.submit("batch", vec![labelled(UNKNOWN)]);
+    let job = world.submit("batch", vec![labelled(UNKNOWN_LABEL)]);
     world.run(Duration::from_secs(20));
     assert_eq!(world.engine.state(job), Some(State::Queued));
     if is_taken_over {
@@ -96,7 +96,7 @@
         world.run(Duration::from_secs(10));
         assert_eq!(world.engine.state(job), Some(State::Queued));
     }
-    relabel(&mut world, UNKNOWN);
+    replace_one_worker(&mut world, UNKNOWN_LABEL);
     world.run(Duration::from_secs(5));
     assert_eq!(world.engine.state(job), Some(State::Completed));
     assert_eq!(world.violations, Vec::<String>::new());
@@ -105,35 +105,35 @@
 #[test]
 fn a_job_that_was_cancelled_while_no_worker_could_run_it_never_starts() {
     let mut world = world();
-    let job = world.submit("batch", vec![labelled(UNKNOWN)]);
+    let job = world.submit("batch", vec![labelled(UNKNOWN_LABEL)]);
     world.run(Duration::from_secs(2));
     world.cancel(job);
-    relabel(&mut world, UNKNOWN);
+    replace_one_worker(&mut world, UNKNOWN_LABEL);
     world.run(Duration::from_secs(5));
     assert_eq!(world.engine.state(job), Some(State::Cancelled));
     assert_eq!(world.starts, 0);
 }
 
 #[rstest]
-#[case::label(labelled(UNKNOWN), Wait::Label)]
+#[case::label(labelled(UNKNOWN_LABEL), Wait::Label)]
 #[case::size(too_large(), Wait::Size)]
-fn it_is_told_once_and_at_once_that_no_worker_can_run_a_step(
+fn why_no_worker_can_run_a_step_is_reported_once_and_at_once(
     #[case] step: Step,
     #[case] why: Wait,
 ) {
     let mut world = world();
     let job = world.submit("urgent", vec![step]);
     world.run(Duration::from_millis(50));
-    assert_eq!(told(&world, job), [why]);
+    assert_eq!(reported_waits(&world, job), [why]);
     assert_eq!(world.engine.counts().steps_aside, 1);
     world.run(Duration::from_secs(60));
-    assert_eq!(told(&world, job), [why]);
+    assert_eq!(reported_waits(&world, job), [why]);
 }
 
 #[test]
-fn it_is_told_what_a_step_waits_for() {
+fn a_step_without_room_is_reported_to_wait_for_room() {
     let mut world = world();
-    // All room is taken for longer than it takes to look for the reason.
+    // All room stays taken for longer than the engine takes to look for the reason.
     world.submit(
         "batch",
         vec![Step {
@@ -144,11 +144,11 @@
     world.run(Duration::from_millis(100));
     let job = world.submit("batch", vec![quick_step()]);
     world.run(Duration::from_secs(3));
-    assert_eq!(told(&world, job), [Wait::Room]);
+    assert_eq!(reported_waits(&world, job), [Wait::Room]);
 }
 
 #[test]
-fn a_step_that_starts_in_time_is_not_told_of() {
+fn no_wait_is_reported_for_a_step_that_starts_in_time() {
     let mut world = world();
     world.submit("urgent", vec![quick_step()]);
     world.submit("batch", vec![labelled("a")]);
@@ -157,7 +157,7 @@
 }
 
 #[test]
-fn what_no_worker_offers_is_known_before_a_job_is_taken() {
+fn unmet_requirements_are_known_before_a_job_is_accepted() {
     let world = world();
     let lack = |steps: Vec<Step>| {
         let spec = Spec {
@@ -171,13 +171,13 @@
         lack(vec![quick_step(), labelled("a"), labelled("r1")]),
         None
     );
-    let label = Some(Lack::Label(UNKNOWN.into()));
-    assert_eq!(lack(vec![quick_step(), labelled(UNKNOWN)]), label);
+    let label = Some(Lack::Label(UNKNOWN_LABEL.into()));
+    assert_eq!(lack(vec![quick_step(), labelled(UNKNOWN_LABEL)]), label);
     assert_eq!(lack(vec![quick_step(), too_large()]), Some(Lack::Size(1)));
 }
 
 #[test]
-fn nothing_is_said_of_labels_while_no_worker_is_known() {
+fn no_unmet_requirement_is_reported_while_the_pool_has_no_workers() {
     let world = world();
     let other = fulmarpier_cell::config::Queue {
         pool: "elsewhere".into(),
@@ -185,7 +185,7 @@
     };
     let spec = Spec {
         text: "text".into(),
-        steps: vec![labelled(UNKNOWN)],
+        steps: vec![labelled(UNKNOWN_LABEL)],
         schedule: None,
     };
     assert_eq!(world.engine.lack(&other, &spec), None);
