--- a/crates/node/tests/node/evacuation.rs
+++ b/crates/node/tests/node/evacuation.rs
@@ -1,4 +1,4 @@
-//! Data centres that the operator evacuates and takes back.
+//! Data centres that the operator evacuates and puts back into use.
 
 use std::time::Duration;
 
@@ -24,7 +24,7 @@
     },
 };
 
-/// The key under which the operator evacuates the data centre in which all workers stand.
+/// The configuration key that evacuates the data centre of all workers.
 const KEY: &str = "evacuate/north";
 
 const TOPIC: Topic = Topic::Configuration;
@@ -65,7 +65,7 @@
     completed(&two, 1).await;
 }
 
-/// Records of other writers take no data centre out, and put none back.
+/// An invalid record, as other writers may leave in the topic, neither evacuates a data centre nor ends an evacuation.
 #[rstest]
 #[case::no_data_centre("evacuate/nowhere", b"{}")]
 #[case::form(KEY, b"foreign")]
@@ -85,7 +85,7 @@
     submit(&one, 2).await.unwrap();
     sleep(10 * SECOND).await;
     assert_eq!(platform.starts(2), 0);
-    // A node that begins with the newest records finds the last good one.
+    // A node that starts with the newest record of each key finds the last valid one.
     one.stop(Duration::ZERO).await;
     let two = node("two", &platform);
     ready(&two).await;
--- a/crates/node/tests/node/foreign.rs
+++ b/crates/node/tests/node/foreign.rs
@@ -1,4 +1,4 @@
-//! Records of other writers in the topics of a cell.
+//! Invalid records that other writers leave in the topics of a cell.
 
 use std::time::Duration;
 
@@ -116,10 +116,10 @@
     );
 }
 
-/// What other writers may leave anywhere.
+/// Values that other writers may leave in any topic.
 const GARBAGE: [&[u8]; 3] = [b"", b"\xff\xff\xff\xff", LOST_VALUE];
 
-/// Writes records of another writer into every topic, under keys of its own and of this program.
+/// Writes invalid records into every topic, under keys that nodes use and under others.
 fn litter(platform: &Fake, job: u64) {
     let job = JobId(job).to_string();
     let cancelled = format!("{job}/x");
@@ -149,7 +149,7 @@
     submit(&one, 1).await.unwrap();
     completed(&one, 1).await;
     litter(&platform, 1);
-    // Longer than a claim stands that isn't renewed.
+    // Longer than an ownership claim is valid without renewal.
     sleep(2 * SECOND).await;
     submit(&one, 2).await.unwrap();
     completed(&one, 2).await;
@@ -159,7 +159,7 @@
     assert!(platform.owned().iter().all(|claim| claim.epoch.0 == 1));
 }
 
-/// How many records of each topic's end the store keeps that has forgotten some.
+/// How many records at the end of each topic a store with a truncated history keeps.
 const KEPT: usize = 80;
 
 #[rstest]
@@ -168,7 +168,7 @@
 #[tokio::test]
 async fn a_new_owner_takes_over_what_was_good_last(#[case] kept: Option<usize>) {
     let platform = Fake::new();
-    // Older than what the store keeps.
+    // These records are older than the truncated history.
     for _ in 0..KEPT {
         platform.write(Topic::Claims, "another", b"old");
     }
@@ -181,7 +181,7 @@
     if let Some(kept) = kept {
         platform.forget(kept);
     }
-    // It has read nothing yet, neither the claim nor the configuration.
+    // This node has read neither the claim nor the configuration before.
     let two = node("two", &platform);
     ready(&two).await;
     assert_eq!(two.front().look(JobId(1)).await, Ok(State::Completed));
@@ -200,7 +200,7 @@
     let platform = Fake::new();
     let one = node("one", &platform);
     ready(&one).await;
-    // The job has to wait meanwhile.
+    // Without a usable worker the job stays queued.
     platform.write(Topic::Workers, "w0", b"foreign");
     sleep(SECOND).await;
     submit(&one, 1).await.unwrap();
--- a/crates/node/tests/node/history.rs
+++ b/crates/node/tests/node/history.rs
@@ -1,4 +1,5 @@
-//! Random histories of one owner: others put jobs and cancellations on record while the store leaves parts of it out.
+//! Random histories of one owner: jobs and cancellations are recorded behind its back while the store is slow, loses
+//! answers or blocks reads of single partitions.
 
 use std::{
     collections::{
@@ -47,15 +48,16 @@
     },
 };
 
-/// How long a history is troubled, and how long it is calm after that.
+/// How long the store may misbehave in a history.
 const TROUBLED: Duration = Duration::from_secs(15);
+/// How long the store is healthy after that, before the jobs are checked.
 const CALM: Duration = Duration::from_secs(15);
-/// A start that had left when a cancellation was answered arrives within this time.
+/// An order to start that was sent before a cancellation was answered arrives within this time.
 const WAY: Duration = Duration::from_millis(50);
-/// A cancellation that is on record has to be in force after this time, whoever was told of it.
+/// A recorded cancellation takes effect within this time, even if no node notifies the owner.
 const IN_FORCE: Duration = Duration::from_secs(3);
 
-/// How many histories are played; more by hand with `HISTORIES=1000`.
+/// How many histories are run by default; `HISTORIES=1000` in the environment runs more.
 const USUAL: u64 = 25;
 
 struct World {
@@ -63,13 +65,14 @@
     platform: Fake,
     node: Node<Fake>,
     serial: u64,
-    /// Jobs on record.
+    /// Jobs that are recorded in the store.
     jobs: BTreeSet<u64>,
-    /// When the cancellation of each job has to be in force.
+    /// When the cancellation of each job has to be in effect.
     in_force: BTreeMap<u64, Instant>,
-    /// Jobs whose cancellation stands on record as that of a job that its caller was shown.
+    /// Jobs whose recorded cancellation says that the job was known. They may be shown although they have no record.
     silent: BTreeSet<u64>,
-    /// Until when each partition can't be read, or must stay so that it can.
+    /// Before this time reads of a partition are not blocked anew: they are blocked already, or they have to succeed
+    /// because a cancellation in the partition is due.
     unread: BTreeMap<u16, Instant>,
     violations: Vec<String>,
 }
@@ -103,7 +106,7 @@
         let span = Duration::from_millis(self.rng.random_range(100..4_000));
         let unread = self.unread.get(&partition);
         if unread.is_some_and(|until| Instant::now() < *until) {
-            // Nobody could know of the cancellation in it then.
+            // Otherwise the owner could not read a cancellation there in time.
             return;
         }
         self.platform.hold_back(Topic::Jobs(partition), span);
@@ -111,7 +114,7 @@
     }
 
     fn some_job(&mut self) -> u64 {
-        // One in four is not there, or not yet.
+        // The range includes three jobs that do not exist, or not yet.
         self.rng.random_range(0..=self.serial + 2)
     }
 
@@ -129,7 +132,7 @@
         let job = self.some_job();
         let partition = self.rng.random_range(0..16);
         self.platform.cancel(partition, job);
-        // It can be read once the partition can, and has to be read within the time after that.
+        // The deadline counts from the moment at which the partition can be read.
         let now = Instant::now();
         let readable = self
             .unread
@@ -150,7 +153,7 @@
         let answer = front.cancel(&queue, JobId(job), deadline).await;
         let now = Instant::now();
         let in_force = match answer {
-            // There may have been no owner to tell of it.
+            // There may have been no owner to notify.
             Ok(()) => now + IN_FORCE,
             Err(Refusal::NoJob) => now + WAY,
             Err(_) => return,
@@ -169,11 +172,13 @@
             Err(_) => return,
         };
         if is_there && !shown {
-            self.violations.push(format!("job {job} is denied"));
+            self.violations
+                .push(format!("job {job} exists but is reported as missing"));
         }
-        // A cancellation on record is of a job that was shown to its caller.
+        // A recorded cancellation counts as evidence that the job exists.
         if !is_there && shown && !self.silent.contains(&job) {
-            self.violations.push(format!("job {job} is shown"));
+            self.violations
+                .push(format!("job {job} does not exist but is reported"));
         }
     }
 
@@ -194,7 +199,7 @@
         sleep(Duration::from_millis(pause)).await;
     }
 
-    /// Checks what was promised of each job.
+    /// Checks that each job ended as its callers may expect, and that none started after its cancellation.
     async fn check(&mut self) {
         for job in self.jobs.clone() {
             let in_force = self.in_force.get(&job).copied();
@@ -203,7 +208,9 @@
                 && last > until
             {
                 let late = last - until;
-                let line = format!("job {job} started {late:?} late");
+                let line = format!(
+                    "job {job} started {late:?} after its cancellation had to be in effect"
+                );
                 self.violations.push(line);
             }
             let state = self.node.front().look(JobId(job)).await;
@@ -220,7 +227,7 @@
     }
 }
 
-/// Plays a history in a runtime of its own, which ends all that its node has begun.
+/// Runs a history in its own runtime, so that all tasks of its node end with it.
 fn play(seed: u64) -> Vec<String> {
     let runtime = Builder::new_current_thread()
         .enable_all()
--- a/crates/node/tests/node/main.rs
+++ b/crates/node/tests/node/main.rs
@@ -1,4 +1,4 @@
-//! Whole nodes on loopback over a platform in memory.
+//! Tests of whole nodes that talk to each other over loopback and use an in-memory platform.
 
 mod evacuation;
 mod foreign;
--- a/crates/node/tests/node/platform.rs
+++ b/crates/node/tests/node/platform.rs
@@ -1,4 +1,4 @@
-//! A platform in memory, with faults, for whole nodes on loopback.
+//! An in-memory platform for tests of whole nodes: a store that can fail, and workers.
 
 use std::{
     collections::{
@@ -88,18 +88,18 @@
 /// How the store behaves.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) enum Mode {
-    /// It answers.
+    /// It answers every call.
     #[default]
     Well,
     /// It answers late.
     Slow,
     /// It refuses every call.
     Refusing,
-    /// It carries appends out and gives no answer.
+    /// It carries out appends and answers no call.
     Mute,
-    /// It carries appends out and loses the answer to every second one of each topic.
+    /// It carries out appends and loses the answer to every second one of each topic.
     Losing,
-    /// It does nothing and gives no answer for very long.
+    /// It carries out nothing, and calls fail only after a long timeout.
     Silent,
 }
 
@@ -108,37 +108,39 @@
     mode: Mode,
     /// Topics whose appends are refused.
     refused: Vec<String>,
-    /// Topics that nobody can read until then.
+    /// Until when reads of each topic get no answer.
     held_back: BTreeMap<String, Instant>,
-    /// How many answers to readings of the newest records of each topic are lost, before one arrives.
+    /// How many reads of each topic's newest records get no answer before one succeeds.
     lost_readings: u32,
-    /// How many readings of the newest records of each topic there were.
+    /// How often the newest records of each topic were read.
     readings: BTreeMap<String, u32>,
-    /// Topics whose records nobody gets sooner than after this time.
+    /// How long each read of a topic is delayed.
     delayed: BTreeMap<String, Duration>,
     topics: BTreeMap<String, Vec<Record>>,
-    /// The first offset of each topic that is still kept, where that is not zero.
+    /// The first offset of each topic that is still kept, if it is not zero.
     first: BTreeMap<String, u64>,
+    /// The highest epoch that has written; appends of older ones are refused.
     fence: u32,
-    /// The writer's last append, to answer a repeat of it.
+    /// Epoch, sequence number and end offset of the writer's last append, which answer a retry of it.
     written: Option<(u32, u64, u64)>,
     workers: BTreeMap<WorkerId, Host>,
     starts: Vec<(TaskId, Instant)>,
-    /// How many records it gives at a call, where that is bounded.
+    /// The maximum number of records in the answer to a read, if there is one.
     most_given: Option<usize>,
-    /// How many of the newest records it gives at a call, where that is bounded.
+    /// The maximum number of records in the answer to a read of the newest ones, if there is one.
     most_newest: Option<usize>,
+    /// How many appends were carried out or refused by their condition.
     appends: usize,
-    /// How often the jobs' partitions were read on.
+    /// How often a partition of the jobs was read from an offset.
     job_reads: usize,
-    /// How many appends of each topic there were while answers were lost.
+    /// How many appends to each topic there were while every second answer is lost.
     lost: BTreeMap<String, u32>,
-    /// When the workers last reported themselves.
+    /// When the workers last wrote their entries.
     reported: Option<Instant>,
 }
 
 impl State {
-    /// Has the workers report themselves again, as they do from time to time.
+    /// Repeats the newest valid entry of each worker if the report interval has passed.
     fn report_workers(&mut self) {
         let is_due = self.reported.is_none_or(|at| at.elapsed() >= REPORTS);
         let entries = self.topics.get_mut(&name(Topic::Workers));
@@ -150,33 +152,33 @@
             .iter()
             .map(|record| (record.key.clone(), record.clone()))
             .collect();
-        // What another writer has written is no report.
+        // Workers do not repeat entries of other writers.
         let own = newest.into_values();
         let own = own.filter(|record| record.value.as_deref() == Some(b"here".as_slice()));
         entries.extend(own);
     }
 }
 
-/// What a worker holds.
+/// The runs of a worker.
 #[derive(Default)]
 struct Host {
     running: BTreeMap<TaskId, (Run, Instant)>,
     ended: Vec<Ended>,
-    /// The place of the last end.
+    /// The serial number of the last ended run.
     serial: u64,
 }
 
-/// The platform as one machine sees it; cheap to clone.
+/// The platform as seen from one machine. Cloning is cheap, and clones share their state.
 #[derive(Clone, Default)]
 pub(crate) struct Fake {
     state: Arc<Mutex<State>>,
-    /// How the store behaves towards this machine, where that differs.
+    /// How the store behaves towards this machine, if not as towards the others.
     own: Arc<Mutex<Option<Mode>>>,
-    /// How many calls of this machine the silent store has let run out.
+    /// How many calls of this machine timed out because the store was unresponsive.
     run_out: Arc<AtomicUsize>,
-    /// How many orders to start this machine has given.
+    /// How many orders to start a run this machine has sent.
     ordered: Arc<AtomicUsize>,
-    /// When this machine read which topic.
+    /// Each topic that this machine read, with the time.
     reads: Arc<Mutex<Vec<(String, Instant)>>>,
     /// For how long this machine was suspended.
     suspended: Arc<Mutex<Duration>>,
@@ -184,13 +186,13 @@
 
 /// A value that is rejected before it is decoded.
 pub(crate) const LOST_VALUE: &[u8] = b"lost";
-/// Where all workers stand.
+/// The data centre of all workers.
 const DATA_CENTRE: &str = "north";
-/// What a configuration begins with that names workspaces with their keys, as in `keys: a=key b=other`. The longer one is
-/// the later version.
+/// The prefix of a configuration that names workspaces with their keys, as in `keys: a=key b=other`. Its version grows
+/// with its length.
 const KEYS: &[u8] = b"keys:";
 
-/// Returns the version of such a configuration.
+/// Returns the version of a configuration that names workspaces.
 pub(crate) fn version(value: &[u8]) -> u64 {
     3 + value.len() as u64
 }
@@ -210,23 +212,23 @@
     directory
 }
 
-/// How often its workers report themselves.
+/// How often the workers write their entries.
 const REPORTS: Duration = Duration::from_millis(1_000);
-/// How long its tasks run.
+/// How long tasks run.
 const RUNS: Duration = Duration::from_millis(40);
-/// How long a call takes.
+/// How long a call of a healthy store, or of a worker, takes.
 const CALL: Duration = Duration::from_millis(2);
 /// How long a call of a slow store takes.
 const SLOW: Duration = Duration::from_millis(90);
-/// Longer than any caller of the tests waits.
+/// How long a call takes to fail while every second answer is lost: longer than callers in the tests wait.
 const NEVER: Duration = Duration::from_secs(4);
-/// How long a call without an answer takes to fail.
+/// How long a call takes to fail while all answers are lost.
 const LOST: Duration = Duration::from_millis(100);
-/// How long a call of a silent store takes to fail: longer than anything that should wait for it.
+/// How long a call takes to fail if the store is unresponsive: longer than anything that waits for it may take.
 const RUNS_OUT: Duration = Duration::from_secs(30);
 
 impl Fake {
-    /// Makes a platform with one worker.
+    /// Returns a platform with one worker.
     pub(crate) fn new() -> Self {
         Self::with_workers(1)
     }
@@ -257,7 +259,7 @@
         self.state().mode = mode;
     }
 
-    /// Returns the same platform for another machine.
+    /// Returns the same platform as seen from another machine.
     pub(crate) fn machine(&self) -> Self {
         Self {
             state: self.state.clone(),
@@ -265,12 +267,12 @@
         }
     }
 
-    /// Suspends this machine for a while, during which the runtime's clock stands still.
+    /// Suspends this machine: from the outside `span` passes while the runtime's clock does not advance.
     pub(crate) fn suspend(&self, span: Duration) {
         *self.suspended.lock().unwrap() += span;
     }
 
-    /// Has the store behave differently towards this machine alone.
+    /// Sets how the store behaves towards this machine alone.
     pub(crate) fn set_here(&self, mode: Mode) {
         *self.own.lock().unwrap() = Some(mode);
     }
@@ -280,19 +282,19 @@
         self.reads.lock().unwrap().push(read);
     }
 
-    /// Returns when this machine read a topic, in order.
+    /// Returns the times at which this machine read a topic, in order.
     pub(crate) fn reads(&self, topic: Topic) -> Vec<Instant> {
         let reads = self.reads.lock().unwrap();
         let own = reads.iter().filter(|(read, _)| *read == name(topic));
         own.map(|(_, at)| *at).collect()
     }
 
-    /// Returns how many calls of this machine a silent store has let run out.
+    /// Returns how many calls of this machine timed out because the store was unresponsive.
     pub(crate) fn run_out(&self) -> usize {
         self.run_out.load(Ordering::Relaxed)
     }
 
-    /// Keeps a job that a node took which tells nobody of it.
+    /// Records a job as a node does, without notifying the owner.
     pub(crate) fn accept(&self, partition: u16, accepted: &Accepted) {
         let record = Record {
             key: accepted.job.to_string(),
@@ -303,7 +305,7 @@
         state.topics.entry(place).or_default().push(record);
     }
 
-    /// Keeps a record in a partition of the jobs.
+    /// Writes a record with any value into a partition of the jobs.
     pub(crate) fn put(&self, partition: u16, key: &str, value: Vec<u8>) {
         let record = Record {
             key: key.to_owned(),
@@ -314,7 +316,7 @@
         state.topics.entry(place).or_default().push(record);
     }
 
-    /// Keeps a job's cancellation of which nobody tells the owner.
+    /// Records a job's cancellation as a node does, without notifying the owner.
     pub(crate) fn cancel(&self, partition: u16, job: u64) {
         let record = Record {
             key: format!("{}/x", JobId(job)),
@@ -325,7 +327,7 @@
         state.topics.entry(place).or_default().push(record);
     }
 
-    /// Writes a record as another writer does.
+    /// Writes a record as a writer other than the nodes does.
     pub(crate) fn write(&self, topic: Topic, key: &str, value: &[u8]) {
         let record = Record {
             key: key.to_owned(),
@@ -335,7 +337,7 @@
         state.topics.entry(name(topic)).or_default().push(record);
     }
 
-    /// Removes the record under a key.
+    /// Appends a record that removes a key.
     pub(crate) fn remove(&self, topic: Topic, key: &str) {
         let record = Record {
             key: key.to_owned(),
@@ -345,16 +347,16 @@
         state.topics.entry(name(topic)).or_default().push(record);
     }
 
-    /// Drops all records under a key, as if there had never been any, and the history with them.
+    /// Removes all records under a key without leaving a removal record, and truncates the topic's history.
     pub(crate) fn drop_key(&self, topic: Topic, key: &str) {
         let mut state = self.state();
         let records = state.topics.entry(name(topic)).or_default();
-        // The offsets of the others stay.
+        // The offsets of the other records stay.
         for record in records.iter_mut().filter(|record| record.key == key) {
             record.value = None;
         }
         let end = records.len() as u64;
-        // Whoever reads on is told that the history is gone.
+        // Readers that continue from an earlier offset are told that the history is gone.
         records.push(Record {
             key: "another".to_owned(),
             value: Some(b"{}".to_vec().into()),
@@ -362,7 +364,7 @@
         state.first.insert(name(topic), end + 1);
     }
 
-    /// Forgets the history of every topic, but for some records at its end; the newest of each key stays.
+    /// Truncates the history of every topic to some records at its end. The newest record of each key stays readable.
     pub(crate) fn forget(&self, but: usize) {
         let mut state = self.state();
         let topics = state.topics.iter();
@@ -373,7 +375,7 @@
         state.first = first.collect();
     }
 
-    /// Returns a page without the records that no store's answer could carry.
+    /// Returns a page in which the records that cannot be read are reported as rejected.
     fn page(records: Vec<Record>, next: u64, end: u64) -> Page {
         let is_lost = |record: &Record| record.value.as_deref() == Some(LOST_VALUE);
         let (lost, records): (Vec<Record>, Vec<Record>) = records.into_iter().partition(is_lost);
@@ -388,18 +390,18 @@
         }
     }
 
-    /// Has the store refuse appends to one partition of the jobs.
+    /// Makes the store refuse appends to a partition of the jobs.
     pub(crate) fn refuse(&self, partition: u16) {
         self.state().refused.push(name(Topic::Jobs(partition)));
     }
 
-    /// Has the store give no answer to who reads a topic, for some time.
+    /// Makes the store give no answer to reads of a topic for some time.
     pub(crate) fn hold_back(&self, topic: Topic, time: Duration) {
         let until = Instant::now() + time;
         self.state().held_back.insert(name(topic), until);
     }
 
-    /// Has the store take a time for each reading of a topic.
+    /// Makes the store delay each read of a topic.
     pub(crate) fn delay(&self, topic: Topic, time: Duration) {
         self.state().delayed.insert(name(topic), time);
     }
@@ -420,7 +422,7 @@
             .map(|value| value.to_vec())
     }
 
-    /// Returns how many orders to start this machine has given.
+    /// Returns how many orders to start a run this machine has sent.
     pub(crate) fn ordered(&self) -> usize {
         self.ordered.load(Ordering::Relaxed)
     }
@@ -430,7 +432,7 @@
         own.unwrap_or_else(|| self.state().mode)
     }
 
-    /// Returns how often each task was started.
+    /// Returns how many runs of a job's tasks were started.
     pub(crate) fn starts(&self, job: u64) -> usize {
         let state = self.state();
         let starts = state.starts.iter();
@@ -445,12 +447,12 @@
         own.map(|(_, at)| *at).max()
     }
 
-    /// Has the store give so many records at a call that reads on.
+    /// Bounds the number of records in the answer to a read from an offset.
     pub(crate) fn give_at_most(&self, count: usize) {
         self.state().most_given = Some(count);
     }
 
-    /// Has the store give so many of the newest records at a call.
+    /// Bounds the number of records in the answer to a read of the newest ones.
     pub(crate) fn give_newest_by(&self, count: usize) {
         self.state().most_newest = Some(count);
     }
@@ -459,28 +461,28 @@
         self.state().appends
     }
 
-    /// Returns how often the jobs' partitions were read on.
+    /// Returns how often a partition of the jobs was read from an offset.
     pub(crate) fn job_reads(&self) -> usize {
         self.state().job_reads
     }
 
-    /// Returns the node that owns the cell by the newest claim.
+    /// Returns the node that owns the cell according to the newest claim.
     pub(crate) fn owner(&self) -> Option<String> {
         let state = self.state();
         let claims = state.topics.get(&name(Topic::Claims))?.iter().rev();
         let mut claims = claims.filter_map(|record| record.value.as_ref());
-        // Other writers' records are among them in some tests.
+        // In some tests there are records of other writers among them.
         let claim: Claim = claims.find_map(|value| record::decode(value).ok())?;
         (!claim.released).then(|| claim.node.to_string())
     }
 
-    /// Puts a claim on record that no node of the test has made.
+    /// Writes a claim that no node of the test has made.
     pub(crate) fn claim(&self, claim: &Claim) {
         let value = record::encode(claim).unwrap();
         self.write(Topic::Claims, "owner", &value);
     }
 
-    /// Returns all claims on record, in order.
+    /// Returns all claims in order. Panics if any record of their topic is not a claim.
     pub(crate) fn claims(&self) -> Vec<Claim> {
         let state = self.state();
         let records = state.topics.get(&name(Topic::Claims)).into_iter().flatten();
@@ -488,7 +490,7 @@
         values.map(|value| record::decode(value).unwrap()).collect()
     }
 
-    /// Returns the claims among the records of their topic, in order.
+    /// Returns all claims in order, skipping records of their topic that cannot be decoded.
     pub(crate) fn owned(&self) -> Vec<Claim> {
         let state = self.state();
         let records = state.topics.get(&name(Topic::Claims)).into_iter().flatten();
@@ -498,21 +500,21 @@
             .collect()
     }
 
-    /// Returns whether the store keeps a record under a key in any topic.
+    /// Returns whether any topic has a record under a key.
     pub(crate) fn keeps(&self, key: &str) -> bool {
         let state = self.state();
         let mut records = state.topics.values().flatten();
         records.any(|record| record.key == key)
     }
 
-    /// Has the store lose the next answers to readings of the newest records of each topic.
+    /// Makes the store lose the answers to the next reads of the newest records of each topic.
     pub(crate) fn lose_readings(&self, count: u32) {
         let mut state = self.state();
         state.lost_readings = count;
         state.readings.clear();
     }
 
-    /// Gives no answer to the first readings of a topic, where these are to be lost.
+    /// Counts a read of a topic's newest records, and fails it with a timeout if its answer is to be lost.
     async fn check_lost(&self, topic: Topic) -> Result<(), Error> {
         let is_lost = {
             let mut state = self.state();
@@ -528,7 +530,7 @@
         Err(Error::Unanswered)
     }
 
-    /// Gives no answer about a topic that is held back.
+    /// Fails a read with a timeout while reads of its topic are blocked.
     async fn check_held_back(&self, topic: Topic) -> Result<(), Error> {
         let until = self.state().held_back.get(&name(topic)).copied();
         if until.is_none_or(|until| Instant::now() >= until) {
@@ -538,6 +540,7 @@
         Err(Error::Unanswered)
     }
 
+    /// Waits as long as a call takes in the current mode, and fails if the mode says so.
     async fn answer(&self) -> Result<(), Error> {
         let mode = self.mode();
         match mode {
@@ -603,7 +606,7 @@
         match mode {
             Mode::Refusing | Mode::Silent => self.answer().await.map(|()| 0),
             Mode::Mute => {
-                // What it gives back is lost with the answer.
+                // The result is lost with the answer.
                 let _ = self.carry_out(append);
                 self.answer().await.map(|()| 0)
             }
--- a/crates/node/tests/node/record.rs
+++ b/crates/node/tests/node/record.rs
@@ -1,4 +1,4 @@
-//! How jobs and cancellations stand on record, and how an owner reads them while parts of the store are in trouble.
+//! How jobs and cancellations are recorded, and how an owner reads them while parts of the store are slow or fail.
 
 use std::time::{
     Duration,
@@ -47,9 +47,9 @@
     },
 };
 
-/// One partition takes longer than a second a call, the others milliseconds. Whenever it had answered, the view of
-/// all 16 was older than what a new owner begins with, so all were read again, it among them, and so on. The claim was
-/// renewed all the while, so that no other node took the cell either.
+/// Guards against a takeover that never ends. One partition takes longer than a second per call, the others take
+/// milliseconds. If a new owner reads all 16 partitions again whenever its view of any is too old, the view is too old
+/// each time the slow one answers. As the claim is renewed meanwhile, no other node takes over either.
 #[rstest]
 #[case::quick_enough(900)]
 #[case::slow(1_100)]
@@ -64,11 +64,12 @@
             sleep(SECOND / 20).await;
         }
     });
-    assert!(taken.await.is_ok(), "no owner for a minute");
+    assert!(taken.await.is_ok(), "no owner within 60 s");
 }
 
-/// The cancellation is on record in a partition that answers in milliseconds. What was read there was told to the
-/// actor only once the slowest of all partitions that were read beside it had answered or was given up.
+/// Guards against a cancellation that takes effect late because another partition is slow: the cancellation is in a
+/// partition that answers in milliseconds, but its record reaches the owner's actor only after the slowest of the
+/// partitions read at the same time has answered or timed out.
 #[rstest]
 #[case::all_answer(0)]
 #[case::one_is_slow(1_400)]
@@ -82,7 +83,7 @@
     let anchor = Instant::now();
     let one = node("one", &platform);
     ready(&one).await;
-    // All partitions were read just now; what is due next is due for all of them.
+    // All partitions have just been read, so the next reads of all of them are due together.
     sleep(SECOND).await;
     let mut late = Vec::new();
     for id in 1..40u64 {
@@ -114,8 +115,9 @@
     );
 }
 
-/// The job is off the record, and its cancellation says that it was there. The same cancellation comes once more while
-/// there is no owner, and was put on record under the same key as that of a job that nobody knew.
+/// Guards against losing the fact that a cancelled job existed. The job's own record is removed, and only its
+/// cancellation says that it was known. The caller repeats the cancellation while there is no owner; recorded under
+/// the same key as one of an unknown job, it would overwrite the first.
 #[tokio::test(start_paused = true)]
 async fn a_job_whose_cancellation_comes_twice_is_still_shown_as_cancelled() {
     let platform = Fake::new();
@@ -140,8 +142,9 @@
     assert_eq!(again.front().look(JobId(1)).await, Ok(State::Cancelled));
 }
 
-/// The store refuses the partition of the job's node, so its record stands in the next one; the owner hears of it from
-/// the node before it reads it, and took it off the record where it never was.
+/// Guards against a finished job whose record stays in the store. The store refuses the partition of the job's node, so
+/// the node writes the record to the next one. The node notifies the owner before the owner reads that partition, and
+/// the owner would remove the record from the partition in which it never was.
 #[tokio::test(start_paused = true)]
 async fn a_job_in_the_second_partition_of_its_node_is_forgotten_there() {
     let platform = Fake::new();
@@ -160,11 +163,11 @@
     assert_eq!(one.front().look(JobId(2)).await, Ok(State::Completed));
     assert!(
         platform.newest_job(next, &key).is_none(),
-        "it is still on record"
+        "its record is still in the store"
     );
 }
 
-/// A record that can't be read is not one that isn't there.
+/// A record that cannot be decoded does not mean that the job does not exist.
 #[tokio::test(start_paused = true)]
 async fn a_job_whose_record_can_t_be_read_is_not_said_not_to_be_there() {
     let platform = Fake::new();
@@ -176,8 +179,8 @@
     assert_ne!(found, Err(Refusal::NoJob));
 }
 
-/// A store that loses a third of its answers: of 17 readings side by side some are lost twice. All must be there before
-/// the cell has an owner again, and until then nobody is served.
+/// Guards against a long takeover when the store loses answers. If it loses a third of them, some of the 17 concurrent
+/// reads fail twice. All must succeed before the cell has an owner again, and until then no caller is served.
 #[rstest]
 #[case::one(1, 500)]
 #[case::two(2, 1_200)]
@@ -198,9 +201,10 @@
     assert!(took <= most_ms, "{took} ms");
 }
 
-/// The owner stood still, another node claimed the cell, and the owner wants to hand it over as it wakes. It learned where the
-/// claims end by the failure of that, and gave its own, older ownership up there: the newest claim was of an older epoch
-/// than the one before it, and the next owner would have had the epoch of another.
+/// Guards against claims whose epochs decrease. While an owner is stalled, another node claims the cell; then the owner
+/// resumes and tries to hand the cell over. The failed append tells it where the claims end. If it released its own,
+/// older ownership there, the newest claim would have an older epoch than the one before it, and the next owner would
+/// reuse the epoch of another.
 #[tokio::test]
 async fn a_replaced_owner_that_hands_the_cell_over_puts_no_older_claim_behind_the_newer_one() {
     let platform = Fake::new();
--- a/crates/node/tests/node/service.rs
+++ b/crates/node/tests/node/service.rs
@@ -1,4 +1,4 @@
-//! Jobs that nodes take, show, cancel and run, through takeovers and a store in trouble.
+//! Jobs that nodes accept, show, cancel and run, during takeovers and failures of the store.
 
 use std::{
     net::SocketAddr,
@@ -85,7 +85,7 @@
     assert_eq!(platform.starts(1), 4);
 }
 
-/// Machines are restarted in turn while the store is slow: a change of owners takes four of its calls.
+/// During a rolling restart with a slow store each change of owners takes four slow calls, so the owner delays it.
 #[tokio::test]
 async fn a_leaving_owner_waits_a_moment_for_a_slow_store() {
     let platform = Fake::new();
@@ -100,17 +100,21 @@
         let platform = platform.clone();
         async move { until(|| async { platform.claims().len() >= before + count }).await }
     };
-    // So many calls make the node take it for slow.
+    // After this many slow calls the node considers the store slow.
     renewals(3).await;
     one.leave();
     renewals(2).await;
-    assert_eq!(platform.owner().as_deref(), Some("one"), "it goes on");
+    assert_eq!(
+        platform.owner().as_deref(),
+        Some("one"),
+        "the owner still renews its claim"
+    );
     platform.set(Mode::Well);
     until(|| async { platform.owner().as_deref() == Some("two") }).await;
     assert!(platform.claims().iter().all(|claim| !claim.released));
 }
 
-/// A machine is cut off from the store with callers on it, who may be served elsewhere.
+/// Callers of a machine that is cut off from the store get an early answer, because another node may serve them.
 #[tokio::test]
 async fn callers_of_a_node_that_the_store_leaves_alone_are_told_long_before_their_deadline() {
     let platform = Fake::new();
@@ -127,12 +131,20 @@
             front.submit(&queue, JobId(2), two_steps(), minutes).await
         }
     );
-    assert_eq!(sent, Err(Refusal::Unknown), "its record may be kept yet");
-    assert_eq!(waiting, Err(Refusal::NotKept), "its record never left");
-    assert_eq!(platform.run_out(), 0, "nobody waited for a call to run out");
+    assert_eq!(
+        sent,
+        Err(Refusal::Unknown),
+        "its record may still be written"
+    );
+    assert_eq!(waiting, Err(Refusal::NotKept), "its record was never sent");
+    assert_eq!(
+        platform.run_out(),
+        0,
+        "no caller waited for a call to time out"
+    );
 }
 
-/// The store may refuse single partitions; a node writes to one that goes by its name.
+/// The store may refuse single partitions, and a node writes to the partition that its name selects.
 #[tokio::test]
 async fn jobs_are_taken_while_the_store_refuses_the_partition_of_their_node() {
     let platform = Fake::new();
@@ -141,7 +153,7 @@
     for partition in (0..FIRST_PARTITIONS).step_by(2) {
         platform.refuse(partition);
     }
-    // Whichever partition is whose, one of two neighbours takes the record.
+    // Whichever partition a node's name selects, this one or the next accepts the record.
     let two = node("two", &platform);
     ready(&two).await;
     for (job, node) in [(1, &one), (2, &two)] {
@@ -151,7 +163,7 @@
     assert_eq!((platform.starts(1), platform.starts(2)), (4, 4));
 }
 
-/// Restarts while the store is silent: a call from before its return is never answered.
+/// A node starts during an outage: calls made before the store is back are never answered.
 #[tokio::test]
 async fn a_node_that_starts_in_a_silent_store_doesn_t_wait_for_its_first_calls() {
     let platform = Fake::new();
@@ -162,7 +174,7 @@
     ready(&one).await;
     submit(&one, 1).await.unwrap();
     completed(&one, 1).await;
-    assert_eq!(platform.run_out(), 0, "no call had to run out before");
+    assert_eq!(platform.run_out(), 0, "no call had to time out first");
 }
 
 #[tokio::test]
@@ -179,7 +191,8 @@
     one.disowned(SECOND).await;
     until(|| async { platform.owner().is_some_and(|owner| owner != "one") }).await;
     let later = &platform.claims()[before.len()..];
-    // The first record of the next ownership is the former owner's: nothing is released and raced for.
+    // The former owner writes the first claim of the next epoch for its successor, so no release leaves the cell
+    // without an owner for other nodes to compete for.
     let handed = later.iter().find(|claim| claim.epoch.0 == 2).unwrap();
     assert!(!handed.released && handed.renewal == 0);
     assert!(later.iter().all(|claim| !claim.released));
@@ -232,7 +245,7 @@
     let equal = node_with("equal", &platform, Millicores(400));
     submit(&weak, 1).await.unwrap();
     completed(&equal, 1).await;
-    // Longer than an owner keeps the cell from a stronger node.
+    // Longer than an owner keeps the cell while a stronger node is present.
     tokio::time::sleep(4 * SECOND).await;
     assert_eq!(platform.owner().as_deref(), Some("strong"));
     strong.leave();
@@ -264,8 +277,8 @@
     }
 }
 
-/// The owner before this one knew more nodes than a small cell has; one that writes to the last partition may be cut off from
-/// the next owner.
+/// The former owner's claim says that the cell has more nodes than a small one. The next owner has to read all
+/// partitions: a node that writes to the last one may be unable to reach it.
 #[tokio::test]
 async fn jobs_run_from_all_partitions_where_the_cell_was_large() {
     let platform = Fake::new();
@@ -289,7 +302,8 @@
     assert_eq!(platform.starts(100), 4);
 }
 
-/// A cancellation that was told to an owner which was being replaced: it is on record, and nobody tells again.
+/// Guards against a lost cancellation: it is recorded, but only an owner that was being replaced was notified of it,
+/// and no node notifies the next one.
 #[tokio::test(start_paused = true)]
 async fn a_cancellation_that_nobody_has_told_the_owner_of_is_in_force_within_three_seconds() {
     let platform = Fake::new();
@@ -314,7 +328,7 @@
     }
 }
 
-/// More workers than the owner gives all orders to.
+/// More workers than the owner sends all orders to by itself.
 const FLEET: usize = 120;
 
 #[tokio::test]
@@ -335,7 +349,7 @@
         completed(&one, job).await;
         assert_eq!(platform.starts(job), 4);
     }
-    // The owner's equal gives some of them, the weak node none.
+    // The node as strong as the owner sends some of them, the weak node none.
     assert!(apart.ordered() > 0);
     assert_eq!(weak.ordered(), 0);
 }
@@ -381,7 +395,7 @@
     platform.set(Mode::Mute);
     assert_eq!(submit(&one, 1).await, Err(Refusal::Unknown));
     platform.set(Mode::Well);
-    // It was kept, so it runs.
+    // The store wrote the record, so the job runs.
     completed(&one, 1).await;
 }
 
@@ -410,7 +424,7 @@
     for job in 1..200 {
         assert_eq!(submit(&one, job).await, Err(Refusal::NotKept));
     }
-    // Refused calls never get as far as an append.
+    // Appends that the store refuses are not counted.
     assert_eq!(platform.appends(), before);
 }
 
@@ -439,7 +453,7 @@
     assert_eq!(refused, Err(Refusal::NoQueue));
 }
 
-/// A node that is cut off from the store doesn't hear of new queues.
+/// A node that is cut off from the store does not learn of new queues, so it cannot tell that a queue is missing.
 #[tokio::test(start_paused = true)]
 async fn a_queue_is_missing_only_in_a_configuration_that_the_store_told_of_late() {
     let platform = Fake::new();
@@ -460,18 +474,19 @@
     assert_eq!(submit().await, Err(Refusal::NoQueue));
 }
 
-/// Whenever a store returns that was silent, what waited for its record starts soon: no copy from before its return is answered.
+/// Guards against starts that stay blocked after an outage, however long it took. A start that waits for its record has
+/// to send the record again: the store never answers calls made before its return.
 #[rstest]
 #[tokio::test(start_paused = true)]
 async fn starts_go_on_soon_after_a_silent_store_returns(
     #[values(2_000, 2_600, 3_200, 3_800, 4_400)] outage_ms: u64,
 ) {
     let platform = Fake::new();
-    // Alone it would give the cell up.
+    // A single node would give up the cell.
     let (one, two) = (node("one", &platform), node("two", &platform));
     ready(&one).await;
     ready(&two).await;
-    // Its first step runs when the store falls silent, and the second one can't start without a record.
+    // The first step runs when the outage begins, and the second one cannot start without a record.
     submit(&one, 1).await.unwrap();
     until(|| async { platform.starts(1) == 2 }).await;
     platform.set(Mode::Silent);
--- a/crates/node/tests/node/size.rs
+++ b/crates/node/tests/node/size.rs
@@ -1,4 +1,4 @@
-//! What grows with the number of nodes, and what must not.
+//! How the load on the store and the delays depend on the number of nodes and workers.
 
 use std::time::Duration;
 
@@ -29,7 +29,7 @@
     },
 };
 
-/// Starts an owner, and weaker nodes on machines of their own.
+/// Starts an owner, and weaker nodes each on a machine of its own.
 async fn cell(platform: &Fake, others: usize) -> (Node<Fake>, Vec<(Node<Fake>, Fake)>) {
     let owner = node_with("owner", platform, Millicores(1_000));
     ready(&owner).await;
@@ -45,7 +45,7 @@
     (owner, others)
 }
 
-/// The store turns many nodes away: each asks the owner whether it is away for all.
+/// While the store refuses many nodes, each of them asks the owner whether the outage affects all nodes.
 #[rstest]
 #[tokio::test(start_paused = true)]
 async fn an_owner_doesn_t_probe_the_store_for_each_node_that_asks(
@@ -60,11 +60,11 @@
     }
     sleep(3 * SECOND).await;
     let probes = platform.reads(Topic::Claims).len() - before;
-    // One for each tenth of a second is allowed for, whoever asks.
-    assert!(probes <= 30, "{probes} readings of the claims");
+    // At most one probe per 0.1 s, however many nodes ask.
+    assert!(probes <= 30, "{probes} reads of the claims");
 }
 
-/// A node that the owner tells that there is nothing newer leaves the store alone.
+/// A node does not read the store while the owner tells it that there is nothing newer.
 #[rstest]
 #[tokio::test(start_paused = true)]
 async fn a_node_reads_what_the_operator_writes_each_four_seconds(#[values(2, 12)] others: usize) {
@@ -76,11 +76,11 @@
     for (_, machine) in &others {
         let reads = machine.reads(Topic::Configuration);
         let reads = reads.iter().filter(|at| **at >= from).count();
-        assert!(reads <= 6, "{reads} readings in 20 s");
+        assert!(reads <= 6, "{reads} reads in 20 s");
     }
 }
 
-/// The store lets a node's call run out that waits for a change; the owner has read it.
+/// The store gives no answer to a node's call that waits for a change, while the owner reads the change.
 #[tokio::test(start_paused = true)]
 async fn a_change_is_in_force_in_time_where_the_answer_that_tells_of_it_is_lost() {
     let platform = Fake::new();
@@ -101,7 +101,7 @@
     assert!(from.elapsed() < 2 * SECOND, "{:?}", from.elapsed());
 }
 
-/// The list of workers takes as long to read as the records of the former owner.
+/// Reading the list of workers takes as long as reading the records of the former owner.
 #[tokio::test(start_paused = true)]
 async fn a_new_owner_reads_the_list_of_workers_beside_the_records() {
     let platform = Fake::new();
@@ -123,7 +123,7 @@
     completed(&two, 2).await;
 }
 
-/// A worker that stands in the first part of the list is used before the last part is there.
+/// A worker in the first page of the list is used before the last page is read.
 #[tokio::test(start_paused = true)]
 async fn a_new_owner_uses_the_workers_of_the_first_part_of_the_list_at_once() {
     let platform = Fake::with_workers(40);
--- a/crates/node/tests/node/support.rs
+++ b/crates/node/tests/node/support.rs
@@ -1,4 +1,4 @@
-//! Nodes, jobs and calls of callers, as the tests make them.
+//! Helpers that start nodes, build jobs and act as callers.
 
 use std::{
     net::SocketAddr,
@@ -48,7 +48,7 @@
 
 pub(crate) const SECOND: Duration = Duration::from_secs(1);
 
-/// Makes the one queue.
+/// Returns the only queue of the tests' configuration.
 pub(crate) fn queue() -> Queue {
     Queue {
         name: QueueName::from("q"),
@@ -61,17 +61,17 @@
     }
 }
 
-/// Starts a node on any port.
+/// Starts a node on a free port.
 pub(crate) fn node(name: &str, platform: &Fake) -> Node<Fake> {
     node_with(name, platform, Millicores(250))
 }
 
-/// Starts a node with a processor.
+/// Starts a node with a processor share.
 pub(crate) fn node_with(name: &str, platform: &Fake, processor: Millicores) -> Node<Fake> {
     node_metered(name, platform, processor, Meter::new().unwrap())
 }
 
-/// Starts a node whose metrics can be read.
+/// Starts a node that records its metrics in `meter`.
 pub(crate) fn node_metered(
     name: &str,
     platform: &Fake,
@@ -96,7 +96,7 @@
     .unwrap()
 }
 
-/// Waits until a node takes jobs and knows which there are.
+/// Waits until a node accepts jobs and can tell which jobs exist.
 pub(crate) async fn ready(node: &Node<Fake>) {
     until(|| async {
         node.front().is_ready() && node.front().look(JobId(0)).await == Err(Refusal::NoJob)
@@ -104,16 +104,19 @@
     .await;
 }
 
-/// Waits until something holds; the limit only ends a test that hangs.
+/// Waits until a condition holds. The time limit only ends a test that hangs.
 pub(crate) async fn until<F: Future<Output = bool>>(mut holds: impl FnMut() -> F) {
     let limit = Instant::now() + Duration::from_secs(60);
     while !holds().await {
-        assert!(Instant::now() < limit, "it never came to hold");
+        assert!(
+            Instant::now() < limit,
+            "the condition did not hold within 60 s"
+        );
         sleep(Duration::from_millis(20)).await;
     }
 }
 
-/// Makes a step of two short tasks.
+/// Returns a step of two short tasks.
 pub(crate) fn step() -> Step {
     Step {
         count: 2,
@@ -123,7 +126,7 @@
     }
 }
 
-/// Makes a step that no worker has room for.
+/// Returns a step that no worker has room for.
 pub(crate) fn unplaceable() -> Step {
     Step {
         size: Resources::new(Millicores::from_cores(64), Bytes::from_gib(1), 0),
@@ -131,7 +134,7 @@
     }
 }
 
-/// Makes a job of steps.
+/// Returns a job of the given steps.
 pub(crate) fn job(steps: Vec<Step>, schedule: Option<Schedule>) -> Spec {
     Spec {
         text: "text".into(),
@@ -140,7 +143,7 @@
     }
 }
 
-/// Makes a job of two steps of two tasks, one after the other.
+/// Returns a job of two steps of two tasks each, the second step after the first.
 pub(crate) fn two_steps() -> Spec {
     let then = Step {
         after: vec![0],
@@ -149,7 +152,7 @@
     job(vec![step(), then], None)
 }
 
-/// Makes the acceptance of a job that a node has put on record in a partition.
+/// Returns the record with which a node accepts a job in a partition.
 pub(crate) fn accepted(id: u64, spec: Spec, partition: u16) -> Accepted {
     Accepted {
         job: JobId(id),
@@ -161,7 +164,7 @@
     }
 }
 
-/// Hands in a job of two steps.
+/// Submits a job of two steps.
 pub(crate) async fn submit(node: &Node<Fake>, id: u64) -> Result<(), Refusal> {
     submit_spec(node, id, two_steps()).await
 }
--- a/crates/node/tests/node/suspension.rs
+++ b/crates/node/tests/node/suspension.rs
@@ -1,4 +1,4 @@
-//! Machines that are suspended: the runtime's clock stands still, and the leases that others count run on.
+//! Machines that are suspended: the runtime's clock stops while the leases that other nodes observe go on to expire.
 
 use std::{
     collections::BTreeSet,
@@ -31,7 +31,7 @@
     ready(&two).await;
     let first = platform.claims().last().map(|claim| claim.epoch);
     machine.suspend(SLEPT);
-    // Whoever owns it next has read anew what stands on record.
+    // The next owner has read the store again.
     until(|| async { platform.claims().last().map(|claim| claim.epoch) > first }).await;
     ready(&two).await;
     submit(&two, 1).await.unwrap();
@@ -39,7 +39,7 @@
     assert_eq!(platform.starts(1), 4);
 }
 
-/// What a node noticed before it owned the cell doesn't end its ownership.
+/// A suspension that a node noticed before it owned the cell does not end its ownership.
 #[tokio::test]
 async fn a_node_that_was_suspended_keeps_the_cell_that_it_claims_later() {
     let platform = Fake::new();
--- a/crates/node/tests/node/view.rs
+++ b/crates/node/tests/node/view.rs
@@ -1,19 +1,10 @@
-//! What an owner says and does while others have put something on record that it has not read.
+//! What an owner answers and does while the store holds records that it has not read yet.
 //!
-//! **The failure.** A caller cancelled a job and was told that there is no such job; 3.3 s later both of its tasks
-//! were started. All nodes had just been restarted. The new owner read the 16 partitions of the jobs side by side, and
-//! the answers of one call were lost, so its takeover took 3.5 s. Meanwhile another node took the job and put it on
-//! record, in a partition that the owner had read already. The caller's second try to cancel reached the owner as soon
-//! as it was at work; it did not know the job, and nothing was put on record. 1.2 s later the owner read the partition
-//! on, and 2 s after that the job found room and began.
-//!
-//! **The evidence.** The logs show one claim from the restart on, the job accepted 0.1 s after it, the cancellation
-//! answered with `no-job` 3.5 s after it, and the start under the same epoch. The store's counts show calls of the
-//! owner's machine without an answer around that time, and none of another's. By the owner's `placed` lines, 27 jobs that
-//! five nodes had accepted in those 2 s opened their steps within 16 ms, 1.2 s after the answer, when it read on; all had been
-//! accepted so early that their nodes had given up telling before the takeover ended.
-//!
-//! **The cause.** What an owner has not read was taken for what is not there.
+//! These tests guard against an owner that takes what it has not read for what does not exist. After a restart of all
+//! nodes the new owner reads the 16 partitions of the jobs concurrently, and lost answers of one call make its takeover
+//! take 3.5 s. Meanwhile another node accepts a job in a partition that the owner has already read, and gives up
+//! notifying the owner before the takeover ends. A caller cancels the job; the owner does not know it, answers `no-job`
+//! and records nothing. 1.2 s later it reads the partition again, and 2 s after that it starts the cancelled job.
 
 use std::time::Duration;
 
@@ -49,21 +40,21 @@
     },
 };
 
-/// The partition whose newest records the owner waits for.
+/// The partition whose reads are blocked, so that the takeover waits for it.
 const HELD_BACK: u16 = 0;
 
-/// Makes a job of two tasks.
+/// Returns a job of two tasks.
 fn quick() -> Spec {
     job(vec![step()], None)
 }
 
-/// Makes a job that waits for room for ever.
+/// Returns a job that no worker ever has room for.
 fn waiting() -> Spec {
     job(vec![unplaceable()], None)
 }
 
-/// The job is on record in each of the partitions that the owner has read already, and is cancelled at some
-/// moment before, as or after the owner begins to answer.
+/// A job is recorded in each of the partitions that the owner has already read, and is cancelled before, when or after
+/// the owner begins to answer.
 #[rstest]
 #[tokio::test(start_paused = true)]
 async fn a_job_doesn_t_start_after_its_cancellation_was_answered(
@@ -83,7 +74,7 @@
         let is_answered = matches!(answer, Ok(()) | Err(Refusal::NoJob));
         assert!(is_answered, "job {job}: {answer:?}");
     }
-    // An order that had left when the answer was given may still arrive.
+    // An order that was sent before the answer may still arrive.
     sleep(SECOND / 10).await;
     let starts = |job: u16| platform.starts(job.into());
     let before: Vec<usize> = jobs.clone().map(starts).collect();
@@ -92,8 +83,8 @@
     assert_eq!(before, after);
 }
 
-/// The owner hears of both from the record alone: no node has told it of the job, nor of its cancellation.
-/// The jobs are known from the first reading, and their cancellations from the second alone.
+/// The owner learns of the jobs and their cancellations only from the store: no node notifies it. It finds the jobs in
+/// its first read of each partition, and the cancellations only in the second.
 #[rstest]
 #[tokio::test(start_paused = true)]
 async fn a_new_owner_starts_nothing_that_was_cancelled_while_it_read_the_record(
@@ -114,7 +105,8 @@
     assert_eq!(starts, 0);
 }
 
-/// With no owner there is nobody who knows the job, and its caller need not wait for one.
+/// Without an owner no node can tell whether the job exists. The cancellation is recorded, and the caller does not have
+/// to wait for an owner.
 #[tokio::test(start_paused = true)]
 async fn a_cancellation_is_taken_while_there_is_no_owner() {
     let platform = Fake::new();
@@ -127,7 +119,7 @@
     assert!(platform.keeps(&format!("{}/u", JobId(1))));
 }
 
-/// Other nodes have put it on record, and their word has not reached the owner.
+/// Other nodes have recorded the jobs, and the owner has not been notified of them.
 #[tokio::test(start_paused = true)]
 async fn a_job_that_is_on_record_is_never_said_not_to_be_there() {
     let platform = Fake::new();
@@ -138,12 +130,12 @@
         platform.accept(partition, &accepted(job, quick(), partition));
         let found = one.front().look(JobId(job)).await;
         assert!(found.is_ok(), "{found:?}");
-        // At all moments between two readings of the partition.
+        // The lookups fall on different moments between two reads of a partition.
         sleep(Duration::from_millis(130)).await;
     }
 }
 
-/// A caller whose try to hand it in got no answer gives up; the store carries the record out later.
+/// A caller gets no answer to its submission and cancels the job; the store writes the job's record only after that.
 #[tokio::test(start_paused = true)]
 async fn a_cancelled_job_that_turns_up_on_record_later_doesn_t_start() {
     let platform = Fake::new();
@@ -159,7 +151,7 @@
     assert_eq!(platform.starts(1), 0);
 }
 
-/// A node that was cut off from the owner, and is back, has taken jobs that nothing has begun.
+/// The jobs were accepted by nodes that could not reach the owner, and none of their tasks has started.
 #[tokio::test(start_paused = true)]
 async fn the_first_count_of_a_new_owner_has_all_jobs_that_waited_for_it() {
     let platform = Fake::new();
@@ -179,8 +171,8 @@
     assert_eq!(count, 15);
 }
 
-/// While the store gives no answer about one partition, nobody can tell how many jobs wait; a number would be taken
-/// for the truth.
+/// While the store does not answer reads of one partition, the number of waiting jobs is unknown, and callers would
+/// take a stale number for the current one.
 #[tokio::test(start_paused = true)]
 async fn a_count_is_refused_once_it_is_too_old() {
     let platform = Fake::new();
@@ -197,7 +189,7 @@
     assert_eq!(one.front().pending(&queue).await, Ok(1));
 }
 
-/// Callers who ask for jobs that don't exist must not use up the store's calls: it takes 2,000 readings a second.
+/// Guards against callers who exhaust the store by looking up jobs that do not exist: it takes 2,000 reads a second.
 #[tokio::test(start_paused = true)]
 async fn questions_about_jobs_that_don_t_exist_cost_a_bounded_number_of_calls() {
     let platform = Fake::new();
--- a/crates/node/tests/node/workspace.rs
+++ b/crates/node/tests/node/workspace.rs
@@ -1,4 +1,4 @@
-//! Keys and workspaces: who is let in, by which node, and what they learn of each other.
+//! API keys and workspaces: which callers a node admits, and what callers of one workspace can see of another.
 
 use std::time::Duration;
 
@@ -52,20 +52,21 @@
     }
 }
 
-/// Has the operator name workspaces with their keys; a later version has the longer text.
+/// Writes a configuration that names workspaces with their keys. Its version grows with the length of the text, so a
+/// later configuration needs a longer text.
 fn configure(platform: &Fake, text: &str) {
     let value = format!("keys: {text}");
     platform.write(Topic::Configuration, "config", value.as_bytes());
 }
 
-/// Lets a caller in who shows a key.
+/// Authenticates a caller by its key.
 fn enter(node: &Node<Fake>, key: &str) -> Result<Front<Fake>, Refusal> {
     let front = node.front();
     let config = front.config().ok_or(Refusal::NotReady)?;
     front.authenticate(&config, &ingress(false), Some(&KeyDigest::of(key)))
 }
 
-/// Returns the version of a configuration that the operator has written so.
+/// Returns the version of the configuration that [`configure`] writes for a text.
 fn version(text: &str) -> u64 {
     platform::version(format!("keys: {text}").as_bytes())
 }
@@ -112,7 +113,7 @@
             .map(drop)
     };
     let front = one.front().authenticate(&config, &ingress(false), None);
-    assert!(front.is_ok(), "there are no workspaces yet");
+    assert!(front.is_ok(), "without workspaces no key is needed");
     configure(&platform, "a=ka,kb b=kc");
     let_in(&one, "ka").await;
     assert_eq!(is_open(false, Some("kb")), Ok(()));
@@ -120,7 +121,7 @@
     assert_eq!(is_open(false, Some("")), Err(Refusal::Unauthorized));
     assert_eq!(is_open(false, None), Err(Refusal::Unauthorized));
     assert_eq!(is_open(true, None), Ok(()));
-    // The last key of all is taken away: nobody is let in.
+    // The last key is removed: no caller is admitted.
     configure(&platform, "                        ");
     until(|| async { is_open(false, Some("ka")) == Err(Refusal::Unauthorized) }).await;
 }
@@ -145,7 +146,7 @@
     assert_eq!(other.look(JobId(1)).await, Err(Refusal::NoJob));
     assert_eq!(cancel(&other, 1).await, Err(Refusal::NoJob));
     assert_eq!(own.look(JobId(1)).await, Ok(State::Queued));
-    // Before it was known, too.
+    // The same holds for a job that is not known yet.
     assert_eq!(cancel(&other, 2).await, Err(Refusal::NoJob));
     submit(&own, 2).await.unwrap();
     completed(&own, 2).await;
@@ -154,7 +155,7 @@
     until(|| async { own.look(JobId(1)).await == Ok(State::Cancelled) }).await;
 }
 
-/// Both are kept by one node, so under keys of one partition.
+/// One node accepts both submissions, so both records are in one partition.
 #[tokio::test]
 async fn a_job_under_an_id_of_another_workspace_takes_that_ones_place_nowhere() {
     let platform = Fake::new();
@@ -203,7 +204,7 @@
     .await;
     let front = let_in(&one, key).await;
     assert_eq!(front.look(JobId(1)).await, expected);
-    // Handed in again by whoever may, it is the same job.
+    // Submitted again by a caller of its workspace, it is the same job.
     if expected.is_ok() {
         submit(&front, 1).await.unwrap();
         sleep(SECOND / 2).await;
@@ -211,7 +212,7 @@
     }
 }
 
-/// The store turns a machine away, and the operator takes a key away meanwhile.
+/// The store does not serve a node's machine, and the operator revokes a key meanwhile.
 #[rstest]
 #[case::in_silence(Mode::Silent)]
 #[case::at_once(Mode::Refusing)]
@@ -234,13 +235,13 @@
     let took = revoked.elapsed();
     assert!(took < 3 * SECOND, "{took:?}");
     assert!(enter(&two, "kb").is_ok());
-    // It goes on to know that there is nothing newer.
+    // The owner keeps confirming that there is nothing newer.
     sleep(3 * SECOND).await;
     assert_eq!(enter(&two, "ka").err(), Some(Refusal::Unauthorized));
     assert!(enter(&two, "kb").is_ok());
 }
 
-/// Nobody can take a key away meanwhile, but a new one may have come just before.
+/// During an outage no key can be revoked, but an unknown key may have been added just before.
 #[tokio::test]
 async fn while_the_store_is_away_for_all_the_keys_hold_that_are_known() {
     let platform = Fake::new();
