--- a/crates/node/tests/node/evacuation.rs
+++ b/crates/node/tests/node/evacuation.rs
@@ -13,7 +13,7 @@
 use crate::{
     platform::{
         Fake,
-        LOST_VALUE, //
+        REJECTED_VALUE, //
     },
     support::{
         SECOND,
@@ -69,7 +69,7 @@
 #[rstest]
 #[case::no_data_centre("evacuate/nowhere", b"{}")]
 #[case::form(KEY, b"foreign")]
-#[case::bytes(KEY, LOST_VALUE)]
+#[case::bytes(KEY, REJECTED_VALUE)]
 #[tokio::test(start_paused = true)]
 async fn a_record_of_another_writer_changes_nothing(#[case] key: &str, #[case] value: &[u8]) {
     let platform = Fake::new();
--- a/crates/node/tests/node/foreign.rs
+++ b/crates/node/tests/node/foreign.rs
@@ -20,7 +20,7 @@
 use crate::{
     platform::{
         Fake,
-        LOST_VALUE, //
+        REJECTED_VALUE, //
     },
     support::{
         SECOND,
@@ -35,7 +35,7 @@
 #[rstest]
 #[case::form(b"foreign")]
 #[case::pool(b"elsewhere")]
-#[case::bytes(LOST_VALUE)]
+#[case::bytes(REJECTED_VALUE)]
 #[tokio::test(start_paused = true)]
 async fn an_entry_that_turns_foreign_takes_its_worker_out_until_a_good_one_comes(
     #[case] foreign: &[u8],
@@ -71,7 +71,7 @@
 #[rstest]
 #[case::form(b"foreign")]
 #[case::pool(b"elsewhere")]
-#[case::bytes(LOST_VALUE)]
+#[case::bytes(REJECTED_VALUE)]
 #[tokio::test(start_paused = true)]
 async fn the_entry_of_a_worker_that_is_not_known_takes_nobody_out(#[case] foreign: &[u8]) {
     let platform = Fake::new();
@@ -94,7 +94,7 @@
     platform.write(Topic::Workers, "w1", b"foreign");
     platform.write(Topic::Workers, "w2", b"foreign");
     platform.write(Topic::Workers, "w3", b"elsewhere");
-    platform.write(Topic::Workers, "w4", LOST_VALUE);
+    platform.write(Topic::Workers, "w4", REJECTED_VALUE);
     sleep(SECOND).await;
     let after = meter.render().unwrap();
     let mut lines: Vec<&str> = after
@@ -117,7 +117,7 @@
 }
 
 /// Values that other writers may leave in any topic.
-const GARBAGE: [&[u8]; 3] = [b"", b"\xff\xff\xff\xff", LOST_VALUE];
+const GARBAGE: [&[u8]; 3] = [b"", b"\xff\xff\xff\xff", REJECTED_VALUE];
 
 /// Writes invalid records into every topic, under keys that nodes use and under others.
 fn litter(platform: &Fake, job: u64) {
@@ -156,7 +156,12 @@
     assert_eq!(one.front().look(JobId(1)).await, Ok(State::Completed));
     assert_eq!((platform.starts(1), platform.starts(2)), (4, 4));
     assert_eq!(platform.owner().as_deref(), Some("one"));
-    assert!(platform.owned().iter().all(|claim| claim.epoch.0 == 1));
+    assert!(
+        platform
+            .valid_claims()
+            .iter()
+            .all(|claim| claim.epoch.0 == 1)
+    );
 }
 
 /// How many records at the end of each topic a store with a truncated history keeps.
@@ -179,7 +184,7 @@
     one.stop(Duration::ZERO).await;
     litter(&platform, 1);
     if let Some(kept) = kept {
-        platform.forget(kept);
+        platform.truncate_history(kept);
     }
     // This node has read neither the claim nor the configuration before.
     let two = node("two", &platform);
@@ -188,7 +193,7 @@
     submit(&two, 2).await.unwrap();
     completed(&two, 2).await;
     assert_eq!((platform.starts(1), platform.starts(2)), (4, 4));
-    let last = platform.owned().pop().unwrap();
+    let last = platform.valid_claims().pop().unwrap();
     assert!(
         last.epoch.0 >= 2,
         "the former owner's orders must be refused"
--- a/crates/node/tests/node/history.rs
+++ b/crates/node/tests/node/history.rs
@@ -82,7 +82,7 @@
         let mut rng = SmallRng::seed_from_u64(seed);
         let platform = Fake::new();
         if rng.random_bool(0.5) {
-            platform.give_at_most(rng.random_range(1..4));
+            platform.limit_reads(rng.random_range(1..4));
         }
         let mut world = Self {
             rng,
@@ -109,7 +109,7 @@
             // Otherwise the owner could not read a cancellation there in time.
             return;
         }
-        self.platform.hold_back(Topic::Jobs(partition), span);
+        self.platform.block_reads(Topic::Jobs(partition), span);
         self.unread.insert(partition, Instant::now() + span);
     }
 
@@ -124,14 +124,14 @@
         let id = self.serial;
         let spec = job(vec![step()], None);
         self.platform
-            .accept(partition, &accepted(id, spec, partition));
+            .record_job(partition, &accepted(id, spec, partition));
         self.jobs.insert(id);
     }
 
     fn cancel_on_record(&mut self) {
         let job = self.some_job();
         let partition = self.rng.random_range(0..16);
-        self.platform.cancel(partition, job);
+        self.platform.record_cancellation(partition, job);
         // The deadline counts from the moment at which the partition can be read.
         let now = Instant::now();
         let readable = self
@@ -190,9 +190,14 @@
             6 | 7 => self.look().await,
             8 => self.hold_back(),
             _ => {
-                let modes = [Mode::Well, Mode::Well, Mode::Slow, Mode::Losing];
+                let modes = [
+                    Mode::Healthy,
+                    Mode::Healthy,
+                    Mode::Slow,
+                    Mode::HalfAnswersLost,
+                ];
                 let mode = modes[self.rng.random_range(0..modes.len())];
-                self.platform.set(mode);
+                self.platform.set_mode(mode);
             }
         }
         let pause = self.rng.random_range(1..300);
@@ -242,7 +247,7 @@
     while Instant::now() < until {
         world.trouble().await;
     }
-    world.platform.set(Mode::Well);
+    world.platform.set_mode(Mode::Healthy);
     sleep(CALM).await;
     world.check().await;
     world.violations
--- a/crates/node/tests/node/platform.rs
+++ b/crates/node/tests/node/platform.rs
@@ -90,64 +90,66 @@
 pub(crate) enum Mode {
     /// It answers every call.
     #[default]
-    Well,
+    Healthy,
     /// It answers late.
     Slow,
     /// It refuses every call.
     Refusing,
     /// It carries out appends and answers no call.
-    Mute,
+    AnswersLost,
     /// It carries out appends and loses the answer to every second one of each topic.
-    Losing,
+    HalfAnswersLost,
     /// It carries out nothing, and calls fail only after a long timeout.
-    Silent,
+    Unresponsive,
 }
 
 #[derive(Default)]
 struct State {
     mode: Mode,
     /// Topics whose appends are refused.
-    refused: Vec<String>,
+    refused_topics: Vec<String>,
     /// Until when reads of each topic get no answer.
-    held_back: BTreeMap<String, Instant>,
+    blocked_until: BTreeMap<String, Instant>,
     /// How many reads of each topic's newest records get no answer before one succeeds.
-    lost_readings: u32,
+    lost_newest_reads: u32,
     /// How often the newest records of each topic were read.
-    readings: BTreeMap<String, u32>,
+    newest_reads: BTreeMap<String, u32>,
     /// How long each read of a topic is delayed.
-    delayed: BTreeMap<String, Duration>,
+    read_delays: BTreeMap<String, Duration>,
     topics: BTreeMap<String, Vec<Record>>,
     /// The first offset of each topic that is still kept, if it is not zero.
-    first: BTreeMap<String, u64>,
+    first_offsets: BTreeMap<String, u64>,
     /// The highest epoch that has written; appends of older ones are refused.
     fence: u32,
     /// Epoch, sequence number and end offset of the writer's last append, which answer a retry of it.
-    written: Option<(u32, u64, u64)>,
-    workers: BTreeMap<WorkerId, Host>,
+    last_append: Option<(u32, u64, u64)>,
+    workers: BTreeMap<WorkerId, Worker>,
     starts: Vec<(TaskId, Instant)>,
     /// The maximum number of records in the answer to a read, if there is one.
-    most_given: Option<usize>,
+    max_records_per_read: Option<usize>,
     /// The maximum number of records in the answer to a read of the newest ones, if there is one.
-    most_newest: Option<usize>,
+    max_newest_per_read: Option<usize>,
     /// How many appends were carried out or refused by their condition.
     appends: usize,
     /// How often a partition of the jobs was read from an offset.
     job_reads: usize,
     /// How many appends to each topic there were while every second answer is lost.
-    lost: BTreeMap<String, u32>,
+    appends_with_losses: BTreeMap<String, u32>,
     /// When the workers last wrote their entries.
-    reported: Option<Instant>,
+    last_report: Option<Instant>,
 }
 
 impl State {
     /// Repeats the newest valid entry of each worker if the report interval has passed.
     fn report_workers(&mut self) {
-        let is_due = self.reported.is_none_or(|at| at.elapsed() >= REPORTS);
-        let entries = self.topics.get_mut(&name(Topic::Workers));
+        let is_due = self
+            .last_report
+            .is_none_or(|at| at.elapsed() >= REPORT_INTERVAL);
+        let entries = self.topics.get_mut(&topic_name(Topic::Workers));
         let Some(entries) = entries.filter(|_| is_due) else {
             return;
         };
-        self.reported = Some(Instant::now());
+        self.last_report = Some(Instant::now());
         let newest: BTreeMap<String, Record> = entries
             .iter()
             .map(|record| (record.key.clone(), record.clone()))
@@ -161,7 +163,7 @@
 
 /// The runs of a worker.
 #[derive(Default)]
-struct Host {
+struct Worker {
     running: BTreeMap<TaskId, (Run, Instant)>,
     ended: Vec<Ended>,
     /// The serial number of the last ended run.
@@ -173,7 +175,7 @@
 pub(crate) struct Fake {
     state: Arc<Mutex<State>>,
     /// How the store behaves towards this machine, if not as towards the others.
-    own: Arc<Mutex<Option<Mode>>>,
+    own_mode: Arc<Mutex<Option<Mode>>>,
     /// How many calls of this machine timed out because the store was unresponsive.
     run_out: Arc<AtomicUsize>,
     /// How many orders to start a run this machine has sent.
@@ -185,19 +187,19 @@
 }
 
 /// A value that is rejected before it is decoded.
-pub(crate) const LOST_VALUE: &[u8] = b"lost";
+pub(crate) const REJECTED_VALUE: &[u8] = b"lost";
 /// The data centre of all workers.
 const DATA_CENTRE: &str = "north";
 /// The prefix of a configuration that names workspaces with their keys, as in `keys: a=key b=other`. Its version grows
 /// with its length.
-const KEYS: &[u8] = b"keys:";
+const KEYS_PREFIX: &[u8] = b"keys:";
 
 /// Returns the version of a configuration that names workspaces.
 pub(crate) fn version(value: &[u8]) -> u64 {
     3 + value.len() as u64
 }
 
-fn directory(text: &[u8]) -> Directory {
+fn parse_directory(text: &[u8]) -> Directory {
     let text = std::str::from_utf8(text).unwrap();
     let mut directory = Directory::default();
     for entry in text.split_whitespace() {
@@ -213,19 +215,19 @@
 }
 
 /// How often the workers write their entries.
-const REPORTS: Duration = Duration::from_millis(1_000);
+const REPORT_INTERVAL: Duration = Duration::from_millis(1_000);
 /// How long tasks run.
-const RUNS: Duration = Duration::from_millis(40);
+const TASK_DURATION: Duration = Duration::from_millis(40);
 /// How long a call of a healthy store, or of a worker, takes.
-const CALL: Duration = Duration::from_millis(2);
+const CALL_LATENCY: Duration = Duration::from_millis(2);
 /// How long a call of a slow store takes.
-const SLOW: Duration = Duration::from_millis(90);
+const SLOW_CALL_LATENCY: Duration = Duration::from_millis(90);
 /// How long a call takes to fail while every second answer is lost: longer than callers in the tests wait.
-const NEVER: Duration = Duration::from_secs(4);
+const HALF_ANSWERS_LOST_TIMEOUT: Duration = Duration::from_secs(4);
 /// How long a call takes to fail while all answers are lost.
-const LOST: Duration = Duration::from_millis(100);
+const ANSWERS_LOST_TIMEOUT: Duration = Duration::from_millis(100);
 /// How long a call takes to fail if the store is unresponsive: longer than anything that waits for it may take.
-const RUNS_OUT: Duration = Duration::from_secs(30);
+const UNRESPONSIVE_TIMEOUT: Duration = Duration::from_secs(30);
 
 impl Fake {
     /// Returns a platform with one worker.
@@ -245,8 +247,10 @@
         });
         let workers = workers.collect();
         let mut state = fake.state();
-        state.topics.insert(name(Topic::Configuration), config);
-        state.topics.insert(name(Topic::Workers), workers);
+        state
+            .topics
+            .insert(topic_name(Topic::Configuration), config);
+        state.topics.insert(topic_name(Topic::Workers), workers);
         drop(state);
         fake
     }
@@ -255,12 +259,12 @@
         self.state.lock().unwrap()
     }
 
-    pub(crate) fn set(&self, mode: Mode) {
+    pub(crate) fn set_mode(&self, mode: Mode) {
         self.state().mode = mode;
     }
 
     /// Returns the same platform as seen from another machine.
-    pub(crate) fn machine(&self) -> Self {
+    pub(crate) fn another_machine(&self) -> Self {
         Self {
             state: self.state.clone(),
             ..Self::default()
@@ -273,19 +277,19 @@
     }
 
     /// Sets how the store behaves towards this machine alone.
-    pub(crate) fn set_here(&self, mode: Mode) {
-        *self.own.lock().unwrap() = Some(mode);
+    pub(crate) fn set_own_mode(&self, mode: Mode) {
+        *self.own_mode.lock().unwrap() = Some(mode);
     }
 
-    fn note_read(&self, topic: Topic) {
-        let read = (name(topic), Instant::now());
+    fn log_read(&self, topic: Topic) {
+        let read = (topic_name(topic), Instant::now());
         self.reads.lock().unwrap().push(read);
     }
 
     /// Returns the times at which this machine read a topic, in order.
     pub(crate) fn reads(&self, topic: Topic) -> Vec<Instant> {
         let reads = self.reads.lock().unwrap();
-        let own = reads.iter().filter(|(read, _)| *read == name(topic));
+        let own = reads.iter().filter(|(read, _)| *read == topic_name(topic));
         own.map(|(_, at)| *at).collect()
     }
 
@@ -295,34 +299,34 @@
     }
 
     /// Records a job as a node does, without notifying the owner.
-    pub(crate) fn accept(&self, partition: u16, accepted: &Accepted) {
+    pub(crate) fn record_job(&self, partition: u16, accepted: &Accepted) {
         let record = Record {
             key: accepted.job.to_string(),
             value: Some(record::encode(accepted).unwrap().into()),
         };
-        let place = name(Topic::Jobs(partition));
+        let place = topic_name(Topic::Jobs(partition));
         let mut state = self.state();
         state.topics.entry(place).or_default().push(record);
     }
 
     /// Writes a record with any value into a partition of the jobs.
-    pub(crate) fn put(&self, partition: u16, key: &str, value: Vec<u8>) {
+    pub(crate) fn put_in_partition(&self, partition: u16, key: &str, value: Vec<u8>) {
         let record = Record {
             key: key.to_owned(),
             value: Some(value.into()),
         };
-        let place = name(Topic::Jobs(partition));
+        let place = topic_name(Topic::Jobs(partition));
         let mut state = self.state();
         state.topics.entry(place).or_default().push(record);
     }
 
     /// Records a job's cancellation as a node does, without notifying the owner.
-    pub(crate) fn cancel(&self, partition: u16, job: u64) {
+    pub(crate) fn record_cancellation(&self, partition: u16, job: u64) {
         let record = Record {
             key: format!("{}/x", JobId(job)),
             value: Some(vec![1].into()),
         };
-        let place = name(Topic::Jobs(partition));
+        let place = topic_name(Topic::Jobs(partition));
         let mut state = self.state();
         state.topics.entry(place).or_default().push(record);
     }
@@ -334,7 +338,11 @@
             value: Some(value.to_vec().into()),
         };
         let mut state = self.state();
-        state.topics.entry(name(topic)).or_default().push(record);
+        state
+            .topics
+            .entry(topic_name(topic))
+            .or_default()
+            .push(record);
     }
 
     /// Appends a record that removes a key.
@@ -344,13 +352,17 @@
             value: None,
         };
         let mut state = self.state();
-        state.topics.entry(name(topic)).or_default().push(record);
+        state
+            .topics
+            .entry(topic_name(topic))
+            .or_default()
+            .push(record);
     }
 
     /// Removes all records under a key without leaving a removal record, and truncates the topic's history.
     pub(crate) fn drop_key(&self, topic: Topic, key: &str) {
         let mut state = self.state();
-        let records = state.topics.entry(name(topic)).or_default();
+        let records = state.topics.entry(topic_name(topic)).or_default();
         // The offsets of the other records stay.
         for record in records.iter_mut().filter(|record| record.key == key) {
             record.value = None;
@@ -361,23 +373,23 @@
             key: "another".to_owned(),
             value: Some(b"{}".to_vec().into()),
         });
-        state.first.insert(name(topic), end + 1);
+        state.first_offsets.insert(topic_name(topic), end + 1);
     }
 
     /// Truncates the history of every topic to some records at its end. The newest record of each key stays readable.
-    pub(crate) fn forget(&self, but: usize) {
+    pub(crate) fn truncate_history(&self, but: usize) {
         let mut state = self.state();
         let topics = state.topics.iter();
         let first = topics.map(|(topic, records)| {
             let first = records.len().saturating_sub(but);
             (topic.clone(), first as u64)
         });
-        state.first = first.collect();
+        state.first_offsets = first.collect();
     }
 
     /// Returns a page in which the records that cannot be read are reported as rejected.
     fn page(records: Vec<Record>, next: u64, end: u64) -> Page {
-        let is_lost = |record: &Record| record.value.as_deref() == Some(LOST_VALUE);
+        let is_lost = |record: &Record| record.value.as_deref() == Some(REJECTED_VALUE);
         let (lost, records): (Vec<Record>, Vec<Record>) = records.into_iter().partition(is_lost);
         let rejected = lost
             .iter()
@@ -391,30 +403,32 @@
     }
 
     /// Makes the store refuse appends to a partition of the jobs.
-    pub(crate) fn refuse(&self, partition: u16) {
-        self.state().refused.push(name(Topic::Jobs(partition)));
+    pub(crate) fn refuse_appends(&self, partition: u16) {
+        self.state()
+            .refused_topics
+            .push(topic_name(Topic::Jobs(partition)));
     }
 
     /// Makes the store give no answer to reads of a topic for some time.
-    pub(crate) fn hold_back(&self, topic: Topic, time: Duration) {
+    pub(crate) fn block_reads(&self, topic: Topic, time: Duration) {
         let until = Instant::now() + time;
-        self.state().held_back.insert(name(topic), until);
+        self.state().blocked_until.insert(topic_name(topic), until);
     }
 
     /// Makes the store delay each read of a topic.
-    pub(crate) fn delay(&self, topic: Topic, time: Duration) {
-        self.state().delayed.insert(name(topic), time);
+    pub(crate) fn delay_reads(&self, topic: Topic, time: Duration) {
+        self.state().read_delays.insert(topic_name(topic), time);
     }
 
-    async fn wait_for(&self, topic: Topic) {
-        let time = self.state().delayed.get(&name(topic)).copied();
+    async fn wait_read_delay(&self, topic: Topic) {
+        let time = self.state().read_delays.get(&topic_name(topic)).copied();
         sleep(time.unwrap_or_default()).await;
     }
 
     /// Returns the newest record under a key of a partition of the jobs.
     pub(crate) fn newest_job(&self, partition: u16, key: &str) -> Option<Vec<u8>> {
         let state = self.state();
-        let records = state.topics.get(&name(Topic::Jobs(partition)));
+        let records = state.topics.get(&topic_name(Topic::Jobs(partition)));
         let mut own = records.into_iter().flatten().rev();
         own.find(|record| record.key == key)?
             .value
@@ -428,7 +442,7 @@
     }
 
     fn mode(&self) -> Mode {
-        let own = *self.own.lock().unwrap();
+        let own = *self.own_mode.lock().unwrap();
         own.unwrap_or_else(|| self.state().mode)
     }
 
@@ -448,13 +462,13 @@
     }
 
     /// Bounds the number of records in the answer to a read from an offset.
-    pub(crate) fn give_at_most(&self, count: usize) {
-        self.state().most_given = Some(count);
+    pub(crate) fn limit_reads(&self, count: usize) {
+        self.state().max_records_per_read = Some(count);
     }
 
     /// Bounds the number of records in the answer to a read of the newest ones.
-    pub(crate) fn give_newest_by(&self, count: usize) {
-        self.state().most_newest = Some(count);
+    pub(crate) fn limit_newest_reads(&self, count: usize) {
+        self.state().max_newest_per_read = Some(count);
     }
 
     pub(crate) fn appends(&self) -> usize {
@@ -469,7 +483,7 @@
     /// Returns the node that owns the cell according to the newest claim.
     pub(crate) fn owner(&self) -> Option<String> {
         let state = self.state();
-        let claims = state.topics.get(&name(Topic::Claims))?.iter().rev();
+        let claims = state.topics.get(&topic_name(Topic::Claims))?.iter().rev();
         let mut claims = claims.filter_map(|record| record.value.as_ref());
         // In some tests there are records of other writers among them.
         let claim: Claim = claims.find_map(|value| record::decode(value).ok())?;
@@ -485,15 +499,23 @@
     /// Returns all claims in order. Panics if any record of their topic is not a claim.
     pub(crate) fn claims(&self) -> Vec<Claim> {
         let state = self.state();
-        let records = state.topics.get(&name(Topic::Claims)).into_iter().flatten();
+        let records = state
+            .topics
+            .get(&topic_name(Topic::Claims))
+            .into_iter()
+            .flatten();
         let values = records.filter_map(|record| record.value.as_ref());
         values.map(|value| record::decode(value).unwrap()).collect()
     }
 
     /// Returns all claims in order, skipping records of their topic that cannot be decoded.
-    pub(crate) fn owned(&self) -> Vec<Claim> {
+    pub(crate) fn valid_claims(&self) -> Vec<Claim> {
         let state = self.state();
-        let records = state.topics.get(&name(Topic::Claims)).into_iter().flatten();
+        let records = state
+            .topics
+            .get(&topic_name(Topic::Claims))
+            .into_iter()
+            .flatten();
         let values = records.filter_map(|record| record.value.as_ref());
         values
             .filter_map(|value| record::decode(value).ok())
@@ -501,74 +523,74 @@
     }
 
     /// Returns whether any topic has a record under a key.
-    pub(crate) fn keeps(&self, key: &str) -> bool {
+    pub(crate) fn has_record(&self, key: &str) -> bool {
         let state = self.state();
         let mut records = state.topics.values().flatten();
         records.any(|record| record.key == key)
     }
 
     /// Makes the store lose the answers to the next reads of the newest records of each topic.
-    pub(crate) fn lose_readings(&self, count: u32) {
+    pub(crate) fn lose_newest_reads(&self, count: u32) {
         let mut state = self.state();
-        state.lost_readings = count;
-        state.readings.clear();
+        state.lost_newest_reads = count;
+        state.newest_reads.clear();
     }
 
     /// Counts a read of a topic's newest records, and fails it with a timeout if its answer is to be lost.
-    async fn check_lost(&self, topic: Topic) -> Result<(), Error> {
+    async fn fail_if_lost(&self, topic: Topic) -> Result<(), Error> {
         let is_lost = {
             let mut state = self.state();
-            let lost = state.lost_readings;
-            let count = state.readings.entry(name(topic)).or_default();
+            let lost = state.lost_newest_reads;
+            let count = state.newest_reads.entry(topic_name(topic)).or_default();
             *count += 1;
             *count <= lost
         };
         if !is_lost {
             return Ok(());
         }
-        sleep(RUNS_OUT).await;
+        sleep(UNRESPONSIVE_TIMEOUT).await;
         Err(Error::Unanswered)
     }
 
     /// Fails a read with a timeout while reads of its topic are blocked.
-    async fn check_held_back(&self, topic: Topic) -> Result<(), Error> {
-        let until = self.state().held_back.get(&name(topic)).copied();
+    async fn fail_if_blocked(&self, topic: Topic) -> Result<(), Error> {
+        let until = self.state().blocked_until.get(&topic_name(topic)).copied();
         if until.is_none_or(|until| Instant::now() >= until) {
             return Ok(());
         }
-        sleep(RUNS_OUT).await;
+        sleep(UNRESPONSIVE_TIMEOUT).await;
         Err(Error::Unanswered)
     }
 
     /// Waits as long as a call takes in the current mode, and fails if the mode says so.
-    async fn answer(&self) -> Result<(), Error> {
+    async fn simulate_call(&self) -> Result<(), Error> {
         let mode = self.mode();
         match mode {
-            Mode::Well | Mode::Losing => {
-                sleep(CALL).await;
+            Mode::Healthy | Mode::HalfAnswersLost => {
+                sleep(CALL_LATENCY).await;
                 Ok(())
             }
             Mode::Slow => {
-                sleep(SLOW).await;
+                sleep(SLOW_CALL_LATENCY).await;
                 Ok(())
             }
             Mode::Refusing => Err(Error::Refused("unavailable")),
-            Mode::Mute => {
-                sleep(LOST).await;
+            Mode::AnswersLost => {
+                sleep(ANSWERS_LOST_TIMEOUT).await;
                 Err(Error::Unanswered)
             }
-            Mode::Silent => {
-                sleep(RUNS_OUT).await;
+            Mode::Unresponsive => {
+                sleep(UNRESPONSIVE_TIMEOUT).await;
                 self.run_out.fetch_add(1, Ordering::Relaxed);
                 Err(Error::Unanswered)
             }
         }
     }
 
-    fn carry_out(&self, append: Append) -> Result<u64, Error> {
+    fn apply_append(&self, append: Append) -> Result<u64, Error> {
         let mut state = self.state();
         state.appends += 1;
-        let place = name(append.topic);
+        let place = topic_name(append.topic);
         let end = state.topics.entry(place.clone()).or_default().len() as u64;
         match append.condition {
             Condition::None => {}
@@ -579,12 +601,12 @@
                     return Err(Error::Fenced);
                 }
                 state.fence = epoch.0;
-                if let Some((writer, last, at)) = state.written
+                if let Some((writer, last, at)) = state.last_append
                     && (writer, last) == (epoch.0, sequence)
                 {
                     return Ok(at);
                 }
-                state.written = Some((epoch.0, sequence, end + append.records.len() as u64));
+                state.last_append = Some((epoch.0, sequence, end + append.records.len() as u64));
             }
         }
         let topic = state.topics.entry(place).or_default();
@@ -593,41 +615,45 @@
     }
 }
 
-fn name(topic: Topic) -> String {
+fn topic_name(topic: Topic) -> String {
     format!("{topic:?}")
 }
 
 impl Platform for Fake {
     async fn append(&self, append: Append) -> Result<u64, Error> {
-        if self.state().refused.contains(&name(append.topic)) {
+        if self
+            .state()
+            .refused_topics
+            .contains(&topic_name(append.topic))
+        {
             return Err(Error::Refused("unavailable"));
         }
         let mode = self.mode();
         match mode {
-            Mode::Refusing | Mode::Silent => self.answer().await.map(|()| 0),
-            Mode::Mute => {
+            Mode::Refusing | Mode::Unresponsive => self.simulate_call().await.map(|()| 0),
+            Mode::AnswersLost => {
                 // The result is lost with the answer.
-                let _ = self.carry_out(append);
-                self.answer().await.map(|()| 0)
+                let _ = self.apply_append(append);
+                self.simulate_call().await.map(|()| 0)
             }
-            Mode::Well | Mode::Slow => {
-                self.answer().await?;
-                self.carry_out(append)
+            Mode::Healthy | Mode::Slow => {
+                self.simulate_call().await?;
+                self.apply_append(append)
             }
-            Mode::Losing => {
-                self.answer().await?;
-                let topic = name(append.topic);
-                let result = self.carry_out(append);
+            Mode::HalfAnswersLost => {
+                self.simulate_call().await?;
+                let topic = topic_name(append.topic);
+                let result = self.apply_append(append);
                 let count = {
                     let mut state = self.state();
-                    let count = state.lost.entry(topic).or_default();
+                    let count = state.appends_with_losses.entry(topic).or_default();
                     *count += 1;
                     *count
                 };
                 if count.is_multiple_of(2) {
                     return result;
                 }
-                sleep(NEVER).await;
+                sleep(HALF_ANSWERS_LOST_TIMEOUT).await;
                 Err(Error::Unanswered)
             }
         }
@@ -635,8 +661,8 @@
 
     async fn read(&self, topic: Topic, from: u64, wait: Duration) -> Result<Page, Error> {
         let until = Instant::now() + wait;
-        self.note_read(topic);
-        self.check_held_back(topic).await?;
+        self.log_read(topic);
+        self.fail_if_blocked(topic).await?;
         if matches!(topic, Topic::Jobs(_)) {
             self.state().job_reads += 1;
         }
@@ -644,19 +670,23 @@
             self.state().report_workers();
         }
         loop {
-            self.wait_for(topic).await;
-            self.answer().await?;
+            self.wait_read_delay(topic).await;
+            self.simulate_call().await?;
             let (records, end): (Vec<Record>, u64) = {
                 let state = self.state();
-                let first = state.first.get(&name(topic)).copied().unwrap_or(0);
+                let first = state
+                    .first_offsets
+                    .get(&topic_name(topic))
+                    .copied()
+                    .unwrap_or(0);
                 if from < first {
                     return Err(Error::Forgotten { first });
                 }
-                let records = state.topics.get(&name(topic));
+                let records = state.topics.get(&topic_name(topic));
                 let end = records.map_or(0, |records| records.len() as u64);
                 let skipped = usize::try_from(from).unwrap();
                 let rest = records.into_iter().flatten().skip(skipped);
-                let most = state.most_given.unwrap_or(usize::MAX);
+                let most = state.max_records_per_read.unwrap_or(usize::MAX);
                 (rest.take(most).cloned().collect(), end)
             };
             if !records.is_empty() || Instant::now() >= until {
@@ -668,13 +698,17 @@
     }
 
     async fn newest(&self, topic: Topic) -> Result<Page, Error> {
-        self.note_read(topic);
-        self.check_lost(topic).await?;
-        self.check_held_back(topic).await?;
-        self.wait_for(topic).await;
-        self.answer().await?;
+        self.log_read(topic);
+        self.fail_if_lost(topic).await?;
+        self.fail_if_blocked(topic).await?;
+        self.wait_read_delay(topic).await;
+        self.simulate_call().await?;
         let state = self.state();
-        let records = state.topics.get(&name(topic)).cloned().unwrap_or_default();
+        let records = state
+            .topics
+            .get(&topic_name(topic))
+            .cloned()
+            .unwrap_or_default();
         let next = records.len() as u64;
         let newest: BTreeMap<String, Record> = records
             .into_iter()
@@ -693,7 +727,7 @@
         let mut page = self.newest(topic).await?;
         page.records
             .retain(|record| after.is_none_or(|after| record.key.as_str() > after));
-        let most = self.state().most_newest.unwrap_or(usize::MAX);
+        let most = self.state().max_newest_per_read.unwrap_or(usize::MAX);
         let has_more = page.records.len() > most;
         page.records.truncate(most);
         let last = page.records.last().map(|record| record.key.clone());
@@ -703,18 +737,18 @@
     fn reconnect(&self) {}
 
     async fn start(&self, order: Start) -> StartAnswer {
-        sleep(CALL).await;
+        sleep(CALL_LATENCY).await;
         self.ordered.fetch_add(1, Ordering::Relaxed);
         let mut state = self.state();
         state.starts.push((order.task, Instant::now()));
         let host = state.workers.entry(order.to.worker).or_default();
-        let ends = Instant::now() + RUNS;
+        let ends = Instant::now() + TASK_DURATION;
         host.running.insert(order.task, (order.run, ends));
         StartAnswer::Started
     }
 
     async fn stop(&self, order: Stop) -> StopAnswer {
-        sleep(CALL).await;
+        sleep(CALL_LATENCY).await;
         let mut state = self.state();
         let host = state.workers.entry(order.to.worker).or_default();
         host.running.remove(&order.task);
@@ -728,7 +762,7 @@
     async fn hold(&self, order: Hold) -> HoldAnswer {
         let until = Instant::now() + order.wait;
         loop {
-            sleep(CALL).await;
+            sleep(CALL_LATENCY).await;
             let now = Instant::now();
             let mut state = self.state();
             let host = state.workers.entry(order.to.worker.clone()).or_default();
@@ -776,7 +810,7 @@
         let (version, pool) = match (record.key.as_str(), record.value.as_deref()) {
             ("config", Some(b"1")) => (1, "p"),
             ("config", Some(b"2")) => (2, "elsewhere"),
-            ("config", Some(value)) if value.starts_with(KEYS) => (version(value), "p"),
+            ("config", Some(value)) if value.starts_with(KEYS_PREFIX) => (version(value), "p"),
             ("config", _) => return Err(Fault::Form),
             _ => return Ok(None),
         };
@@ -790,7 +824,7 @@
         };
         config.queues.insert(queue.name.clone(), Arc::new(queue));
         let value = record.value.as_deref().unwrap_or_default();
-        config.directory = value.strip_prefix(KEYS).map(directory);
+        config.directory = value.strip_prefix(KEYS_PREFIX).map(parse_directory);
         Ok(Some(config))
     }
 
--- a/crates/node/tests/node/record.rs
+++ b/crates/node/tests/node/record.rs
@@ -57,7 +57,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_takeover_comes_to_an_end_where_one_partition_is_slow(#[case] takes_ms: u64) {
     let platform = Fake::new();
-    platform.delay(Topic::Jobs(0), Duration::from_millis(takes_ms));
+    platform.delay_reads(Topic::Jobs(0), Duration::from_millis(takes_ms));
     let one = node("one", &platform);
     let taken = timeout(60 * SECOND, async {
         while one.front().pending(&QueueName::from("q")).await.is_err() {
@@ -94,10 +94,10 @@
             times: 1,
         };
         let accepted = accepted(id, job(vec![step()], Some(schedule)), partition);
-        platform.accept(partition, &accepted);
+        platform.record_job(partition, &accepted);
         sleep(3 * SECOND).await;
-        platform.delay(Topic::Jobs(0), Duration::from_millis(takes_ms));
-        platform.cancel(partition, id);
+        platform.delay_reads(Topic::Jobs(0), Duration::from_millis(takes_ms));
+        platform.record_cancellation(partition, id);
         let acked = Instant::now();
         while acked.elapsed() < Duration::from_millis(6_500) {
             sleep(SECOND / 20).await;
@@ -106,7 +106,7 @@
                 break;
             }
         }
-        platform.delay(Topic::Jobs(0), Duration::ZERO);
+        platform.delay_reads(Topic::Jobs(0), Duration::ZERO);
         sleep(3 * SECOND + Duration::from_millis(id * 37)).await;
     }
     assert!(
@@ -133,7 +133,7 @@
     one.disowned(SECOND).await;
     one.stop(SECOND).await;
     for partition in 0..FIRST_PARTITIONS {
-        platform.hold_back(Topic::Jobs(partition), 2 * SECOND);
+        platform.block_reads(Topic::Jobs(partition), 2 * SECOND);
     }
     let again = node("one", &platform);
     sleep(SECOND).await;
@@ -154,7 +154,7 @@
     let key = JobId(1).to_string();
     let own = (0..FIRST_PARTITIONS).find(|p| platform.newest_job(*p, &key).is_some());
     let own = own.unwrap();
-    platform.refuse(own);
+    platform.refuse_appends(own);
     submit_spec(&one, 2, job(vec![step()], None)).await.unwrap();
     let key = JobId(2).to_string();
     let next = (own + 1) % FIRST_PARTITIONS;
@@ -173,7 +173,7 @@
     let platform = Fake::new();
     let one = node("one", &platform);
     ready(&one).await;
-    platform.put(3, &JobId(1).to_string(), vec![0xff]);
+    platform.put_in_partition(3, &JobId(1).to_string(), vec![0xff]);
     sleep(3 * SECOND).await;
     let found = one.front().look(JobId(1)).await;
     assert_ne!(found, Err(Refusal::NoJob));
@@ -192,7 +192,7 @@
     one.leave();
     one.disowned(SECOND).await;
     one.stop(SECOND).await;
-    platform.lose_readings(lost);
+    platform.lose_newest_reads(lost);
     let two = node("two", &platform);
     until(|| async { platform.owner().as_deref() == Some("two") }).await;
     let claimed = Instant::now();
--- a/crates/node/tests/node/service.rs
+++ b/crates/node/tests/node/service.rs
@@ -94,7 +94,7 @@
     let two = node("two", &platform);
     ready(&two).await;
     until(|| async { one.greeted_by().await == 1 }).await;
-    platform.set(Mode::Slow);
+    platform.set_mode(Mode::Slow);
     let renewals = |count: usize| {
         let before = platform.claims().len();
         let platform = platform.clone();
@@ -109,7 +109,7 @@
         Some("one"),
         "the owner still renews its claim"
     );
-    platform.set(Mode::Well);
+    platform.set_mode(Mode::Healthy);
     until(|| async { platform.owner().as_deref() == Some("two") }).await;
     assert!(platform.claims().iter().all(|claim| !claim.released));
 }
@@ -120,7 +120,7 @@
     let platform = Fake::new();
     let one = node("one", &platform);
     ready(&one).await;
-    platform.set_here(Mode::Silent);
+    platform.set_own_mode(Mode::Unresponsive);
     let queue = QueueName::from("q");
     let minutes = Instant::now() + 300 * SECOND;
     let front = one.front();
@@ -151,7 +151,7 @@
     let one = node("one", &platform);
     ready(&one).await;
     for partition in (0..FIRST_PARTITIONS).step_by(2) {
-        platform.refuse(partition);
+        platform.refuse_appends(partition);
     }
     // Whichever partition a node's name selects, this one or the next accepts the record.
     let two = node("two", &platform);
@@ -167,10 +167,10 @@
 #[tokio::test]
 async fn a_node_that_starts_in_a_silent_store_doesn_t_wait_for_its_first_calls() {
     let platform = Fake::new();
-    platform.set(Mode::Silent);
+    platform.set_mode(Mode::Unresponsive);
     let one = node("one", &platform);
     tokio::time::sleep(SECOND / 5).await;
-    platform.set(Mode::Well);
+    platform.set_mode(Mode::Healthy);
     ready(&one).await;
     submit(&one, 1).await.unwrap();
     completed(&one, 1).await;
@@ -224,10 +224,10 @@
     let platform = Fake::new();
     let one = node("one", &platform);
     ready(&one).await;
-    let apart = platform.machine();
+    let apart = platform.another_machine();
     let two = node("two", &apart);
     ready(&two).await;
-    platform.set_here(Mode::Silent);
+    platform.set_own_mode(Mode::Unresponsive);
     submit(&two, 1).await.unwrap();
     completed(&two, 1).await;
     assert_eq!(platform.run_out(), 0);
@@ -268,7 +268,7 @@
             received: Timestamp::ZERO,
             partition,
         };
-        platform.accept(partition, &accepted);
+        platform.record_job(partition, &accepted);
     }
     for partition in 0..FIRST_PARTITIONS {
         let job = 100 + u64::from(partition);
@@ -297,7 +297,7 @@
     let one = node("one", &platform);
     ready(&one).await;
     let partition = JOB_PARTITIONS - 1;
-    platform.accept(partition, &accepted(100, two_steps(), partition));
+    platform.record_job(partition, &accepted(100, two_steps(), partition));
     completed(&one, 100).await;
     assert_eq!(platform.starts(100), 4);
 }
@@ -320,7 +320,7 @@
     }
     tokio::time::sleep(SECOND).await;
     for partition in 0..FIRST_PARTITIONS {
-        platform.cancel(partition, 100 + u64::from(partition));
+        platform.record_cancellation(partition, 100 + u64::from(partition));
     }
     tokio::time::sleep(3 * SECOND).await;
     for job in 100..100 + u64::from(FIRST_PARTITIONS) {
@@ -336,7 +336,7 @@
     let platform = Fake::with_workers(FLEET);
     let one = node("one", &platform);
     ready(&one).await;
-    let (apart, weak) = (platform.machine(), platform.machine());
+    let (apart, weak) = (platform.another_machine(), platform.another_machine());
     let two = node("two", &apart);
     let three = node_with("three", &weak, Millicores(100));
     ready(&two).await;
@@ -359,7 +359,7 @@
     let platform = Fake::with_workers(FLEET);
     let one = node("one", &platform);
     ready(&one).await;
-    let apart = platform.machine();
+    let apart = platform.another_machine();
     let two = node("two", &apart);
     ready(&two).await;
     submit(&one, 1).await.unwrap();
@@ -379,11 +379,11 @@
     let platform = Fake::new();
     let one = node("one", &platform);
     ready(&one).await;
-    platform.set(Mode::Refusing);
+    platform.set_mode(Mode::Refusing);
     assert_eq!(submit(&one, 1).await, Err(Refusal::NotKept));
-    platform.set(Mode::Well);
+    platform.set_mode(Mode::Healthy);
     ready(&one).await;
-    assert!(!platform.keeps(&JobId(1).to_string()));
+    assert!(!platform.has_record(&JobId(1).to_string()));
     assert_eq!(one.front().look(JobId(1)).await, Err(Refusal::NoJob));
 }
 
@@ -392,9 +392,9 @@
     let platform = Fake::new();
     let one = node("one", &platform);
     ready(&one).await;
-    platform.set(Mode::Mute);
+    platform.set_mode(Mode::AnswersLost);
     assert_eq!(submit(&one, 1).await, Err(Refusal::Unknown));
-    platform.set(Mode::Well);
+    platform.set_mode(Mode::Healthy);
     // The store wrote the record, so the job runs.
     completed(&one, 1).await;
 }
@@ -404,7 +404,7 @@
     let platform = Fake::new();
     let one = node("one", &platform);
     ready(&one).await;
-    platform.set(Mode::Losing);
+    platform.set_mode(Mode::HalfAnswersLost);
     for job in 1..6 {
         assert_eq!(submit(&one, job).await, Ok(()));
     }
@@ -419,7 +419,7 @@
     let platform = Fake::new();
     let one = node("one", &platform);
     ready(&one).await;
-    platform.set(Mode::Refusing);
+    platform.set_mode(Mode::Refusing);
     let before = platform.appends();
     for job in 1..200 {
         assert_eq!(submit(&one, job).await, Err(Refusal::NotKept));
@@ -465,11 +465,11 @@
     let submit = || front.submit(&missing, JobId(1), two_steps(), deadline);
     assert_eq!(submit().await, Err(Refusal::NoQueue));
     assert_eq!(front.pending(&missing).await, Err(Refusal::NoQueue));
-    platform.set(Mode::Silent);
+    platform.set_mode(Mode::Unresponsive);
     tokio::time::sleep(4 * SECOND).await;
     assert_eq!(submit().await, Err(Refusal::NotReady));
     assert_eq!(front.pending(&missing).await, Err(Refusal::NotReady));
-    platform.set(Mode::Well);
+    platform.set_mode(Mode::Healthy);
     tokio::time::sleep(SECOND).await;
     assert_eq!(submit().await, Err(Refusal::NoQueue));
 }
@@ -489,9 +489,9 @@
     // The first step runs when the outage begins, and the second one cannot start without a record.
     submit(&one, 1).await.unwrap();
     until(|| async { platform.starts(1) == 2 }).await;
-    platform.set(Mode::Silent);
+    platform.set_mode(Mode::Unresponsive);
     sleep(Duration::from_millis(outage_ms)).await;
-    platform.set(Mode::Well);
+    platform.set_mode(Mode::Healthy);
     let back = Instant::now();
     completed(&one, 1).await;
     let took = back.elapsed();
--- a/crates/node/tests/node/size.rs
+++ b/crates/node/tests/node/size.rs
@@ -34,7 +34,7 @@
     let owner = node_with("owner", platform, Millicores(1_000));
     ready(&owner).await;
     let others = (0..others).map(|nth| {
-        let machine = platform.machine();
+        let machine = platform.another_machine();
         let node = node_with(&format!("n{nth}"), &machine, Millicores(250));
         (node, machine)
     });
@@ -56,7 +56,7 @@
     sleep(2 * SECOND).await;
     let before = platform.reads(Topic::Claims).len();
     for (_, machine) in &others {
-        machine.set_here(Mode::Refusing);
+        machine.set_own_mode(Mode::Refusing);
     }
     sleep(3 * SECOND).await;
     let probes = platform.reads(Topic::Claims).len() - before;
@@ -87,9 +87,9 @@
     let (_owner, others) = cell(&platform, 2).await;
     sleep(5 * SECOND).await;
     let (node, machine) = &others[0];
-    machine.set_here(Mode::Silent);
+    machine.set_own_mode(Mode::Unresponsive);
     sleep(Duration::from_millis(50)).await;
-    machine.set_here(Mode::Well);
+    machine.set_own_mode(Mode::Healthy);
     platform.write(Topic::Configuration, "config", b"2");
     let from = Instant::now();
     until(|| async {
@@ -110,15 +110,15 @@
     submit(&one, 1).await.unwrap();
     completed(&one, 1).await;
     one.stop(Duration::ZERO).await;
-    let machine = platform.machine();
-    platform.delay(Topic::Progress, SECOND);
-    platform.delay(Topic::Workers, SECOND);
+    let machine = platform.another_machine();
+    platform.delay_reads(Topic::Progress, SECOND);
+    platform.delay_reads(Topic::Workers, SECOND);
     let two = node("two", &machine);
     ready(&two).await;
     let progress = machine.reads(Topic::Progress)[0];
     let workers = machine.reads(Topic::Workers)[0];
     assert!(workers < progress + SECOND / 2, "{:?}", workers - progress);
-    platform.delay(Topic::Workers, Duration::ZERO);
+    platform.delay_reads(Topic::Workers, Duration::ZERO);
     submit(&two, 2).await.unwrap();
     completed(&two, 2).await;
 }
@@ -130,8 +130,8 @@
     let one = node("one", &platform);
     ready(&one).await;
     one.stop(Duration::ZERO).await;
-    platform.give_newest_by(4);
-    platform.delay(Topic::Workers, SECOND);
+    platform.limit_newest_reads(4);
+    platform.delay_reads(Topic::Workers, SECOND);
     let two = node("two", &platform);
     ready(&two).await;
     let from = Instant::now();
--- a/crates/node/tests/node/suspension.rs
+++ b/crates/node/tests/node/suspension.rs
@@ -24,7 +24,7 @@
 #[tokio::test]
 async fn an_owner_whose_machine_was_suspended_gives_the_cell_up() {
     let platform = Fake::new();
-    let machine = platform.machine();
+    let machine = platform.another_machine();
     let one = node("one", &machine);
     ready(&one).await;
     let two = node("two", &platform);
@@ -45,7 +45,7 @@
     let platform = Fake::new();
     let one = node("one", &platform);
     ready(&one).await;
-    let machine = platform.machine();
+    let machine = platform.another_machine();
     let two = node("two", &machine);
     ready(&two).await;
     machine.suspend(SLEPT);
--- a/crates/node/tests/node/view.rs
+++ b/crates/node/tests/node/view.rs
@@ -61,12 +61,12 @@
     #[values(2_000, 2_500, 3_000, 3_100, 3_200, 3_300, 3_400, 3_600, 4_000)] cancelled_ms: u64,
 ) {
     let platform = Fake::new();
-    platform.hold_back(Topic::Jobs(HELD_BACK), 2 * SECOND);
+    platform.block_reads(Topic::Jobs(HELD_BACK), 2 * SECOND);
     let one = node("one", &platform);
     sleep(SECOND).await;
     let jobs = 1..16;
     for partition in jobs.clone() {
-        platform.accept(partition, &accepted(partition.into(), quick(), partition));
+        platform.record_job(partition, &accepted(partition.into(), quick(), partition));
     }
     sleep(Duration::from_millis(cancelled_ms) - SECOND).await;
     for job in jobs.clone() {
@@ -91,14 +91,14 @@
     #[values(100, 1_000, 1_900)] cancelled_ms: u64,
 ) {
     let platform = Fake::new();
-    platform.hold_back(Topic::Jobs(HELD_BACK), 2 * SECOND);
+    platform.block_reads(Topic::Jobs(HELD_BACK), 2 * SECOND);
     for partition in 1..16 {
-        platform.accept(partition, &accepted(partition.into(), quick(), partition));
+        platform.record_job(partition, &accepted(partition.into(), quick(), partition));
     }
     let _one = node("one", &platform);
     sleep(Duration::from_millis(cancelled_ms)).await;
     for partition in 1..16 {
-        platform.cancel(partition, partition.into());
+        platform.record_cancellation(partition, partition.into());
     }
     sleep(10 * SECOND).await;
     let starts: usize = (1..16).map(|job| platform.starts(job)).sum();
@@ -110,13 +110,13 @@
 #[tokio::test(start_paused = true)]
 async fn a_cancellation_is_taken_while_there_is_no_owner() {
     let platform = Fake::new();
-    platform.hold_back(Topic::Jobs(HELD_BACK), 2 * SECOND);
+    platform.block_reads(Topic::Jobs(HELD_BACK), 2 * SECOND);
     let one = node("one", &platform);
     sleep(SECOND).await;
     let asked = Instant::now();
     assert_eq!(cancel(&one, 1).await, Ok(()));
     assert!(asked.elapsed() < SECOND / 10, "{:?}", asked.elapsed());
-    assert!(platform.keeps(&format!("{}/u", JobId(1))));
+    assert!(platform.has_record(&format!("{}/u", JobId(1))));
 }
 
 /// Other nodes have recorded the jobs, and the owner has not been notified of them.
@@ -127,7 +127,7 @@
     ready(&one).await;
     for partition in 0..16 {
         let job = 100 + u64::from(partition);
-        platform.accept(partition, &accepted(job, quick(), partition));
+        platform.record_job(partition, &accepted(job, quick(), partition));
         let found = one.front().look(JobId(job)).await;
         assert!(found.is_ok(), "{found:?}");
         // The lookups fall on different moments between two reads of a partition.
@@ -145,7 +145,7 @@
     assert_eq!(cancel(&one, 2).await, Err(Refusal::NoJob));
     let never_handed_in = one.front().look(JobId(2)).await;
     assert_eq!(never_handed_in, Err(Refusal::NoJob));
-    platform.accept(5, &accepted(1, quick(), 5));
+    platform.record_job(5, &accepted(1, quick(), 5));
     sleep(10 * SECOND).await;
     assert_eq!(one.front().look(JobId(1)).await, Ok(State::Cancelled));
     assert_eq!(platform.starts(1), 0);
@@ -155,11 +155,11 @@
 #[tokio::test(start_paused = true)]
 async fn the_first_count_of_a_new_owner_has_all_jobs_that_waited_for_it() {
     let platform = Fake::new();
-    platform.hold_back(Topic::Jobs(HELD_BACK), 2 * SECOND);
+    platform.block_reads(Topic::Jobs(HELD_BACK), 2 * SECOND);
     let one = node("one", &platform);
     sleep(SECOND).await;
     for partition in 1..16 {
-        platform.accept(partition, &accepted(partition.into(), waiting(), partition));
+        platform.record_job(partition, &accepted(partition.into(), waiting(), partition));
     }
     let queue = QueueName::from("q");
     let count = loop {
@@ -180,8 +180,8 @@
     ready(&one).await;
     let queue = QueueName::from("q");
     assert_eq!(one.front().pending(&queue).await, Ok(0));
-    platform.hold_back(Topic::Jobs(HELD_BACK), 6 * SECOND);
-    platform.accept(HELD_BACK, &accepted(1, waiting(), HELD_BACK));
+    platform.block_reads(Topic::Jobs(HELD_BACK), 6 * SECOND);
+    platform.record_job(HELD_BACK, &accepted(1, waiting(), HELD_BACK));
     sleep(3 * SECOND).await;
     assert_eq!(platform.owner().as_deref(), Some("one"));
     assert_eq!(one.front().pending(&queue).await, Err(Refusal::NoOwner));
--- a/crates/node/tests/node/workspace.rs
+++ b/crates/node/tests/node/workspace.rs
@@ -214,7 +214,7 @@
 
 /// The store does not serve a node's machine, and the operator revokes a key meanwhile.
 #[rstest]
-#[case::in_silence(Mode::Silent)]
+#[case::in_silence(Mode::Unresponsive)]
 #[case::at_once(Mode::Refusing)]
 #[tokio::test]
 async fn a_node_that_the_store_leaves_alone_follows_the_configuration_by_word_of_the_owner(
@@ -223,12 +223,12 @@
     let platform = Fake::new();
     let one = node("one", &platform);
     ready(&one).await;
-    let apart = platform.machine();
+    let apart = platform.another_machine();
     let two = node("two", &apart);
     configure(&platform, "a=ka");
     ready(&two).await;
     let_in(&two, "ka").await;
-    apart.set_here(mode);
+    apart.set_own_mode(mode);
     configure(&platform, "a=kb b=kc");
     let revoked = Instant::now();
     until(|| async { enter(&two, "ka").err() == Some(Refusal::Unauthorized) }).await;
@@ -251,7 +251,7 @@
     ready(&two).await;
     let_in(&one, "ka").await;
     let_in(&two, "ka").await;
-    platform.set(Mode::Silent);
+    platform.set_mode(Mode::Unresponsive);
     sleep(4 * SECOND).await;
     for node in [&one, &two] {
         assert!(enter(node, "ka").is_ok());
