--- a/crates/node/tests/node/evacuation.rs
+++ b/crates/node/tests/node/evacuation.rs
@@ -17,69 +17,69 @@
     },
     support::{
         SECOND,
-        completed,
-        node,
-        ready,
+        start_node,
         submit, //
+        wait_until_completed,
+        wait_until_ready,
     },
 };
 
 /// The configuration key that evacuates the data centre of all workers.
-const KEY: &str = "evacuate/north";
+const EVACUATION_KEY: &str = "evacuate/north";
 
 const TOPIC: Topic = Topic::Configuration;
 
 #[rstest]
-#[case::removed(|platform: &Fake| platform.remove(TOPIC, KEY))]
-#[case::compacted(|platform: &Fake| platform.drop_key(TOPIC, KEY))]
+#[case::removed(|platform: &Fake| platform.remove(TOPIC, EVACUATION_KEY))]
+#[case::compacted(|platform: &Fake| platform.drop_key(TOPIC, EVACUATION_KEY))]
 #[tokio::test(start_paused = true)]
 async fn nothing_starts_between_an_evacuation_and_its_end(#[case] take_back: fn(&Fake)) {
     let platform = Fake::new();
-    let one = node("one", &platform);
-    ready(&one).await;
-    platform.write(TOPIC, KEY, b"{}");
+    let one = start_node("one", &platform);
+    wait_until_ready(&one).await;
+    platform.write(TOPIC, EVACUATION_KEY, b"{}");
     sleep(SECOND).await;
     submit(&one, 1).await.unwrap();
     sleep(30 * SECOND).await;
     assert_eq!(one.front().look(JobId(1)).await, Ok(State::Queued));
     assert_eq!(platform.starts(1), 0);
     take_back(&platform);
-    completed(&one, 1).await;
+    wait_until_completed(&one, 1).await;
     assert_eq!(platform.starts(1), 4);
 }
 
 #[tokio::test(start_paused = true)]
 async fn an_evacuation_outlasts_its_owner() {
     let platform = Fake::new();
-    let one = node("one", &platform);
-    ready(&one).await;
-    platform.write(TOPIC, KEY, b"{}");
+    let one = start_node("one", &platform);
+    wait_until_ready(&one).await;
+    platform.write(TOPIC, EVACUATION_KEY, b"{}");
     sleep(SECOND).await;
     one.stop(Duration::ZERO).await;
-    let two = node("two", &platform);
-    ready(&two).await;
+    let two = start_node("two", &platform);
+    wait_until_ready(&two).await;
     submit(&two, 1).await.unwrap();
     sleep(10 * SECOND).await;
     assert_eq!(platform.starts(1), 0);
-    platform.remove(TOPIC, KEY);
-    completed(&two, 1).await;
+    platform.remove(TOPIC, EVACUATION_KEY);
+    wait_until_completed(&two, 1).await;
 }
 
 /// An invalid record, as other writers may leave in the topic, neither evacuates a data centre nor ends an evacuation.
 #[rstest]
 #[case::no_data_centre("evacuate/nowhere", b"{}")]
-#[case::form(KEY, b"foreign")]
-#[case::bytes(KEY, REJECTED_VALUE)]
+#[case::form(EVACUATION_KEY, b"foreign")]
+#[case::bytes(EVACUATION_KEY, REJECTED_VALUE)]
 #[tokio::test(start_paused = true)]
 async fn a_record_of_another_writer_changes_nothing(#[case] key: &str, #[case] value: &[u8]) {
     let platform = Fake::new();
-    let one = node("one", &platform);
-    ready(&one).await;
+    let one = start_node("one", &platform);
+    wait_until_ready(&one).await;
     platform.write(TOPIC, key, value);
     sleep(SECOND).await;
     submit(&one, 1).await.unwrap();
-    completed(&one, 1).await;
-    platform.write(TOPIC, KEY, b"{}");
+    wait_until_completed(&one, 1).await;
+    platform.write(TOPIC, EVACUATION_KEY, b"{}");
     platform.write(TOPIC, key, value);
     sleep(SECOND).await;
     submit(&one, 2).await.unwrap();
@@ -87,28 +87,28 @@
     assert_eq!(platform.starts(2), 0);
     // A node that starts with the newest record of each key finds the last valid one.
     one.stop(Duration::ZERO).await;
-    let two = node("two", &platform);
-    ready(&two).await;
+    let two = start_node("two", &platform);
+    wait_until_ready(&two).await;
     sleep(10 * SECOND).await;
     assert_eq!(platform.starts(2), 0);
-    platform.remove(TOPIC, KEY);
-    completed(&two, 2).await;
+    platform.remove(TOPIC, EVACUATION_KEY);
+    wait_until_completed(&two, 2).await;
 }
 
 #[tokio::test(start_paused = true)]
 async fn an_evacuation_may_come_and_go_within_a_second() {
     let platform = Fake::new();
-    let one = node("one", &platform);
-    ready(&one).await;
-    platform.write(TOPIC, KEY, b"{}");
+    let one = start_node("one", &platform);
+    wait_until_ready(&one).await;
+    platform.write(TOPIC, EVACUATION_KEY, b"{}");
     sleep(SECOND / 5).await;
-    platform.remove(TOPIC, KEY);
+    platform.remove(TOPIC, EVACUATION_KEY);
     sleep(SECOND / 5).await;
-    platform.write(TOPIC, KEY, b"{}");
+    platform.write(TOPIC, EVACUATION_KEY, b"{}");
     sleep(SECOND / 5).await;
     submit(&one, 1).await.unwrap();
     sleep(5 * SECOND).await;
     assert_eq!(platform.starts(1), 0);
-    platform.remove(TOPIC, KEY);
-    completed(&one, 1).await;
+    platform.remove(TOPIC, EVACUATION_KEY);
+    wait_until_completed(&one, 1).await;
 }
--- a/crates/node/tests/node/foreign.rs
+++ b/crates/node/tests/node/foreign.rs
@@ -24,11 +24,11 @@
     },
     support::{
         SECOND,
-        completed,
-        node,
-        node_metered,
-        ready,
+        start_node,
+        start_node_with_meter,
         submit, //
+        wait_until_completed,
+        wait_until_ready,
     },
 };
 
@@ -41,17 +41,17 @@
     #[case] foreign: &[u8],
 ) {
     let platform = Fake::new();
-    let one = node("one", &platform);
-    ready(&one).await;
+    let one = start_node("one", &platform);
+    wait_until_ready(&one).await;
     submit(&one, 1).await.unwrap();
-    completed(&one, 1).await;
+    wait_until_completed(&one, 1).await;
     platform.write(Topic::Workers, "w0", foreign);
     sleep(SECOND).await;
     submit(&one, 2).await.unwrap();
     sleep(30 * SECOND).await;
     assert_eq!(one.front().look(JobId(2)).await, Ok(State::Queued));
     platform.write(Topic::Workers, "w0", b"here");
-    completed(&one, 2).await;
+    wait_until_completed(&one, 2).await;
     assert_eq!(platform.starts(2), 4);
 }
 
@@ -59,13 +59,13 @@
 async fn a_worker_whose_pool_is_configured_later_is_used_then() {
     let platform = Fake::new();
     platform.write(Topic::Workers, "w0", b"elsewhere");
-    let one = node("one", &platform);
-    ready(&one).await;
+    let one = start_node("one", &platform);
+    wait_until_ready(&one).await;
     submit(&one, 1).await.unwrap();
     sleep(3 * SECOND).await;
     assert_eq!(one.front().look(JobId(1)).await, Ok(State::Queued));
     platform.write(Topic::Configuration, "config", b"2");
-    completed(&one, 1).await;
+    wait_until_completed(&one, 1).await;
 }
 
 #[rstest]
@@ -76,10 +76,10 @@
 async fn the_entry_of_a_worker_that_is_not_known_takes_nobody_out(#[case] foreign: &[u8]) {
     let platform = Fake::new();
     platform.write(Topic::Workers, "another", foreign);
-    let one = node("one", &platform);
-    ready(&one).await;
+    let one = start_node("one", &platform);
+    wait_until_ready(&one).await;
     submit(&one, 1).await.unwrap();
-    completed(&one, 1).await;
+    wait_until_completed(&one, 1).await;
     assert_eq!(platform.starts(1), 4);
 }
 
@@ -87,8 +87,8 @@
 async fn each_record_that_is_turned_away_is_counted() {
     let platform = Fake::new();
     let meter = Meter::new().unwrap();
-    let one = node_metered("one", &platform, Millicores(250), meter.clone());
-    ready(&one).await;
+    let one = start_node_with_meter("one", &platform, Millicores(250), meter.clone());
+    wait_until_ready(&one).await;
     let before = meter.render().unwrap();
     assert!(!before.contains("fulmarpier_records_rejected_total{"));
     platform.write(Topic::Workers, "w1", b"foreign");
@@ -120,7 +120,7 @@
 const GARBAGE: [&[u8]; 3] = [b"", b"\xff\xff\xff\xff", REJECTED_VALUE];
 
 /// Writes invalid records into every topic, under keys that nodes use and under others.
-fn litter(platform: &Fake, job: u64) {
+fn write_garbage(platform: &Fake, job: u64) {
     let job = JobId(job).to_string();
     let cancelled = format!("{job}/x");
     for value in GARBAGE {
@@ -144,15 +144,15 @@
 #[tokio::test]
 async fn an_owner_goes_on_amid_records_that_can_not_be_read() {
     let platform = Fake::new();
-    let one = node("one", &platform);
-    ready(&one).await;
+    let one = start_node("one", &platform);
+    wait_until_ready(&one).await;
     submit(&one, 1).await.unwrap();
-    completed(&one, 1).await;
-    litter(&platform, 1);
+    wait_until_completed(&one, 1).await;
+    write_garbage(&platform, 1);
     // Longer than an ownership claim is valid without renewal.
     sleep(2 * SECOND).await;
     submit(&one, 2).await.unwrap();
-    completed(&one, 2).await;
+    wait_until_completed(&one, 2).await;
     assert_eq!(one.front().look(JobId(1)).await, Ok(State::Completed));
     assert_eq!((platform.starts(1), platform.starts(2)), (4, 4));
     assert_eq!(platform.owner().as_deref(), Some("one"));
@@ -165,33 +165,33 @@
 }
 
 /// How many records at the end of each topic a store with a truncated history keeps.
-const KEPT: usize = 80;
+const KEPT_RECORDS: usize = 80;
 
 #[rstest]
 #[case::whole_history(None)]
-#[case::forgotten_in_part(Some(KEPT))]
+#[case::forgotten_in_part(Some(KEPT_RECORDS))]
 #[tokio::test]
 async fn a_new_owner_takes_over_what_was_good_last(#[case] kept: Option<usize>) {
     let platform = Fake::new();
     // These records are older than the truncated history.
-    for _ in 0..KEPT {
+    for _ in 0..KEPT_RECORDS {
         platform.write(Topic::Claims, "another", b"old");
     }
-    let one = node("one", &platform);
-    ready(&one).await;
+    let one = start_node("one", &platform);
+    wait_until_ready(&one).await;
     submit(&one, 1).await.unwrap();
-    completed(&one, 1).await;
+    wait_until_completed(&one, 1).await;
     one.stop(Duration::ZERO).await;
-    litter(&platform, 1);
+    write_garbage(&platform, 1);
     if let Some(kept) = kept {
         platform.truncate_history(kept);
     }
     // This node has read neither the claim nor the configuration before.
-    let two = node("two", &platform);
-    ready(&two).await;
+    let two = start_node("two", &platform);
+    wait_until_ready(&two).await;
     assert_eq!(two.front().look(JobId(1)).await, Ok(State::Completed));
     submit(&two, 2).await.unwrap();
-    completed(&two, 2).await;
+    wait_until_completed(&two, 2).await;
     assert_eq!((platform.starts(1), platform.starts(2)), (4, 4));
     let last = platform.valid_claims().pop().unwrap();
     assert!(
@@ -203,8 +203,8 @@
 #[tokio::test(start_paused = true)]
 async fn another_writers_word_cancels_no_job() {
     let platform = Fake::new();
-    let one = node("one", &platform);
-    ready(&one).await;
+    let one = start_node("one", &platform);
+    wait_until_ready(&one).await;
     // Without a usable worker the job stays queued.
     platform.write(Topic::Workers, "w0", b"foreign");
     sleep(SECOND).await;
@@ -216,5 +216,5 @@
     sleep(3 * SECOND).await;
     assert_eq!(one.front().look(JobId(1)).await, Ok(State::Queued));
     platform.write(Topic::Workers, "w0", b"here");
-    completed(&one, 1).await;
+    wait_until_completed(&one, 1).await;
 }
--- a/crates/node/tests/node/history.rs
+++ b/crates/node/tests/node/history.rs
@@ -41,43 +41,43 @@
     },
     support::{
         SECOND,
-        accepted,
+        acceptance,
         job,
-        node,
+        start_node,
         step, //
     },
 };
 
 /// How long the store may misbehave in a history.
-const TROUBLED: Duration = Duration::from_secs(15);
+const FAULT_PERIOD: Duration = Duration::from_secs(15);
 /// How long the store is healthy after that, before the jobs are checked.
-const CALM: Duration = Duration::from_secs(15);
+const RECOVERY_PERIOD: Duration = Duration::from_secs(15);
 /// An order to start that was sent before a cancellation was answered arrives within this time.
-const WAY: Duration = Duration::from_millis(50);
+const ORDER_TRANSIT_TIME: Duration = Duration::from_millis(50);
 /// A recorded cancellation takes effect within this time, even if no node notifies the owner.
-const IN_FORCE: Duration = Duration::from_secs(3);
+const CANCELLATION_DELAY: Duration = Duration::from_secs(3);
 
 /// How many histories are run by default; `HISTORIES=1000` in the environment runs more.
-const USUAL: u64 = 25;
+const DEFAULT_HISTORIES: u64 = 25;
 
-struct World {
+struct Simulation {
     rng: SmallRng,
     platform: Fake,
     node: Node<Fake>,
-    serial: u64,
+    last_job: u64,
     /// Jobs that are recorded in the store.
     jobs: BTreeSet<u64>,
     /// When the cancellation of each job has to be in effect.
-    in_force: BTreeMap<u64, Instant>,
+    cancellation_deadlines: BTreeMap<u64, Instant>,
     /// Jobs whose recorded cancellation says that the job was known. They may be shown although they have no record.
-    silent: BTreeSet<u64>,
+    recorded_cancellations: BTreeSet<u64>,
     /// Before this time reads of a partition are not blocked anew: they are blocked already, or they have to succeed
     /// because a cancellation in the partition is due.
-    unread: BTreeMap<u16, Instant>,
+    no_block_before: BTreeMap<u16, Instant>,
     violations: Vec<String>,
 }
 
-impl World {
+impl Simulation {
     fn new(seed: u64) -> Self {
         let mut rng = SmallRng::seed_from_u64(seed);
         let platform = Fake::new();
@@ -86,67 +86,68 @@
         }
         let mut world = Self {
             rng,
-            node: node("one", &platform),
+            node: start_node("one", &platform),
             platform,
-            serial: 0,
+            last_job: 0,
             jobs: BTreeSet::new(),
-            in_force: BTreeMap::new(),
-            silent: BTreeSet::new(),
-            unread: BTreeMap::new(),
+            cancellation_deadlines: BTreeMap::new(),
+            recorded_cancellations: BTreeSet::new(),
+            no_block_before: BTreeMap::new(),
             violations: Vec::new(),
         };
         for _ in 0..4 {
-            world.hold_back();
+            world.block_partition();
         }
         world
     }
 
-    fn hold_back(&mut self) {
+    fn block_partition(&mut self) {
         let partition = self.rng.random_range(0..16);
         let span = Duration::from_millis(self.rng.random_range(100..4_000));
-        let unread = self.unread.get(&partition);
+        let unread = self.no_block_before.get(&partition);
         if unread.is_some_and(|until| Instant::now() < *until) {
             // Otherwise the owner could not read a cancellation there in time.
             return;
         }
         self.platform.block_reads(Topic::Jobs(partition), span);
-        self.unread.insert(partition, Instant::now() + span);
+        self.no_block_before
+            .insert(partition, Instant::now() + span);
     }
 
-    fn some_job(&mut self) -> u64 {
+    fn random_job(&mut self) -> u64 {
         // The range includes three jobs that do not exist, or not yet.
-        self.rng.random_range(0..=self.serial + 2)
+        self.rng.random_range(0..=self.last_job + 2)
     }
 
-    fn put_on_record(&mut self) {
-        self.serial += 1;
+    fn record_job(&mut self) {
+        self.last_job += 1;
         let partition = self.rng.random_range(0..16);
-        let id = self.serial;
+        let id = self.last_job;
         let spec = job(vec![step()], None);
         self.platform
-            .record_job(partition, &accepted(id, spec, partition));
+            .record_job(partition, &acceptance(id, spec, partition));
         self.jobs.insert(id);
     }
 
-    fn cancel_on_record(&mut self) {
-        let job = self.some_job();
+    fn record_cancellation(&mut self) {
+        let job = self.random_job();
         let partition = self.rng.random_range(0..16);
         self.platform.record_cancellation(partition, job);
         // The deadline counts from the moment at which the partition can be read.
         let now = Instant::now();
         let readable = self
-            .unread
+            .no_block_before
             .get(&partition)
             .map_or(now, |until| now.max(*until));
-        let in_force = readable + IN_FORCE;
-        self.unread.insert(partition, in_force);
-        self.silent.insert(job);
-        let known = self.in_force.entry(job).or_insert(in_force);
+        let in_force = readable + CANCELLATION_DELAY;
+        self.no_block_before.insert(partition, in_force);
+        self.recorded_cancellations.insert(job);
+        let known = self.cancellation_deadlines.entry(job).or_insert(in_force);
         *known = in_force.min(*known);
     }
 
     async fn cancel(&mut self) {
-        let job = self.some_job();
+        let job = self.random_job();
         let queue = QueueName::from("q");
         let deadline = Instant::now() + 3 * SECOND;
         let front = self.node.front();
@@ -154,16 +155,16 @@
         let now = Instant::now();
         let in_force = match answer {
             // There may have been no owner to notify.
-            Ok(()) => now + IN_FORCE,
-            Err(Refusal::NoJob) => now + WAY,
+            Ok(()) => now + CANCELLATION_DELAY,
+            Err(Refusal::NoJob) => now + ORDER_TRANSIT_TIME,
             Err(_) => return,
         };
-        let known = self.in_force.entry(job).or_insert(in_force);
+        let known = self.cancellation_deadlines.entry(job).or_insert(in_force);
         *known = in_force.min(*known);
     }
 
     async fn look(&mut self) {
-        let job = self.some_job();
+        let job = self.random_job();
         let is_there = self.jobs.contains(&job);
         let found = self.node.front().look(JobId(job)).await;
         let shown = match found {
@@ -176,19 +177,19 @@
                 .push(format!("job {job} exists but is reported as missing"));
         }
         // A recorded cancellation counts as evidence that the job exists.
-        if !is_there && shown && !self.silent.contains(&job) {
+        if !is_there && shown && !self.recorded_cancellations.contains(&job) {
             self.violations
                 .push(format!("job {job} does not exist but is reported"));
         }
     }
 
-    async fn trouble(&mut self) {
+    async fn act(&mut self) {
         match self.rng.random_range(0..10) {
-            0..=2 => self.put_on_record(),
-            3 => self.cancel_on_record(),
+            0..=2 => self.record_job(),
+            3 => self.record_cancellation(),
             4 | 5 => self.cancel().await,
             6 | 7 => self.look().await,
-            8 => self.hold_back(),
+            8 => self.block_partition(),
             _ => {
                 let modes = [
                     Mode::Healthy,
@@ -205,9 +206,9 @@
     }
 
     /// Checks that each job ended as its callers may expect, and that none started after its cancellation.
-    async fn check(&mut self) {
+    async fn check_jobs(&mut self) {
         for job in self.jobs.clone() {
-            let in_force = self.in_force.get(&job).copied();
+            let in_force = self.cancellation_deadlines.get(&job).copied();
             let last = self.platform.last_start(job);
             if let (Some(last), Some(until)) = (last, in_force)
                 && last > until
@@ -233,32 +234,32 @@
 }
 
 /// Runs a history in its own runtime, so that all tasks of its node end with it.
-fn play(seed: u64) -> Vec<String> {
+fn run_history(seed: u64) -> Vec<String> {
     let runtime = Builder::new_current_thread()
         .enable_all()
         .start_paused(true)
         .build();
-    runtime.unwrap().block_on(run(seed))
+    runtime.unwrap().block_on(simulate(seed))
 }
 
-async fn run(seed: u64) -> Vec<String> {
-    let mut world = World::new(seed);
-    let until = Instant::now() + TROUBLED;
+async fn simulate(seed: u64) -> Vec<String> {
+    let mut world = Simulation::new(seed);
+    let until = Instant::now() + FAULT_PERIOD;
     while Instant::now() < until {
-        world.trouble().await;
+        world.act().await;
     }
     world.platform.set_mode(Mode::Healthy);
-    sleep(CALM).await;
-    world.check().await;
+    sleep(RECOVERY_PERIOD).await;
+    world.check_jobs().await;
     world.violations
 }
 
 #[test]
 fn what_an_owner_says_and_starts_is_true_whatever_it_has_read() {
     let count = std::env::var("HISTORIES").ok();
-    let count = count.map_or(USUAL, |count| count.parse().unwrap());
+    let count = count.map_or(DEFAULT_HISTORIES, |count| count.parse().unwrap());
     for seed in 0..count {
-        let violations = play(seed);
+        let violations = run_history(seed);
         assert!(violations.is_empty(), "seed {seed}: {violations:?}");
     }
 }
--- a/crates/node/tests/node/platform.rs
+++ b/crates/node/tests/node/platform.rs
@@ -177,9 +177,9 @@
     /// How the store behaves towards this machine, if not as towards the others.
     own_mode: Arc<Mutex<Option<Mode>>>,
     /// How many calls of this machine timed out because the store was unresponsive.
-    run_out: Arc<AtomicUsize>,
+    timed_out_calls: Arc<AtomicUsize>,
     /// How many orders to start a run this machine has sent.
-    ordered: Arc<AtomicUsize>,
+    start_orders: Arc<AtomicUsize>,
     /// Each topic that this machine read, with the time.
     reads: Arc<Mutex<Vec<(String, Instant)>>>,
     /// For how long this machine was suspended.
@@ -294,8 +294,8 @@
     }
 
     /// Returns how many calls of this machine timed out because the store was unresponsive.
-    pub(crate) fn run_out(&self) -> usize {
-        self.run_out.load(Ordering::Relaxed)
+    pub(crate) fn timed_out_calls(&self) -> usize {
+        self.timed_out_calls.load(Ordering::Relaxed)
     }
 
     /// Records a job as a node does, without notifying the owner.
@@ -437,8 +437,8 @@
     }
 
     /// Returns how many orders to start a run this machine has sent.
-    pub(crate) fn ordered(&self) -> usize {
-        self.ordered.load(Ordering::Relaxed)
+    pub(crate) fn start_orders(&self) -> usize {
+        self.start_orders.load(Ordering::Relaxed)
     }
 
     fn mode(&self) -> Mode {
@@ -581,7 +581,7 @@
             }
             Mode::Unresponsive => {
                 sleep(UNRESPONSIVE_TIMEOUT).await;
-                self.run_out.fetch_add(1, Ordering::Relaxed);
+                self.timed_out_calls.fetch_add(1, Ordering::Relaxed);
                 Err(Error::Unanswered)
             }
         }
@@ -738,7 +738,7 @@
 
     async fn start(&self, order: Start) -> StartAnswer {
         sleep(CALL_LATENCY).await;
-        self.ordered.fetch_add(1, Ordering::Relaxed);
+        self.start_orders.fetch_add(1, Ordering::Relaxed);
         let mut state = self.state();
         state.starts.push((order.task, Instant::now()));
         let host = state.workers.entry(order.to.worker).or_default();
--- a/crates/node/tests/node/record.rs
+++ b/crates/node/tests/node/record.rs
@@ -35,15 +35,15 @@
     platform::Fake,
     support::{
         SECOND,
-        accepted,
+        acceptance,
         cancel,
         job,
-        node,
-        ready,
+        start_node,
         step,
         submit_spec,
-        unplaceable,
-        until, //
+        unplaceable_step,
+        wait_until, //
+        wait_until_ready,
     },
 };
 
@@ -58,7 +58,7 @@
 async fn a_takeover_comes_to_an_end_where_one_partition_is_slow(#[case] takes_ms: u64) {
     let platform = Fake::new();
     platform.delay_reads(Topic::Jobs(0), Duration::from_millis(takes_ms));
-    let one = node("one", &platform);
+    let one = start_node("one", &platform);
     let taken = timeout(60 * SECOND, async {
         while one.front().pending(&QueueName::from("q")).await.is_err() {
             sleep(SECOND / 20).await;
@@ -81,8 +81,8 @@
     let platform = Fake::new();
     let wall = SystemTime::now().duration_since(UNIX_EPOCH).unwrap();
     let anchor = Instant::now();
-    let one = node("one", &platform);
-    ready(&one).await;
+    let one = start_node("one", &platform);
+    wait_until_ready(&one).await;
     // All partitions have just been read, so the next reads of all of them are due together.
     sleep(SECOND).await;
     let mut late = Vec::new();
@@ -93,7 +93,7 @@
             period: SECOND,
             times: 1,
         };
-        let accepted = accepted(id, job(vec![step()], Some(schedule)), partition);
+        let accepted = acceptance(id, job(vec![step()], Some(schedule)), partition);
         platform.record_job(partition, &accepted);
         sleep(3 * SECOND).await;
         platform.delay_reads(Topic::Jobs(0), Duration::from_millis(takes_ms));
@@ -121,9 +121,9 @@
 #[tokio::test(start_paused = true)]
 async fn a_job_whose_cancellation_comes_twice_is_still_shown_as_cancelled() {
     let platform = Fake::new();
-    let one = node("one", &platform);
-    ready(&one).await;
-    submit_spec(&one, 1, job(vec![unplaceable()], None))
+    let one = start_node("one", &platform);
+    wait_until_ready(&one).await;
+    submit_spec(&one, 1, job(vec![unplaceable_step()], None))
         .await
         .unwrap();
     assert_eq!(cancel(&one, 1).await, Ok(()));
@@ -135,10 +135,10 @@
     for partition in 0..FIRST_PARTITIONS {
         platform.block_reads(Topic::Jobs(partition), 2 * SECOND);
     }
-    let again = node("one", &platform);
+    let again = start_node("one", &platform);
     sleep(SECOND).await;
     assert_eq!(cancel(&again, 1).await, Ok(()));
-    ready(&again).await;
+    wait_until_ready(&again).await;
     assert_eq!(again.front().look(JobId(1)).await, Ok(State::Cancelled));
 }
 
@@ -148,8 +148,8 @@
 #[tokio::test(start_paused = true)]
 async fn a_job_in_the_second_partition_of_its_node_is_forgotten_there() {
     let platform = Fake::new();
-    let one = node("one", &platform);
-    ready(&one).await;
+    let one = start_node("one", &platform);
+    wait_until_ready(&one).await;
     submit_spec(&one, 1, job(vec![step()], None)).await.unwrap();
     let key = JobId(1).to_string();
     let own = (0..FIRST_PARTITIONS).find(|p| platform.newest_job(*p, &key).is_some());
@@ -171,8 +171,8 @@
 #[tokio::test(start_paused = true)]
 async fn a_job_whose_record_can_t_be_read_is_not_said_not_to_be_there() {
     let platform = Fake::new();
-    let one = node("one", &platform);
-    ready(&one).await;
+    let one = start_node("one", &platform);
+    wait_until_ready(&one).await;
     platform.put_in_partition(3, &JobId(1).to_string(), vec![0xff]);
     sleep(3 * SECOND).await;
     let found = one.front().look(JobId(1)).await;
@@ -187,16 +187,16 @@
 #[tokio::test(start_paused = true)]
 async fn a_takeover_is_short_while_answers_are_lost(#[case] lost: u32, #[case] most_ms: u128) {
     let platform = Fake::new();
-    let one = node("one", &platform);
-    ready(&one).await;
+    let one = start_node("one", &platform);
+    wait_until_ready(&one).await;
     one.leave();
     one.disowned(SECOND).await;
     one.stop(SECOND).await;
     platform.lose_newest_reads(lost);
-    let two = node("two", &platform);
-    until(|| async { platform.owner().as_deref() == Some("two") }).await;
+    let two = start_node("two", &platform);
+    wait_until(|| async { platform.owner().as_deref() == Some("two") }).await;
     let claimed = Instant::now();
-    until(|| async { two.front().pending(&QueueName::from("q")).await.is_ok() }).await;
+    wait_until(|| async { two.front().pending(&QueueName::from("q")).await.is_ok() }).await;
     let took = claimed.elapsed().as_millis();
     assert!(took <= most_ms, "{took} ms");
 }
@@ -208,11 +208,11 @@
 #[tokio::test]
 async fn a_replaced_owner_that_hands_the_cell_over_puts_no_older_claim_behind_the_newer_one() {
     let platform = Fake::new();
-    let one = node("one", &platform);
-    ready(&one).await;
-    let two = node("two", &platform);
-    ready(&two).await;
-    until(|| async { one.greeted_by().await == 1 }).await;
+    let one = start_node("one", &platform);
+    wait_until_ready(&one).await;
+    let two = start_node("two", &platform);
+    wait_until_ready(&two).await;
+    wait_until(|| async { one.greeted_by().await == 1 }).await;
     let newest = platform.claims().pop().unwrap();
     platform.claim(&Claim {
         spread: Spread::default(),
--- a/crates/node/tests/node/service.rs
+++ b/crates/node/tests/node/service.rs
@@ -47,39 +47,39 @@
     },
     support::{
         SECOND,
-        accepted,
-        completed,
-        node,
-        node_with,
+        acceptance,
         queue,
-        ready,
+        start_node,
+        start_node_with_processor,
         submit,
-        two_steps,
-        until, //
+        two_step_job,
+        wait_until, //
+        wait_until_completed,
+        wait_until_ready,
     },
 };
 
 #[tokio::test]
 async fn a_job_runs_to_its_end_whichever_node_takes_it() {
     let platform = Fake::new();
-    let (one, two) = (node("one", &platform), node("two", &platform));
-    ready(&one).await;
-    ready(&two).await;
+    let (one, two) = (start_node("one", &platform), start_node("two", &platform));
+    wait_until_ready(&one).await;
+    wait_until_ready(&two).await;
     submit(&one, 1).await.unwrap();
     submit(&two, 2).await.unwrap();
-    completed(&two, 1).await;
-    completed(&one, 2).await;
+    wait_until_completed(&two, 1).await;
+    wait_until_completed(&one, 2).await;
     assert_eq!((platform.starts(1), platform.starts(2)), (4, 4));
 }
 
 #[tokio::test]
 async fn a_job_that_is_handed_in_twice_runs_once() {
     let platform = Fake::new();
-    let (one, two) = (node("one", &platform), node("two", &platform));
-    ready(&one).await;
-    ready(&two).await;
+    let (one, two) = (start_node("one", &platform), start_node("two", &platform));
+    wait_until_ready(&one).await;
+    wait_until_ready(&two).await;
     submit(&one, 1).await.unwrap();
-    completed(&one, 1).await;
+    wait_until_completed(&one, 1).await;
     submit(&two, 1).await.unwrap();
     tokio::time::sleep(SECOND).await;
     assert_eq!(platform.starts(1), 4);
@@ -89,16 +89,16 @@
 #[tokio::test]
 async fn a_leaving_owner_waits_a_moment_for_a_slow_store() {
     let platform = Fake::new();
-    let one = node("one", &platform);
-    ready(&one).await;
-    let two = node("two", &platform);
-    ready(&two).await;
-    until(|| async { one.greeted_by().await == 1 }).await;
+    let one = start_node("one", &platform);
+    wait_until_ready(&one).await;
+    let two = start_node("two", &platform);
+    wait_until_ready(&two).await;
+    wait_until(|| async { one.greeted_by().await == 1 }).await;
     platform.set_mode(Mode::Slow);
     let renewals = |count: usize| {
         let before = platform.claims().len();
         let platform = platform.clone();
-        async move { until(|| async { platform.claims().len() >= before + count }).await }
+        async move { wait_until(|| async { platform.claims().len() >= before + count }).await }
     };
     // After this many slow calls the node considers the store slow.
     renewals(3).await;
@@ -110,7 +110,7 @@
         "the owner still renews its claim"
     );
     platform.set_mode(Mode::Healthy);
-    until(|| async { platform.owner().as_deref() == Some("two") }).await;
+    wait_until(|| async { platform.owner().as_deref() == Some("two") }).await;
     assert!(platform.claims().iter().all(|claim| !claim.released));
 }
 
@@ -118,17 +118,19 @@
 #[tokio::test]
 async fn callers_of_a_node_that_the_store_leaves_alone_are_told_long_before_their_deadline() {
     let platform = Fake::new();
-    let one = node("one", &platform);
-    ready(&one).await;
+    let one = start_node("one", &platform);
+    wait_until_ready(&one).await;
     platform.set_own_mode(Mode::Unresponsive);
     let queue = QueueName::from("q");
     let minutes = Instant::now() + 300 * SECOND;
     let front = one.front();
     let (sent, waiting) = tokio::join!(
-        front.submit(&queue, JobId(1), two_steps(), minutes),
+        front.submit(&queue, JobId(1), two_step_job(), minutes),
         async {
             tokio::time::sleep(SECOND / 10).await;
-            front.submit(&queue, JobId(2), two_steps(), minutes).await
+            front
+                .submit(&queue, JobId(2), two_step_job(), minutes)
+                .await
         }
     );
     assert_eq!(
@@ -138,7 +140,7 @@
     );
     assert_eq!(waiting, Err(Refusal::NotKept), "its record was never sent");
     assert_eq!(
-        platform.run_out(),
+        platform.timed_out_calls(),
         0,
         "no caller waited for a call to time out"
     );
@@ -148,17 +150,17 @@
 #[tokio::test]
 async fn jobs_are_taken_while_the_store_refuses_the_partition_of_their_node() {
     let platform = Fake::new();
-    let one = node("one", &platform);
-    ready(&one).await;
+    let one = start_node("one", &platform);
+    wait_until_ready(&one).await;
     for partition in (0..FIRST_PARTITIONS).step_by(2) {
         platform.refuse_appends(partition);
     }
     // Whichever partition a node's name selects, this one or the next accepts the record.
-    let two = node("two", &platform);
-    ready(&two).await;
+    let two = start_node("two", &platform);
+    wait_until_ready(&two).await;
     for (job, node) in [(1, &one), (2, &two)] {
         submit(node, job).await.unwrap();
-        completed(node, job).await;
+        wait_until_completed(node, job).await;
     }
     assert_eq!((platform.starts(1), platform.starts(2)), (4, 4));
 }
@@ -168,28 +170,32 @@
 async fn a_node_that_starts_in_a_silent_store_doesn_t_wait_for_its_first_calls() {
     let platform = Fake::new();
     platform.set_mode(Mode::Unresponsive);
-    let one = node("one", &platform);
+    let one = start_node("one", &platform);
     tokio::time::sleep(SECOND / 5).await;
     platform.set_mode(Mode::Healthy);
-    ready(&one).await;
+    wait_until_ready(&one).await;
     submit(&one, 1).await.unwrap();
-    completed(&one, 1).await;
-    assert_eq!(platform.run_out(), 0, "no call had to time out first");
+    wait_until_completed(&one, 1).await;
+    assert_eq!(
+        platform.timed_out_calls(),
+        0,
+        "no call had to time out first"
+    );
 }
 
 #[tokio::test]
 async fn a_leaving_owner_claims_the_cell_for_its_successor() {
     let platform = Fake::new();
-    let one = node("one", &platform);
-    ready(&one).await;
-    let (two, three) = (node("two", &platform), node("three", &platform));
-    ready(&two).await;
-    ready(&three).await;
-    until(|| async { one.greeted_by().await == 2 }).await;
+    let one = start_node("one", &platform);
+    wait_until_ready(&one).await;
+    let (two, three) = (start_node("two", &platform), start_node("three", &platform));
+    wait_until_ready(&two).await;
+    wait_until_ready(&three).await;
+    wait_until(|| async { one.greeted_by().await == 2 }).await;
     let before = platform.claims();
     one.leave();
     one.disowned(SECOND).await;
-    until(|| async { platform.owner().is_some_and(|owner| owner != "one") }).await;
+    wait_until(|| async { platform.owner().is_some_and(|owner| owner != "one") }).await;
     let later = &platform.claims()[before.len()..];
     // The former owner writes the first claim of the next epoch for its successor, so no release leaves the cell
     // without an owner for other nodes to compete for.
@@ -197,24 +203,24 @@
     assert!(!handed.released && handed.renewal == 0);
     assert!(later.iter().all(|claim| !claim.released));
     submit(&three, 1).await.unwrap();
-    completed(&three, 1).await;
+    wait_until_completed(&three, 1).await;
     assert!(platform.claims().iter().all(|claim| claim.epoch.0 <= 2));
 }
 
 #[tokio::test]
 async fn another_node_takes_over_and_knows_what_was_done() {
     let platform = Fake::new();
-    let one = node("one", &platform);
-    ready(&one).await;
-    let two = node("two", &platform);
-    ready(&two).await;
+    let one = start_node("one", &platform);
+    wait_until_ready(&one).await;
+    let two = start_node("two", &platform);
+    wait_until_ready(&two).await;
     submit(&two, 1).await.unwrap();
-    completed(&two, 1).await;
+    wait_until_completed(&two, 1).await;
     one.leave();
     one.disowned(SECOND).await;
     one.stop(SECOND).await;
     submit(&two, 2).await.unwrap();
-    completed(&two, 2).await;
+    wait_until_completed(&two, 2).await;
     assert_eq!(two.front().look(JobId(1)).await, Ok(State::Completed));
     assert_eq!(platform.starts(1), 4);
 }
@@ -222,48 +228,48 @@
 #[tokio::test]
 async fn an_owner_that_only_it_can_t_reach_the_store_gives_up_before_its_calls_run_out() {
     let platform = Fake::new();
-    let one = node("one", &platform);
-    ready(&one).await;
+    let one = start_node("one", &platform);
+    wait_until_ready(&one).await;
     let apart = platform.another_machine();
-    let two = node("two", &apart);
-    ready(&two).await;
+    let two = start_node("two", &apart);
+    wait_until_ready(&two).await;
     platform.set_own_mode(Mode::Unresponsive);
     submit(&two, 1).await.unwrap();
-    completed(&two, 1).await;
-    assert_eq!(platform.run_out(), 0);
-    assert_eq!(apart.run_out(), 0);
+    wait_until_completed(&two, 1).await;
+    assert_eq!(platform.timed_out_calls(), 0);
+    assert_eq!(apart.timed_out_calls(), 0);
 }
 
 #[tokio::test]
 async fn a_weak_owner_gives_the_cell_up_for_a_strong_node_and_for_no_equal_one() {
     let platform = Fake::new();
-    let weak = node_with("weak", &platform, Millicores(120));
-    ready(&weak).await;
+    let weak = start_node_with_processor("weak", &platform, Millicores(120));
+    wait_until_ready(&weak).await;
     assert_eq!(platform.owner().as_deref(), Some("weak"));
-    let strong = node_with("strong", &platform, Millicores(500));
-    until(|| async { platform.owner().as_deref() == Some("strong") }).await;
-    let equal = node_with("equal", &platform, Millicores(400));
+    let strong = start_node_with_processor("strong", &platform, Millicores(500));
+    wait_until(|| async { platform.owner().as_deref() == Some("strong") }).await;
+    let equal = start_node_with_processor("equal", &platform, Millicores(400));
     submit(&weak, 1).await.unwrap();
-    completed(&equal, 1).await;
+    wait_until_completed(&equal, 1).await;
     // Longer than an owner keeps the cell while a stronger node is present.
     tokio::time::sleep(4 * SECOND).await;
     assert_eq!(platform.owner().as_deref(), Some("strong"));
     strong.leave();
     strong.disowned(SECOND).await;
-    until(|| async { platform.owner().as_deref() == Some("equal") }).await;
+    wait_until(|| async { platform.owner().as_deref() == Some("equal") }).await;
 }
 
 #[tokio::test]
 async fn jobs_run_that_nobody_has_told_the_owner_of_whatever_partition_they_stand_in() {
     let platform = Fake::new();
-    let (one, two) = (node("one", &platform), node("two", &platform));
-    ready(&one).await;
-    ready(&two).await;
+    let (one, two) = (start_node("one", &platform), start_node("two", &platform));
+    wait_until_ready(&one).await;
+    wait_until_ready(&two).await;
     for partition in 0..FIRST_PARTITIONS {
         let accepted = Accepted {
             job: JobId(100 + u64::from(partition)),
             queue: queue().into(),
-            spec: two_steps().into(),
+            spec: two_step_job().into(),
             workspace: None,
             received: Timestamp::ZERO,
             partition,
@@ -272,7 +278,7 @@
     }
     for partition in 0..FIRST_PARTITIONS {
         let job = 100 + u64::from(partition);
-        completed(&two, job).await;
+        wait_until_completed(&two, job).await;
         assert_eq!(platform.starts(job), 4);
     }
 }
@@ -294,11 +300,11 @@
         nodes: 1,
         slow_owners: 0,
     });
-    let one = node("one", &platform);
-    ready(&one).await;
+    let one = start_node("one", &platform);
+    wait_until_ready(&one).await;
     let partition = JOB_PARTITIONS - 1;
-    platform.record_job(partition, &accepted(100, two_steps(), partition));
-    completed(&one, 100).await;
+    platform.record_job(partition, &acceptance(100, two_step_job(), partition));
+    wait_until_completed(&one, 100).await;
     assert_eq!(platform.starts(100), 4);
 }
 
@@ -307,10 +313,10 @@
 #[tokio::test(start_paused = true)]
 async fn a_cancellation_that_nobody_has_told_the_owner_of_is_in_force_within_three_seconds() {
     let platform = Fake::new();
-    let one = node("one", &platform);
-    ready(&one).await;
+    let one = start_node("one", &platform);
+    wait_until_ready(&one).await;
     let queue = QueueName::from("q");
-    let mut unplaceable = two_steps();
+    let mut unplaceable = two_step_job();
     unplaceable.steps[0].size = Resources::new(Millicores::from_cores(64), Bytes::from_gib(1), 0);
     for job in 0..u64::from(FIRST_PARTITIONS) {
         let deadline = Instant::now() + 3 * SECOND;
@@ -329,47 +335,47 @@
 }
 
 /// More workers than the owner sends all orders to by itself.
-const FLEET: usize = 120;
+const WORKERS: usize = 120;
 
 #[tokio::test]
 async fn the_orders_to_a_large_fleet_are_given_by_several_nodes() {
-    let platform = Fake::with_workers(FLEET);
-    let one = node("one", &platform);
-    ready(&one).await;
+    let platform = Fake::with_workers(WORKERS);
+    let one = start_node("one", &platform);
+    wait_until_ready(&one).await;
     let (apart, weak) = (platform.another_machine(), platform.another_machine());
-    let two = node("two", &apart);
-    let three = node_with("three", &weak, Millicores(100));
-    ready(&two).await;
-    ready(&three).await;
+    let two = start_node("two", &apart);
+    let three = start_node_with_processor("three", &weak, Millicores(100));
+    wait_until_ready(&two).await;
+    wait_until_ready(&three).await;
     let jobs = 1..20;
     for job in jobs.clone() {
         submit(&two, job).await.unwrap();
     }
     for job in jobs {
-        completed(&one, job).await;
+        wait_until_completed(&one, job).await;
         assert_eq!(platform.starts(job), 4);
     }
     // The node as strong as the owner sends some of them, the weak node none.
-    assert!(apart.ordered() > 0);
-    assert_eq!(weak.ordered(), 0);
+    assert!(apart.start_orders() > 0);
+    assert_eq!(weak.start_orders(), 0);
 }
 
 #[tokio::test]
 async fn the_owner_gives_the_orders_of_a_node_that_is_gone() {
-    let platform = Fake::with_workers(FLEET);
-    let one = node("one", &platform);
-    ready(&one).await;
+    let platform = Fake::with_workers(WORKERS);
+    let one = start_node("one", &platform);
+    wait_until_ready(&one).await;
     let apart = platform.another_machine();
-    let two = node("two", &apart);
-    ready(&two).await;
+    let two = start_node("two", &apart);
+    wait_until_ready(&two).await;
     submit(&one, 1).await.unwrap();
-    completed(&one, 1).await;
+    wait_until_completed(&one, 1).await;
     two.stop(Duration::ZERO).await;
     for job in 2..12 {
         submit(&one, job).await.unwrap();
     }
     for job in 2..12 {
-        completed(&one, job).await;
+        wait_until_completed(&one, job).await;
         assert_eq!(platform.starts(job), 4);
     }
 }
@@ -377,12 +383,12 @@
 #[tokio::test]
 async fn a_store_that_refuses_means_that_the_job_was_not_taken() {
     let platform = Fake::new();
-    let one = node("one", &platform);
-    ready(&one).await;
+    let one = start_node("one", &platform);
+    wait_until_ready(&one).await;
     platform.set_mode(Mode::Refusing);
     assert_eq!(submit(&one, 1).await, Err(Refusal::NotKept));
     platform.set_mode(Mode::Healthy);
-    ready(&one).await;
+    wait_until_ready(&one).await;
     assert!(!platform.has_record(&JobId(1).to_string()));
     assert_eq!(one.front().look(JobId(1)).await, Err(Refusal::NoJob));
 }
@@ -390,26 +396,26 @@
 #[tokio::test]
 async fn a_store_that_gives_no_answer_leaves_it_unknown() {
     let platform = Fake::new();
-    let one = node("one", &platform);
-    ready(&one).await;
+    let one = start_node("one", &platform);
+    wait_until_ready(&one).await;
     platform.set_mode(Mode::AnswersLost);
     assert_eq!(submit(&one, 1).await, Err(Refusal::Unknown));
     platform.set_mode(Mode::Healthy);
     // The store wrote the record, so the job runs.
-    completed(&one, 1).await;
+    wait_until_completed(&one, 1).await;
 }
 
 #[tokio::test]
 async fn an_append_whose_answer_is_lost_is_sent_again_while_the_caller_waits() {
     let platform = Fake::new();
-    let one = node("one", &platform);
-    ready(&one).await;
+    let one = start_node("one", &platform);
+    wait_until_ready(&one).await;
     platform.set_mode(Mode::HalfAnswersLost);
     for job in 1..6 {
         assert_eq!(submit(&one, job).await, Ok(()));
     }
     for job in 1..6 {
-        completed(&one, job).await;
+        wait_until_completed(&one, job).await;
         assert_eq!(platform.starts(job), 4);
     }
 }
@@ -417,8 +423,8 @@
 #[tokio::test]
 async fn calls_of_a_store_that_refuses_are_bounded() {
     let platform = Fake::new();
-    let one = node("one", &platform);
-    ready(&one).await;
+    let one = start_node("one", &platform);
+    wait_until_ready(&one).await;
     platform.set_mode(Mode::Refusing);
     let before = platform.appends();
     for job in 1..200 {
@@ -431,15 +437,15 @@
 #[tokio::test]
 async fn a_cancelled_job_is_shown_as_cancelled_and_an_unknown_one_is_none() {
     let platform = Fake::new();
-    let one = node("one", &platform);
-    ready(&one).await;
+    let one = start_node("one", &platform);
+    wait_until_ready(&one).await;
     let queue = QueueName::from("q");
     let deadline = Instant::now() + 3 * SECOND;
     submit(&one, 1).await.unwrap();
-    until(|| async { one.front().look(JobId(1)).await.is_ok() }).await;
+    wait_until(|| async { one.front().look(JobId(1)).await.is_ok() }).await;
     let front = one.front();
     front.cancel(&queue, JobId(1), deadline).await.unwrap();
-    until(|| async {
+    wait_until(|| async {
         let state = one.front().look(JobId(1)).await;
         matches!(state, Ok(State::Cancelled | State::Completed))
     })
@@ -448,7 +454,7 @@
     assert_eq!(unknown, Err(Refusal::NoJob));
     let missing = QueueName::from("missing");
     let refused = front
-        .submit(&missing, JobId(3), two_steps(), deadline)
+        .submit(&missing, JobId(3), two_step_job(), deadline)
         .await;
     assert_eq!(refused, Err(Refusal::NoQueue));
 }
@@ -457,12 +463,12 @@
 #[tokio::test(start_paused = true)]
 async fn a_queue_is_missing_only_in_a_configuration_that_the_store_told_of_late() {
     let platform = Fake::new();
-    let one = node("one", &platform);
-    ready(&one).await;
+    let one = start_node("one", &platform);
+    wait_until_ready(&one).await;
     let missing = QueueName::from("missing");
     let deadline = Instant::now() + 300 * SECOND;
     let front = one.front();
-    let submit = || front.submit(&missing, JobId(1), two_steps(), deadline);
+    let submit = || front.submit(&missing, JobId(1), two_step_job(), deadline);
     assert_eq!(submit().await, Err(Refusal::NoQueue));
     assert_eq!(front.pending(&missing).await, Err(Refusal::NoQueue));
     platform.set_mode(Mode::Unresponsive);
@@ -483,17 +489,17 @@
 ) {
     let platform = Fake::new();
     // A single node would give up the cell.
-    let (one, two) = (node("one", &platform), node("two", &platform));
-    ready(&one).await;
-    ready(&two).await;
+    let (one, two) = (start_node("one", &platform), start_node("two", &platform));
+    wait_until_ready(&one).await;
+    wait_until_ready(&two).await;
     // The first step runs when the outage begins, and the second one cannot start without a record.
     submit(&one, 1).await.unwrap();
-    until(|| async { platform.starts(1) == 2 }).await;
+    wait_until(|| async { platform.starts(1) == 2 }).await;
     platform.set_mode(Mode::Unresponsive);
     sleep(Duration::from_millis(outage_ms)).await;
     platform.set_mode(Mode::Healthy);
     let back = Instant::now();
-    completed(&one, 1).await;
+    wait_until_completed(&one, 1).await;
     let took = back.elapsed();
     assert!(took < 2 * SECOND, "{took:?}");
 }
--- a/crates/node/tests/node/size.rs
+++ b/crates/node/tests/node/size.rs
@@ -20,27 +20,27 @@
     },
     support::{
         SECOND,
-        completed,
-        node,
-        node_with,
-        ready,
+        start_node,
+        start_node_with_processor,
         submit,
-        until, //
+        wait_until, //
+        wait_until_completed,
+        wait_until_ready,
     },
 };
 
 /// Starts an owner, and weaker nodes each on a machine of its own.
-async fn cell(platform: &Fake, others: usize) -> (Node<Fake>, Vec<(Node<Fake>, Fake)>) {
-    let owner = node_with("owner", platform, Millicores(1_000));
-    ready(&owner).await;
+async fn start_cell(platform: &Fake, others: usize) -> (Node<Fake>, Vec<(Node<Fake>, Fake)>) {
+    let owner = start_node_with_processor("owner", platform, Millicores(1_000));
+    wait_until_ready(&owner).await;
     let others = (0..others).map(|nth| {
         let machine = platform.another_machine();
-        let node = node_with(&format!("n{nth}"), &machine, Millicores(250));
+        let node = start_node_with_processor(&format!("n{nth}"), &machine, Millicores(250));
         (node, machine)
     });
     let others: Vec<_> = others.collect();
     for (node, _) in &others {
-        ready(node).await;
+        wait_until_ready(node).await;
     }
     (owner, others)
 }
@@ -52,7 +52,7 @@
     #[values(2, 6, 12)] others: usize,
 ) {
     let platform = Fake::new();
-    let (_owner, others) = cell(&platform, others).await;
+    let (_owner, others) = start_cell(&platform, others).await;
     sleep(2 * SECOND).await;
     let before = platform.reads(Topic::Claims).len();
     for (_, machine) in &others {
@@ -69,7 +69,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_node_reads_what_the_operator_writes_each_four_seconds(#[values(2, 12)] others: usize) {
     let platform = Fake::new();
-    let (_owner, others) = cell(&platform, others).await;
+    let (_owner, others) = start_cell(&platform, others).await;
     sleep(5 * SECOND).await;
     let from = Instant::now();
     sleep(20 * SECOND).await;
@@ -84,7 +84,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_change_is_in_force_in_time_where_the_answer_that_tells_of_it_is_lost() {
     let platform = Fake::new();
-    let (_owner, others) = cell(&platform, 2).await;
+    let (_owner, others) = start_cell(&platform, 2).await;
     sleep(5 * SECOND).await;
     let (node, machine) = &others[0];
     machine.set_own_mode(Mode::Unresponsive);
@@ -92,7 +92,7 @@
     machine.set_own_mode(Mode::Healthy);
     platform.write(Topic::Configuration, "config", b"2");
     let from = Instant::now();
-    until(|| async {
+    wait_until(|| async {
         node.front()
             .config()
             .is_some_and(|config| config.version == 2)
@@ -105,38 +105,38 @@
 #[tokio::test(start_paused = true)]
 async fn a_new_owner_reads_the_list_of_workers_beside_the_records() {
     let platform = Fake::new();
-    let one = node("one", &platform);
-    ready(&one).await;
+    let one = start_node("one", &platform);
+    wait_until_ready(&one).await;
     submit(&one, 1).await.unwrap();
-    completed(&one, 1).await;
+    wait_until_completed(&one, 1).await;
     one.stop(Duration::ZERO).await;
     let machine = platform.another_machine();
     platform.delay_reads(Topic::Progress, SECOND);
     platform.delay_reads(Topic::Workers, SECOND);
-    let two = node("two", &machine);
-    ready(&two).await;
+    let two = start_node("two", &machine);
+    wait_until_ready(&two).await;
     let progress = machine.reads(Topic::Progress)[0];
     let workers = machine.reads(Topic::Workers)[0];
     assert!(workers < progress + SECOND / 2, "{:?}", workers - progress);
     platform.delay_reads(Topic::Workers, Duration::ZERO);
     submit(&two, 2).await.unwrap();
-    completed(&two, 2).await;
+    wait_until_completed(&two, 2).await;
 }
 
 /// A worker in the first page of the list is used before the last page is read.
 #[tokio::test(start_paused = true)]
 async fn a_new_owner_uses_the_workers_of_the_first_part_of_the_list_at_once() {
     let platform = Fake::with_workers(40);
-    let one = node("one", &platform);
-    ready(&one).await;
+    let one = start_node("one", &platform);
+    wait_until_ready(&one).await;
     one.stop(Duration::ZERO).await;
     platform.limit_newest_reads(4);
     platform.delay_reads(Topic::Workers, SECOND);
-    let two = node("two", &platform);
-    ready(&two).await;
+    let two = start_node("two", &platform);
+    wait_until_ready(&two).await;
     let from = Instant::now();
     submit(&two, 1).await.unwrap();
-    completed(&two, 1).await;
+    wait_until_completed(&two, 1).await;
     let took = from.elapsed();
     assert!(took < 4 * SECOND, "{took:?}");
 }
--- a/crates/node/tests/node/support.rs
+++ b/crates/node/tests/node/support.rs
@@ -62,17 +62,21 @@
 }
 
 /// Starts a node on a free port.
-pub(crate) fn node(name: &str, platform: &Fake) -> Node<Fake> {
-    node_with(name, platform, Millicores(250))
+pub(crate) fn start_node(name: &str, platform: &Fake) -> Node<Fake> {
+    start_node_with_processor(name, platform, Millicores(250))
 }
 
 /// Starts a node with a processor share.
-pub(crate) fn node_with(name: &str, platform: &Fake, processor: Millicores) -> Node<Fake> {
-    node_metered(name, platform, processor, Meter::new().unwrap())
+pub(crate) fn start_node_with_processor(
+    name: &str,
+    platform: &Fake,
+    processor: Millicores,
+) -> Node<Fake> {
+    start_node_with_meter(name, platform, processor, Meter::new().unwrap())
 }
 
 /// Starts a node that records its metrics in `meter`.
-pub(crate) fn node_metered(
+pub(crate) fn start_node_with_meter(
     name: &str,
     platform: &Fake,
     processor: Millicores,
@@ -97,15 +101,15 @@
 }
 
 /// Waits until a node accepts jobs and can tell which jobs exist.
-pub(crate) async fn ready(node: &Node<Fake>) {
-    until(|| async {
+pub(crate) async fn wait_until_ready(node: &Node<Fake>) {
+    wait_until(|| async {
         node.front().is_ready() && node.front().look(JobId(0)).await == Err(Refusal::NoJob)
     })
     .await;
 }
 
 /// Waits until a condition holds. The time limit only ends a test that hangs.
-pub(crate) async fn until<F: Future<Output = bool>>(mut holds: impl FnMut() -> F) {
+pub(crate) async fn wait_until<F: Future<Output = bool>>(mut holds: impl FnMut() -> F) {
     let limit = Instant::now() + Duration::from_secs(60);
     while !holds().await {
         assert!(
@@ -127,7 +131,7 @@
 }
 
 /// Returns a step that no worker has room for.
-pub(crate) fn unplaceable() -> Step {
+pub(crate) fn unplaceable_step() -> Step {
     Step {
         size: Resources::new(Millicores::from_cores(64), Bytes::from_gib(1), 0),
         ..step()
@@ -144,7 +148,7 @@
 }
 
 /// Returns a job of two steps of two tasks each, the second step after the first.
-pub(crate) fn two_steps() -> Spec {
+pub(crate) fn two_step_job() -> Spec {
     let then = Step {
         after: vec![0],
         ..step()
@@ -153,7 +157,7 @@
 }
 
 /// Returns the record with which a node accepts a job in a partition.
-pub(crate) fn accepted(id: u64, spec: Spec, partition: u16) -> Accepted {
+pub(crate) fn acceptance(id: u64, spec: Spec, partition: u16) -> Accepted {
     Accepted {
         job: JobId(id),
         queue: queue().into(),
@@ -166,7 +170,7 @@
 
 /// Submits a job of two steps.
 pub(crate) async fn submit(node: &Node<Fake>, id: u64) -> Result<(), Refusal> {
-    submit_spec(node, id, two_steps()).await
+    submit_spec(node, id, two_step_job()).await
 }
 
 pub(crate) async fn submit_spec(node: &Node<Fake>, id: u64, spec: Spec) -> Result<(), Refusal> {
@@ -185,6 +189,6 @@
         .await
 }
 
-pub(crate) async fn completed(node: &Node<Fake>, id: u64) {
-    until(|| async { node.front().look(JobId(id)).await == Ok(State::Completed) }).await;
+pub(crate) async fn wait_until_completed(node: &Node<Fake>, id: u64) {
+    wait_until(|| async { node.front().look(JobId(id)).await == Ok(State::Completed) }).await;
 }
--- a/crates/node/tests/node/suspension.rs
+++ b/crates/node/tests/node/suspension.rs
@@ -11,31 +11,31 @@
     platform::Fake,
     support::{
         SECOND,
-        completed,
-        node,
-        ready,
+        start_node,
         submit,
-        until, //
+        wait_until, //
+        wait_until_completed,
+        wait_until_ready,
     },
 };
 
-const SLEPT: Duration = Duration::from_secs(5);
+const SUSPENSION: Duration = Duration::from_secs(5);
 
 #[tokio::test]
 async fn an_owner_whose_machine_was_suspended_gives_the_cell_up() {
     let platform = Fake::new();
     let machine = platform.another_machine();
-    let one = node("one", &machine);
-    ready(&one).await;
-    let two = node("two", &platform);
-    ready(&two).await;
+    let one = start_node("one", &machine);
+    wait_until_ready(&one).await;
+    let two = start_node("two", &platform);
+    wait_until_ready(&two).await;
     let first = platform.claims().last().map(|claim| claim.epoch);
-    machine.suspend(SLEPT);
+    machine.suspend(SUSPENSION);
     // The next owner has read the store again.
-    until(|| async { platform.claims().last().map(|claim| claim.epoch) > first }).await;
-    ready(&two).await;
+    wait_until(|| async { platform.claims().last().map(|claim| claim.epoch) > first }).await;
+    wait_until_ready(&two).await;
     submit(&two, 1).await.unwrap();
-    completed(&two, 1).await;
+    wait_until_completed(&two, 1).await;
     assert_eq!(platform.starts(1), 4);
 }
 
@@ -43,15 +43,15 @@
 #[tokio::test]
 async fn a_node_that_was_suspended_keeps_the_cell_that_it_claims_later() {
     let platform = Fake::new();
-    let one = node("one", &platform);
-    ready(&one).await;
+    let one = start_node("one", &platform);
+    wait_until_ready(&one).await;
     let machine = platform.another_machine();
-    let two = node("two", &machine);
-    ready(&two).await;
-    machine.suspend(SLEPT);
+    let two = start_node("two", &machine);
+    wait_until_ready(&two).await;
+    machine.suspend(SUSPENSION);
     tokio::time::sleep(Duration::from_millis(300)).await;
     drop(one);
-    until(|| async { platform.owner().as_deref() == Some("two") }).await;
+    wait_until(|| async { platform.owner().as_deref() == Some("two") }).await;
     tokio::time::sleep(SECOND).await;
     let claims = platform.claims();
     let own = claims.iter().filter(|claim| claim.node.as_str() == "two");
--- a/crates/node/tests/node/view.rs
+++ b/crates/node/tests/node/view.rs
@@ -30,27 +30,27 @@
     platform::Fake,
     support::{
         SECOND,
-        accepted,
+        acceptance,
         cancel,
         job,
-        node,
-        ready,
+        start_node,
         step,
-        unplaceable, //
+        unplaceable_step, //
+        wait_until_ready,
     },
 };
 
 /// The partition whose reads are blocked, so that the takeover waits for it.
-const HELD_BACK: u16 = 0;
+const BLOCKED_PARTITION: u16 = 0;
 
 /// Returns a job of two tasks.
-fn quick() -> Spec {
+fn quick_job() -> Spec {
     job(vec![step()], None)
 }
 
 /// Returns a job that no worker ever has room for.
-fn waiting() -> Spec {
-    job(vec![unplaceable()], None)
+fn waiting_job() -> Spec {
+    job(vec![unplaceable_step()], None)
 }
 
 /// A job is recorded in each of the partitions that the owner has already read, and is cancelled before, when or after
@@ -61,12 +61,15 @@
     #[values(2_000, 2_500, 3_000, 3_100, 3_200, 3_300, 3_400, 3_600, 4_000)] cancelled_ms: u64,
 ) {
     let platform = Fake::new();
-    platform.block_reads(Topic::Jobs(HELD_BACK), 2 * SECOND);
-    let one = node("one", &platform);
+    platform.block_reads(Topic::Jobs(BLOCKED_PARTITION), 2 * SECOND);
+    let one = start_node("one", &platform);
     sleep(SECOND).await;
     let jobs = 1..16;
     for partition in jobs.clone() {
-        platform.record_job(partition, &accepted(partition.into(), quick(), partition));
+        platform.record_job(
+            partition,
+            &acceptance(partition.into(), quick_job(), partition),
+        );
     }
     sleep(Duration::from_millis(cancelled_ms) - SECOND).await;
     for job in jobs.clone() {
@@ -91,11 +94,14 @@
     #[values(100, 1_000, 1_900)] cancelled_ms: u64,
 ) {
     let platform = Fake::new();
-    platform.block_reads(Topic::Jobs(HELD_BACK), 2 * SECOND);
+    platform.block_reads(Topic::Jobs(BLOCKED_PARTITION), 2 * SECOND);
     for partition in 1..16 {
-        platform.record_job(partition, &accepted(partition.into(), quick(), partition));
+        platform.record_job(
+            partition,
+            &acceptance(partition.into(), quick_job(), partition),
+        );
     }
-    let _one = node("one", &platform);
+    let _one = start_node("one", &platform);
     sleep(Duration::from_millis(cancelled_ms)).await;
     for partition in 1..16 {
         platform.record_cancellation(partition, partition.into());
@@ -110,8 +116,8 @@
 #[tokio::test(start_paused = true)]
 async fn a_cancellation_is_taken_while_there_is_no_owner() {
     let platform = Fake::new();
-    platform.block_reads(Topic::Jobs(HELD_BACK), 2 * SECOND);
-    let one = node("one", &platform);
+    platform.block_reads(Topic::Jobs(BLOCKED_PARTITION), 2 * SECOND);
+    let one = start_node("one", &platform);
     sleep(SECOND).await;
     let asked = Instant::now();
     assert_eq!(cancel(&one, 1).await, Ok(()));
@@ -123,11 +129,11 @@
 #[tokio::test(start_paused = true)]
 async fn a_job_that_is_on_record_is_never_said_not_to_be_there() {
     let platform = Fake::new();
-    let one = node("one", &platform);
-    ready(&one).await;
+    let one = start_node("one", &platform);
+    wait_until_ready(&one).await;
     for partition in 0..16 {
         let job = 100 + u64::from(partition);
-        platform.record_job(partition, &accepted(job, quick(), partition));
+        platform.record_job(partition, &acceptance(job, quick_job(), partition));
         let found = one.front().look(JobId(job)).await;
         assert!(found.is_ok(), "{found:?}");
         // The lookups fall on different moments between two reads of a partition.
@@ -139,13 +145,13 @@
 #[tokio::test(start_paused = true)]
 async fn a_cancelled_job_that_turns_up_on_record_later_doesn_t_start() {
     let platform = Fake::new();
-    let one = node("one", &platform);
-    ready(&one).await;
+    let one = start_node("one", &platform);
+    wait_until_ready(&one).await;
     assert_eq!(cancel(&one, 1).await, Err(Refusal::NoJob));
     assert_eq!(cancel(&one, 2).await, Err(Refusal::NoJob));
     let never_handed_in = one.front().look(JobId(2)).await;
     assert_eq!(never_handed_in, Err(Refusal::NoJob));
-    platform.record_job(5, &accepted(1, quick(), 5));
+    platform.record_job(5, &acceptance(1, quick_job(), 5));
     sleep(10 * SECOND).await;
     assert_eq!(one.front().look(JobId(1)).await, Ok(State::Cancelled));
     assert_eq!(platform.starts(1), 0);
@@ -155,11 +161,14 @@
 #[tokio::test(start_paused = true)]
 async fn the_first_count_of_a_new_owner_has_all_jobs_that_waited_for_it() {
     let platform = Fake::new();
-    platform.block_reads(Topic::Jobs(HELD_BACK), 2 * SECOND);
-    let one = node("one", &platform);
+    platform.block_reads(Topic::Jobs(BLOCKED_PARTITION), 2 * SECOND);
+    let one = start_node("one", &platform);
     sleep(SECOND).await;
     for partition in 1..16 {
-        platform.record_job(partition, &accepted(partition.into(), waiting(), partition));
+        platform.record_job(
+            partition,
+            &acceptance(partition.into(), waiting_job(), partition),
+        );
     }
     let queue = QueueName::from("q");
     let count = loop {
@@ -176,12 +185,15 @@
 #[tokio::test(start_paused = true)]
 async fn a_count_is_refused_once_it_is_too_old() {
     let platform = Fake::new();
-    let one = node("one", &platform);
-    ready(&one).await;
+    let one = start_node("one", &platform);
+    wait_until_ready(&one).await;
     let queue = QueueName::from("q");
     assert_eq!(one.front().pending(&queue).await, Ok(0));
-    platform.block_reads(Topic::Jobs(HELD_BACK), 6 * SECOND);
-    platform.record_job(HELD_BACK, &accepted(1, waiting(), HELD_BACK));
+    platform.block_reads(Topic::Jobs(BLOCKED_PARTITION), 6 * SECOND);
+    platform.record_job(
+        BLOCKED_PARTITION,
+        &acceptance(1, waiting_job(), BLOCKED_PARTITION),
+    );
     sleep(3 * SECOND).await;
     assert_eq!(platform.owner().as_deref(), Some("one"));
     assert_eq!(one.front().pending(&queue).await, Err(Refusal::NoOwner));
@@ -193,8 +205,8 @@
 #[tokio::test(start_paused = true)]
 async fn questions_about_jobs_that_don_t_exist_cost_a_bounded_number_of_calls() {
     let platform = Fake::new();
-    let one = node("one", &platform);
-    ready(&one).await;
+    let one = start_node("one", &platform);
+    wait_until_ready(&one).await;
     let before = platform.job_reads();
     let began = Instant::now();
     for job in 1_000..1_100 {
--- a/crates/node/tests/node/workspace.rs
+++ b/crates/node/tests/node/workspace.rs
@@ -35,11 +35,11 @@
     support::{
         SECOND,
         job,
-        node,
-        ready,
-        two_steps,
-        unplaceable,
-        until, //
+        start_node,
+        two_step_job,
+        unplaceable_step,
+        wait_until, //
+        wait_until_ready,
     },
 };
 
@@ -60,7 +60,7 @@
 }
 
 /// Authenticates a caller by its key.
-fn enter(node: &Node<Fake>, key: &str) -> Result<Front<Fake>, Refusal> {
+fn authenticate(node: &Node<Fake>, key: &str) -> Result<Front<Fake>, Refusal> {
     let front = node.front();
     let config = front.config().ok_or(Refusal::NotReady)?;
     front.authenticate(&config, &ingress(false), Some(&KeyDigest::of(key)))
@@ -71,20 +71,22 @@
     platform::version(format!("keys: {text}").as_bytes())
 }
 
-async fn let_in(node: &Node<Fake>, key: &str) -> Front<Fake> {
-    until(|| async {
+async fn wait_until_admitted(node: &Node<Fake>, key: &str) -> Front<Fake> {
+    wait_until(|| async {
         let config = node.front().config();
         let has_keys = config.is_some_and(|config| config.directory.is_some());
-        has_keys && enter(node, key).is_ok()
+        has_keys && authenticate(node, key).is_ok()
     })
     .await;
-    enter(node, key).unwrap()
+    authenticate(node, key).unwrap()
 }
 
 async fn submit(front: &Front<Fake>, id: u64) -> Result<(), Refusal> {
     let deadline = Instant::now() + 3 * SECOND;
     let queue = QueueName::from("q");
-    front.submit(&queue, JobId(id), two_steps(), deadline).await
+    front
+        .submit(&queue, JobId(id), two_step_job(), deadline)
+        .await
 }
 
 async fn cancel(front: &Front<Fake>, id: u64) -> Result<(), Refusal> {
@@ -94,15 +96,15 @@
         .await
 }
 
-async fn completed(front: &Front<Fake>, id: u64) {
-    until(|| async { front.look(JobId(id)).await == Ok(State::Completed) }).await;
+async fn wait_until_completed(front: &Front<Fake>, id: u64) {
+    wait_until(|| async { front.look(JobId(id)).await == Ok(State::Completed) }).await;
 }
 
 #[tokio::test]
 async fn calls_show_a_key_that_is_in_force_unless_their_queue_is_public() {
     let platform = Fake::new();
-    let one = node("one", &platform);
-    ready(&one).await;
+    let one = start_node("one", &platform);
+    wait_until_ready(&one).await;
     let config = one.front().config().unwrap();
     let is_open = |is_public, key: Option<&str>| {
         let front = one.front();
@@ -115,7 +117,7 @@
     let front = one.front().authenticate(&config, &ingress(false), None);
     assert!(front.is_ok(), "without workspaces no key is needed");
     configure(&platform, "a=ka,kb b=kc");
-    let_in(&one, "ka").await;
+    wait_until_admitted(&one, "ka").await;
     assert_eq!(is_open(false, Some("kb")), Ok(()));
     assert_eq!(is_open(false, Some("kd")), Err(Refusal::Unauthorized));
     assert_eq!(is_open(false, Some("")), Err(Refusal::Unauthorized));
@@ -123,25 +125,25 @@
     assert_eq!(is_open(true, None), Ok(()));
     // The last key is removed: no caller is admitted.
     configure(&platform, "                        ");
-    until(|| async { is_open(false, Some("ka")) == Err(Refusal::Unauthorized) }).await;
+    wait_until(|| async { is_open(false, Some("ka")) == Err(Refusal::Unauthorized) }).await;
 }
 
 #[tokio::test]
 async fn callers_of_another_workspace_see_count_and_cancel_nothing() {
     let platform = Fake::new();
-    let (one, two) = (node("one", &platform), node("two", &platform));
+    let (one, two) = (start_node("one", &platform), start_node("two", &platform));
     configure(&platform, "a=ka b=kb");
-    ready(&one).await;
-    ready(&two).await;
-    let own = let_in(&one, "ka").await;
-    let other = let_in(&two, "kb").await;
+    wait_until_ready(&one).await;
+    wait_until_ready(&two).await;
+    let own = wait_until_admitted(&one, "ka").await;
+    let other = wait_until_admitted(&two, "kb").await;
     let queue = QueueName::from("q");
     let deadline = Instant::now() + 3 * SECOND;
-    let waiting = job(vec![unplaceable()], None);
+    let waiting = job(vec![unplaceable_step()], None);
     own.submit(&queue, JobId(1), waiting, deadline)
         .await
         .unwrap();
-    until(|| async { own.pending(&queue).await == Ok(1) }).await;
+    wait_until(|| async { own.pending(&queue).await == Ok(1) }).await;
     assert_eq!(other.pending(&queue).await, Ok(0));
     assert_eq!(other.look(JobId(1)).await, Err(Refusal::NoJob));
     assert_eq!(cancel(&other, 1).await, Err(Refusal::NoJob));
@@ -149,32 +151,35 @@
     // The same holds for a job that is not known yet.
     assert_eq!(cancel(&other, 2).await, Err(Refusal::NoJob));
     submit(&own, 2).await.unwrap();
-    completed(&own, 2).await;
+    wait_until_completed(&own, 2).await;
     assert_eq!(other.look(JobId(2)).await, Err(Refusal::NoJob));
     assert_eq!(cancel(&own, 1).await, Ok(()));
-    until(|| async { own.look(JobId(1)).await == Ok(State::Cancelled) }).await;
+    wait_until(|| async { own.look(JobId(1)).await == Ok(State::Cancelled) }).await;
 }
 
 /// One node accepts both submissions, so both records are in one partition.
 #[tokio::test]
 async fn a_job_under_an_id_of_another_workspace_takes_that_ones_place_nowhere() {
     let platform = Fake::new();
-    let one = node("one", &platform);
+    let one = start_node("one", &platform);
     configure(&platform, "a=ka b=kb");
-    ready(&one).await;
-    let (own, other) = (let_in(&one, "ka").await, let_in(&one, "kb").await);
+    wait_until_ready(&one).await;
+    let (own, other) = (
+        wait_until_admitted(&one, "ka").await,
+        wait_until_admitted(&one, "kb").await,
+    );
     submit(&own, 1).await.unwrap();
     submit(&other, 1).await.unwrap();
-    completed(&own, 1).await;
+    wait_until_completed(&own, 1).await;
     assert_eq!(platform.starts(1), 4);
     assert_eq!(other.look(JobId(1)).await, Err(Refusal::NoJob));
-    let two = node("two", &platform);
-    ready(&two).await;
+    let two = start_node("two", &platform);
+    wait_until_ready(&two).await;
     one.leave();
     one.disowned(SECOND).await;
     one.stop(SECOND).await;
-    let own = let_in(&two, "ka").await;
-    completed(&own, 1).await;
+    let own = wait_until_admitted(&two, "ka").await;
+    wait_until_completed(&own, 1).await;
     assert_eq!(platform.starts(1), 4);
 }
 
@@ -189,20 +194,20 @@
     #[case] expected: Result<State, Refusal>,
 ) {
     let platform = Fake::new();
-    let one = node("one", &platform);
+    let one = start_node("one", &platform);
     configure(&platform, "a=ka");
-    ready(&one).await;
-    let own = let_in(&one, "ka").await;
+    wait_until_ready(&one).await;
+    let own = wait_until_admitted(&one, "ka").await;
     submit(&own, 1).await.unwrap();
     configure(&platform, later);
-    completed(&own, 1).await;
-    until(|| async {
+    wait_until_completed(&own, 1).await;
+    wait_until(|| async {
         let front = one.front();
         let config = front.config().unwrap();
         config.version == version(later)
     })
     .await;
-    let front = let_in(&one, key).await;
+    let front = wait_until_admitted(&one, key).await;
     assert_eq!(front.look(JobId(1)).await, expected);
     // Submitted again by a caller of its workspace, it is the same job.
     if expected.is_ok() {
@@ -221,41 +226,41 @@
     #[case] mode: Mode,
 ) {
     let platform = Fake::new();
-    let one = node("one", &platform);
-    ready(&one).await;
+    let one = start_node("one", &platform);
+    wait_until_ready(&one).await;
     let apart = platform.another_machine();
-    let two = node("two", &apart);
+    let two = start_node("two", &apart);
     configure(&platform, "a=ka");
-    ready(&two).await;
-    let_in(&two, "ka").await;
+    wait_until_ready(&two).await;
+    wait_until_admitted(&two, "ka").await;
     apart.set_own_mode(mode);
     configure(&platform, "a=kb b=kc");
     let revoked = Instant::now();
-    until(|| async { enter(&two, "ka").err() == Some(Refusal::Unauthorized) }).await;
+    wait_until(|| async { authenticate(&two, "ka").err() == Some(Refusal::Unauthorized) }).await;
     let took = revoked.elapsed();
     assert!(took < 3 * SECOND, "{took:?}");
-    assert!(enter(&two, "kb").is_ok());
+    assert!(authenticate(&two, "kb").is_ok());
     // The owner keeps confirming that there is nothing newer.
     sleep(3 * SECOND).await;
-    assert_eq!(enter(&two, "ka").err(), Some(Refusal::Unauthorized));
-    assert!(enter(&two, "kb").is_ok());
+    assert_eq!(authenticate(&two, "ka").err(), Some(Refusal::Unauthorized));
+    assert!(authenticate(&two, "kb").is_ok());
 }
 
 /// During an outage no key can be revoked, but an unknown key may have been added just before.
 #[tokio::test]
 async fn while_the_store_is_away_for_all_the_keys_hold_that_are_known() {
     let platform = Fake::new();
-    let (one, two) = (node("one", &platform), node("two", &platform));
+    let (one, two) = (start_node("one", &platform), start_node("two", &platform));
     configure(&platform, "a=ka");
-    ready(&one).await;
-    ready(&two).await;
-    let_in(&one, "ka").await;
-    let_in(&two, "ka").await;
+    wait_until_ready(&one).await;
+    wait_until_ready(&two).await;
+    wait_until_admitted(&one, "ka").await;
+    wait_until_admitted(&two, "ka").await;
     platform.set_mode(Mode::Unresponsive);
     sleep(4 * SECOND).await;
     for node in [&one, &two] {
-        assert!(enter(node, "ka").is_ok());
-        assert_eq!(enter(node, "kb").err(), Some(Refusal::NotReady));
+        assert!(authenticate(node, "ka").is_ok());
+        assert_eq!(authenticate(node, "kb").err(), Some(Refusal::NotReady));
     }
 }
 
