--- a/crates/node/tests/node/evacuation.rs
+++ b/crates/node/tests/node/evacuation.rs
@@ -18,9 +18,9 @@
     support::{
         SECOND,
         start_node,
-        submit, //
+        submit,
         wait_until_completed,
-        wait_until_ready,
+        wait_until_ready, //
     },
 };
 
@@ -33,7 +33,7 @@
 #[case::removed(|platform: &Fake| platform.remove(TOPIC, EVACUATION_KEY))]
 #[case::compacted(|platform: &Fake| platform.drop_key(TOPIC, EVACUATION_KEY))]
 #[tokio::test(start_paused = true)]
-async fn nothing_starts_between_an_evacuation_and_its_end(#[case] take_back: fn(&Fake)) {
+async fn nothing_starts_between_an_evacuation_and_its_end(#[case] end_evacuation: fn(&Fake)) {
     let platform = Fake::new();
     let one = start_node("one", &platform);
     wait_until_ready(&one).await;
@@ -43,13 +43,13 @@
     sleep(30 * SECOND).await;
     assert_eq!(one.front().look(JobId(1)).await, Ok(State::Queued));
     assert_eq!(platform.starts(1), 0);
-    take_back(&platform);
+    end_evacuation(&platform);
     wait_until_completed(&one, 1).await;
     assert_eq!(platform.starts(1), 4);
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_evacuation_outlasts_its_owner() {
+async fn an_evacuation_stays_in_force_under_the_next_owner() {
     let platform = Fake::new();
     let one = start_node("one", &platform);
     wait_until_ready(&one).await;
@@ -67,11 +67,11 @@
 
 /// An invalid record, as other writers may leave in the topic, neither evacuates a data centre nor ends an evacuation.
 #[rstest]
-#[case::no_data_centre("evacuate/nowhere", b"{}")]
-#[case::form(EVACUATION_KEY, b"foreign")]
-#[case::bytes(EVACUATION_KEY, REJECTED_VALUE)]
+#[case::unknown_data_centre("evacuate/nowhere", b"{}")]
+#[case::malformed(EVACUATION_KEY, b"foreign")]
+#[case::rejected_value(EVACUATION_KEY, REJECTED_VALUE)]
 #[tokio::test(start_paused = true)]
-async fn a_record_of_another_writer_changes_nothing(#[case] key: &str, #[case] value: &[u8]) {
+async fn an_invalid_evacuation_record_changes_nothing(#[case] key: &str, #[case] value: &[u8]) {
     let platform = Fake::new();
     let one = start_node("one", &platform);
     wait_until_ready(&one).await;
@@ -96,7 +96,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_evacuation_may_come_and_go_within_a_second() {
+async fn the_last_of_several_evacuation_changes_within_a_second_holds() {
     let platform = Fake::new();
     let one = start_node("one", &platform);
     wait_until_ready(&one).await;
--- a/crates/node/tests/node/foreign.rs
+++ b/crates/node/tests/node/foreign.rs
@@ -26,26 +26,24 @@
         SECOND,
         start_node,
         start_node_with_meter,
-        submit, //
+        submit,
         wait_until_completed,
-        wait_until_ready,
+        wait_until_ready, //
     },
 };
 
 #[rstest]
-#[case::form(b"foreign")]
-#[case::pool(b"elsewhere")]
-#[case::bytes(REJECTED_VALUE)]
+#[case::malformed(b"foreign")]
+#[case::unknown_pool(b"elsewhere")]
+#[case::rejected_value(REJECTED_VALUE)]
 #[tokio::test(start_paused = true)]
-async fn an_entry_that_turns_foreign_takes_its_worker_out_until_a_good_one_comes(
-    #[case] foreign: &[u8],
-) {
+async fn a_worker_is_not_used_while_its_newest_entry_is_invalid(#[case] invalid: &[u8]) {
     let platform = Fake::new();
     let one = start_node("one", &platform);
     wait_until_ready(&one).await;
     submit(&one, 1).await.unwrap();
     wait_until_completed(&one, 1).await;
-    platform.write(Topic::Workers, "w0", foreign);
+    platform.write(Topic::Workers, "w0", invalid);
     sleep(SECOND).await;
     submit(&one, 2).await.unwrap();
     sleep(30 * SECOND).await;
@@ -69,13 +67,13 @@
 }
 
 #[rstest]
-#[case::form(b"foreign")]
-#[case::pool(b"elsewhere")]
-#[case::bytes(REJECTED_VALUE)]
+#[case::malformed(b"foreign")]
+#[case::unknown_pool(b"elsewhere")]
+#[case::rejected_value(REJECTED_VALUE)]
 #[tokio::test(start_paused = true)]
-async fn the_entry_of_a_worker_that_is_not_known_takes_nobody_out(#[case] foreign: &[u8]) {
+async fn an_invalid_entry_of_an_unknown_worker_affects_no_other_worker(#[case] invalid: &[u8]) {
     let platform = Fake::new();
-    platform.write(Topic::Workers, "another", foreign);
+    platform.write(Topic::Workers, "another", invalid);
     let one = start_node("one", &platform);
     wait_until_ready(&one).await;
     submit(&one, 1).await.unwrap();
@@ -84,7 +82,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn each_record_that_is_turned_away_is_counted() {
+async fn each_rejected_record_is_counted() {
     let platform = Fake::new();
     let meter = Meter::new().unwrap();
     let one = start_node_with_meter("one", &platform, Millicores(250), meter.clone());
@@ -142,7 +140,7 @@
 }
 
 #[tokio::test]
-async fn an_owner_goes_on_amid_records_that_can_not_be_read() {
+async fn an_owner_keeps_working_among_unreadable_records() {
     let platform = Fake::new();
     let one = start_node("one", &platform);
     wait_until_ready(&one).await;
@@ -169,9 +167,9 @@
 
 #[rstest]
 #[case::whole_history(None)]
-#[case::forgotten_in_part(Some(KEPT_RECORDS))]
+#[case::truncated_history(Some(KEPT_RECORDS))]
 #[tokio::test]
-async fn a_new_owner_takes_over_what_was_good_last(#[case] kept: Option<usize>) {
+async fn a_new_owner_takes_over_the_last_valid_records(#[case] kept: Option<usize>) {
     let platform = Fake::new();
     // These records are older than the truncated history.
     for _ in 0..KEPT_RECORDS {
@@ -201,7 +199,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn another_writers_word_cancels_no_job() {
+async fn a_malformed_cancellation_cancels_no_job() {
     let platform = Fake::new();
     let one = start_node("one", &platform);
     wait_until_ready(&one).await;
--- a/crates/node/tests/node/history.rs
+++ b/crates/node/tests/node/history.rs
@@ -1,5 +1,5 @@
-//! Random histories of one owner: jobs and cancellations are recorded behind its back while the store is slow, loses
-//! answers or blocks reads of single partitions.
+//! Random histories of one owner: jobs and cancellations are recorded without notices to the owner, while the
+//! store is slow, loses answers or blocks reads of single partitions.
 
 use std::{
     collections::{
@@ -84,7 +84,7 @@
         if rng.random_bool(0.5) {
             platform.limit_reads(rng.random_range(1..4));
         }
-        let mut world = Self {
+        let mut simulation = Self {
             rng,
             node: start_node("one", &platform),
             platform,
@@ -96,16 +96,16 @@
             violations: Vec::new(),
         };
         for _ in 0..4 {
-            world.block_partition();
+            simulation.block_partition();
         }
-        world
+        simulation
     }
 
     fn block_partition(&mut self) {
         let partition = self.rng.random_range(0..16);
         let span = Duration::from_millis(self.rng.random_range(100..4_000));
-        let unread = self.no_block_before.get(&partition);
-        if unread.is_some_and(|until| Instant::now() < *until) {
+        let no_block_before = self.no_block_before.get(&partition);
+        if no_block_before.is_some_and(|until| Instant::now() < *until) {
             // Otherwise the owner could not read a cancellation there in time.
             return;
         }
@@ -139,11 +139,11 @@
             .no_block_before
             .get(&partition)
             .map_or(now, |until| now.max(*until));
-        let in_force = readable + CANCELLATION_DELAY;
-        self.no_block_before.insert(partition, in_force);
+        let due = readable + CANCELLATION_DELAY;
+        self.no_block_before.insert(partition, due);
         self.recorded_cancellations.insert(job);
-        let known = self.cancellation_deadlines.entry(job).or_insert(in_force);
-        *known = in_force.min(*known);
+        let earliest = self.cancellation_deadlines.entry(job).or_insert(due);
+        *earliest = due.min(*earliest);
     }
 
     async fn cancel(&mut self) {
@@ -153,14 +153,14 @@
         let front = self.node.front();
         let answer = front.cancel(&queue, JobId(job), deadline).await;
         let now = Instant::now();
-        let in_force = match answer {
+        let due = match answer {
             // There may have been no owner to notify.
             Ok(()) => now + CANCELLATION_DELAY,
             Err(Refusal::NoJob) => now + ORDER_TRANSIT_TIME,
             Err(_) => return,
         };
-        let known = self.cancellation_deadlines.entry(job).or_insert(in_force);
-        *known = in_force.min(*known);
+        let earliest = self.cancellation_deadlines.entry(job).or_insert(due);
+        *earliest = due.min(*earliest);
     }
 
     async fn look(&mut self) {
@@ -208,9 +208,9 @@
     /// Checks that each job ended as its callers may expect, and that none started after its cancellation.
     async fn check_jobs(&mut self) {
         for job in self.jobs.clone() {
-            let in_force = self.cancellation_deadlines.get(&job).copied();
+            let due = self.cancellation_deadlines.get(&job).copied();
             let last = self.platform.last_start(job);
-            if let (Some(last), Some(until)) = (last, in_force)
+            if let (Some(last), Some(until)) = (last, due)
                 && last > until
             {
                 let late = last - until;
@@ -220,12 +220,12 @@
                 self.violations.push(line);
             }
             let state = self.node.front().look(JobId(job)).await;
-            let is_true = match state {
+            let is_expected = match state {
                 Ok(State::Completed) => true,
-                Ok(State::Cancelled) => in_force.is_some(),
+                Ok(State::Cancelled) => due.is_some(),
                 _ => false,
             };
-            if !is_true {
+            if !is_expected {
                 let line = format!("job {job} ended as {state:?}");
                 self.violations.push(line);
             }
@@ -243,19 +243,19 @@
 }
 
 async fn simulate(seed: u64) -> Vec<String> {
-    let mut world = Simulation::new(seed);
+    let mut simulation = Simulation::new(seed);
     let until = Instant::now() + FAULT_PERIOD;
     while Instant::now() < until {
-        world.act().await;
+        simulation.act().await;
     }
-    world.platform.set_mode(Mode::Healthy);
+    simulation.platform.set_mode(Mode::Healthy);
     sleep(RECOVERY_PERIOD).await;
-    world.check_jobs().await;
-    world.violations
+    simulation.check_jobs().await;
+    simulation.violations
 }
 
 #[test]
-fn what_an_owner_says_and_starts_is_true_whatever_it_has_read() {
+fn answers_and_starts_are_correct_in_random_histories() {
     let count = std::env::var("HISTORIES").ok();
     let count = count.map_or(DEFAULT_HISTORIES, |count| count.parse().unwrap());
     for seed in 0..count {
--- a/crates/node/tests/node/platform.rs
+++ b/crates/node/tests/node/platform.rs
@@ -377,11 +377,11 @@
     }
 
     /// Truncates the history of every topic to some records at its end. The newest record of each key stays readable.
-    pub(crate) fn truncate_history(&self, but: usize) {
+    pub(crate) fn truncate_history(&self, kept: usize) {
         let mut state = self.state();
         let topics = state.topics.iter();
         let first = topics.map(|(topic, records)| {
-            let first = records.len().saturating_sub(but);
+            let first = records.len().saturating_sub(kept);
             (topic.clone(), first as u64)
         });
         state.first_offsets = first.collect();
@@ -389,9 +389,10 @@
 
     /// Returns a page in which the records that cannot be read are reported as rejected.
     fn page(records: Vec<Record>, next: u64, end: u64) -> Page {
-        let is_lost = |record: &Record| record.value.as_deref() == Some(REJECTED_VALUE);
-        let (lost, records): (Vec<Record>, Vec<Record>) = records.into_iter().partition(is_lost);
-        let rejected = lost
+        let is_rejected = |record: &Record| record.value.as_deref() == Some(REJECTED_VALUE);
+        let (unreadable, records): (Vec<Record>, Vec<Record>) =
+            records.into_iter().partition(is_rejected);
+        let rejected = unreadable
             .iter()
             .map(|record| Rejected::record(record, Fault::Value));
         Page {
@@ -491,7 +492,7 @@
     }
 
     /// Writes a claim that no node of the test has made.
-    pub(crate) fn claim(&self, claim: &Claim) {
+    pub(crate) fn write_claim(&self, claim: &Claim) {
         let value = record::encode(claim).unwrap();
         self.write(Topic::Claims, "owner", &value);
     }
@@ -741,17 +742,17 @@
         self.start_orders.fetch_add(1, Ordering::Relaxed);
         let mut state = self.state();
         state.starts.push((order.task, Instant::now()));
-        let host = state.workers.entry(order.to.worker).or_default();
+        let worker = state.workers.entry(order.to.worker).or_default();
         let ends = Instant::now() + TASK_DURATION;
-        host.running.insert(order.task, (order.run, ends));
+        worker.running.insert(order.task, (order.run, ends));
         StartAnswer::Started
     }
 
     async fn stop(&self, order: Stop) -> StopAnswer {
         sleep(CALL_LATENCY).await;
         let mut state = self.state();
-        let host = state.workers.entry(order.to.worker).or_default();
-        host.running.remove(&order.task);
+        let worker = state.workers.entry(order.to.worker).or_default();
+        worker.running.remove(&order.task);
         StopAnswer::Confirmed
     }
 
@@ -765,15 +766,16 @@
             sleep(CALL_LATENCY).await;
             let now = Instant::now();
             let mut state = self.state();
-            let host = state.workers.entry(order.to.worker.clone()).or_default();
-            host.ended.retain(|end| end.serial > order.acknowledged);
-            let over = host.running.iter().filter(|(_, (_, ends))| *ends <= now);
-            let over: Vec<(TaskId, Run)> = over.map(|(task, (run, _))| (*task, *run)).collect();
-            for (task, run) in over {
-                host.running.remove(&task);
-                host.serial += 1;
-                let serial = host.serial;
-                host.ended.push(Ended {
+            let worker = state.workers.entry(order.to.worker.clone()).or_default();
+            worker.ended.retain(|end| end.serial > order.acknowledged);
+            let finished = worker.running.iter().filter(|(_, (_, ends))| *ends <= now);
+            let finished: Vec<(TaskId, Run)> =
+                finished.map(|(task, (run, _))| (*task, *run)).collect();
+            for (task, run) in finished {
+                worker.running.remove(&task);
+                worker.serial += 1;
+                let serial = worker.serial;
+                worker.ended.push(Ended {
                     serial,
                     task,
                     run,
@@ -781,8 +783,8 @@
                     checkpoint: None,
                 });
             }
-            if !host.ended.is_empty() || now >= until {
-                let running = host.running.iter().map(|(task, (run, _))| Running {
+            if !worker.ended.is_empty() || now >= until {
+                let running = worker.running.iter().map(|(task, (run, _))| Running {
                     task: *task,
                     run: *run,
                     checkpoint: None,
@@ -792,7 +794,7 @@
                     incarnation: None,
                     clock: 1,
                     running: running.collect(),
-                    ended: host.ended.clone(),
+                    ended: worker.ended.clone(),
                 });
             }
         }
--- a/crates/node/tests/node/record.rs
+++ b/crates/node/tests/node/record.rs
@@ -42,8 +42,8 @@
         step,
         submit_spec,
         unplaceable_step,
-        wait_until, //
-        wait_until_ready,
+        wait_until,
+        wait_until_ready, //
     },
 };
 
@@ -51,32 +51,32 @@
 /// milliseconds. If a new owner reads all 16 partitions again whenever its view of any is too old, the view is too old
 /// each time the slow one answers. As the claim is renewed meanwhile, no other node takes over either.
 #[rstest]
-#[case::quick_enough(900)]
-#[case::slow(1_100)]
-#[case::as_slow_as_the_store_gets(1_400)]
+#[case::below_a_second(900)]
+#[case::above_a_second(1_100)]
+#[case::slowest_expected(1_400)]
 #[tokio::test(start_paused = true)]
-async fn a_takeover_comes_to_an_end_where_one_partition_is_slow(#[case] takes_ms: u64) {
+async fn a_takeover_completes_when_one_partition_is_slow(#[case] delay_ms: u64) {
     let platform = Fake::new();
-    platform.delay_reads(Topic::Jobs(0), Duration::from_millis(takes_ms));
+    platform.delay_reads(Topic::Jobs(0), Duration::from_millis(delay_ms));
     let one = start_node("one", &platform);
-    let taken = timeout(60 * SECOND, async {
+    let takeover = timeout(60 * SECOND, async {
         while one.front().pending(&QueueName::from("q")).await.is_err() {
             sleep(SECOND / 20).await;
         }
     });
-    assert!(taken.await.is_ok(), "no owner within 60 s");
+    assert!(takeover.await.is_ok(), "no owner within 60 s");
 }
 
-/// Guards against a cancellation that takes effect late because another partition is slow: the cancellation is in a
-/// partition that answers in milliseconds, but its record reaches the owner's actor only after the slowest of the
-/// partitions read at the same time has answered or timed out.
+/// Guards against a cancellation that takes effect late because another partition is slow. The cancellation is in a
+/// partition that answers in milliseconds; it comes too late if its record is passed to the owner's actor only after
+/// the slowest of the partitions read at the same time has answered or timed out.
 #[rstest]
 #[case::all_answer(0)]
 #[case::one_is_slow(1_400)]
 #[case::one_gives_no_answer(30_000)]
 #[tokio::test(start_paused = true)]
-async fn a_cancellation_on_record_is_in_force_after_3_s_whatever_another_partition_does(
-    #[case] takes_ms: u64,
+async fn a_recorded_cancellation_takes_effect_within_3_s_whatever_another_partition_does(
+    #[case] delay_ms: u64,
 ) {
     let platform = Fake::new();
     let wall = SystemTime::now().duration_since(UNIX_EPOCH).unwrap();
@@ -96,7 +96,7 @@
         let accepted = acceptance(id, job(vec![step()], Some(schedule)), partition);
         platform.record_job(partition, &accepted);
         sleep(3 * SECOND).await;
-        platform.delay_reads(Topic::Jobs(0), Duration::from_millis(takes_ms));
+        platform.delay_reads(Topic::Jobs(0), Duration::from_millis(delay_ms));
         platform.record_cancellation(partition, id);
         let acked = Instant::now();
         while acked.elapsed() < Duration::from_millis(6_500) {
@@ -116,8 +116,8 @@
 }
 
 /// Guards against losing the fact that a cancelled job existed. The job's own record is removed, and only its
-/// cancellation says that it was known. The caller repeats the cancellation while there is no owner; recorded under
-/// the same key as one of an unknown job, it would overwrite the first.
+/// cancellation says that it was known. The caller repeats the cancellation while there is no owner, so it is recorded
+/// as that of an unknown job; under the same key it would overwrite the first.
 #[tokio::test(start_paused = true)]
 async fn a_job_whose_cancellation_comes_twice_is_still_shown_as_cancelled() {
     let platform = Fake::new();
@@ -143,10 +143,10 @@
 }
 
 /// Guards against a finished job whose record stays in the store. The store refuses the partition of the job's node, so
-/// the node writes the record to the next one. The node notifies the owner before the owner reads that partition, and
-/// the owner would remove the record from the partition in which it never was.
+/// the node writes the record to the next one. The node notifies the owner before the owner reads that partition. An
+/// owner that goes by the notice alone removes the record from a partition in which it never was.
 #[tokio::test(start_paused = true)]
-async fn a_job_in_the_second_partition_of_its_node_is_forgotten_there() {
+async fn a_finished_job_is_removed_from_the_second_partition_of_its_node() {
     let platform = Fake::new();
     let one = start_node("one", &platform);
     wait_until_ready(&one).await;
@@ -169,7 +169,7 @@
 
 /// A record that cannot be decoded does not mean that the job does not exist.
 #[tokio::test(start_paused = true)]
-async fn a_job_whose_record_can_t_be_read_is_not_said_not_to_be_there() {
+async fn a_job_with_an_undecodable_record_is_not_reported_as_missing() {
     let platform = Fake::new();
     let one = start_node("one", &platform);
     wait_until_ready(&one).await;
@@ -185,7 +185,7 @@
 #[case::one(1, 500)]
 #[case::two(2, 1_200)]
 #[tokio::test(start_paused = true)]
-async fn a_takeover_is_short_while_answers_are_lost(#[case] lost: u32, #[case] most_ms: u128) {
+async fn a_takeover_is_short_while_answers_are_lost(#[case] lost: u32, #[case] max_ms: u128) {
     let platform = Fake::new();
     let one = start_node("one", &platform);
     wait_until_ready(&one).await;
@@ -198,7 +198,7 @@
     let claimed = Instant::now();
     wait_until(|| async { two.front().pending(&QueueName::from("q")).await.is_ok() }).await;
     let took = claimed.elapsed().as_millis();
-    assert!(took <= most_ms, "{took} ms");
+    assert!(took <= max_ms, "{took} ms");
 }
 
 /// Guards against claims whose epochs decrease. While an owner is stalled, another node claims the cell; then the owner
@@ -206,7 +206,7 @@
 /// older ownership there, the newest claim would have an older epoch than the one before it, and the next owner would
 /// reuse the epoch of another.
 #[tokio::test]
-async fn a_replaced_owner_that_hands_the_cell_over_puts_no_older_claim_behind_the_newer_one() {
+async fn a_replaced_owner_that_hands_the_cell_over_appends_no_claim_of_an_older_epoch() {
     let platform = Fake::new();
     let one = start_node("one", &platform);
     wait_until_ready(&one).await;
@@ -214,7 +214,7 @@
     wait_until_ready(&two).await;
     wait_until(|| async { one.greeted_by().await == 1 }).await;
     let newest = platform.claims().pop().unwrap();
-    platform.claim(&Claim {
+    platform.write_claim(&Claim {
         spread: Spread::default(),
         nodes: 1,
         slow_owners: 0,
--- a/crates/node/tests/node/service.rs
+++ b/crates/node/tests/node/service.rs
@@ -53,14 +53,14 @@
         start_node_with_processor,
         submit,
         two_step_job,
-        wait_until, //
+        wait_until,
         wait_until_completed,
-        wait_until_ready,
+        wait_until_ready, //
     },
 };
 
 #[tokio::test]
-async fn a_job_runs_to_its_end_whichever_node_takes_it() {
+async fn a_job_completes_whichever_node_accepts_it() {
     let platform = Fake::new();
     let (one, two) = (start_node("one", &platform), start_node("two", &platform));
     wait_until_ready(&one).await;
@@ -73,7 +73,7 @@
 }
 
 #[tokio::test]
-async fn a_job_that_is_handed_in_twice_runs_once() {
+async fn a_job_that_is_submitted_twice_runs_once() {
     let platform = Fake::new();
     let (one, two) = (start_node("one", &platform), start_node("two", &platform));
     wait_until_ready(&one).await;
@@ -87,7 +87,7 @@
 
 /// During a rolling restart with a slow store each change of owners takes four slow calls, so the owner delays it.
 #[tokio::test]
-async fn a_leaving_owner_waits_a_moment_for_a_slow_store() {
+async fn a_leaving_owner_keeps_the_cell_for_a_while_when_the_store_is_slow() {
     let platform = Fake::new();
     let one = start_node("one", &platform);
     wait_until_ready(&one).await;
@@ -116,20 +116,20 @@
 
 /// Callers of a machine that is cut off from the store get an early answer, because another node may serve them.
 #[tokio::test]
-async fn callers_of_a_node_that_the_store_leaves_alone_are_told_long_before_their_deadline() {
+async fn callers_are_answered_early_when_the_store_stops_answering_their_node() {
     let platform = Fake::new();
     let one = start_node("one", &platform);
     wait_until_ready(&one).await;
     platform.set_own_mode(Mode::Unresponsive);
     let queue = QueueName::from("q");
-    let minutes = Instant::now() + 300 * SECOND;
+    let far_deadline = Instant::now() + 300 * SECOND;
     let front = one.front();
     let (sent, waiting) = tokio::join!(
-        front.submit(&queue, JobId(1), two_step_job(), minutes),
+        front.submit(&queue, JobId(1), two_step_job(), far_deadline),
         async {
             tokio::time::sleep(SECOND / 10).await;
             front
-                .submit(&queue, JobId(2), two_step_job(), minutes)
+                .submit(&queue, JobId(2), two_step_job(), far_deadline)
                 .await
         }
     );
@@ -148,7 +148,7 @@
 
 /// The store may refuse single partitions, and a node writes to the partition that its name selects.
 #[tokio::test]
-async fn jobs_are_taken_while_the_store_refuses_the_partition_of_their_node() {
+async fn jobs_are_accepted_while_the_store_refuses_the_partition_of_their_node() {
     let platform = Fake::new();
     let one = start_node("one", &platform);
     wait_until_ready(&one).await;
@@ -165,9 +165,9 @@
     assert_eq!((platform.starts(1), platform.starts(2)), (4, 4));
 }
 
-/// A node starts during an outage: calls made before the store is back are never answered.
+/// A node starts during an outage: calls made before the end of the outage are never answered.
 #[tokio::test]
-async fn a_node_that_starts_in_a_silent_store_doesn_t_wait_for_its_first_calls() {
+async fn a_node_started_during_an_outage_doesn_t_wait_for_its_first_calls_to_time_out() {
     let platform = Fake::new();
     platform.set_mode(Mode::Unresponsive);
     let one = start_node("one", &platform);
@@ -199,8 +199,8 @@
     let later = &platform.claims()[before.len()..];
     // The former owner writes the first claim of the next epoch for its successor, so no release leaves the cell
     // without an owner for other nodes to compete for.
-    let handed = later.iter().find(|claim| claim.epoch.0 == 2).unwrap();
-    assert!(!handed.released && handed.renewal == 0);
+    let handed_over = later.iter().find(|claim| claim.epoch.0 == 2).unwrap();
+    assert!(!handed_over.released && handed_over.renewal == 0);
     assert!(later.iter().all(|claim| !claim.released));
     submit(&three, 1).await.unwrap();
     wait_until_completed(&three, 1).await;
@@ -208,7 +208,7 @@
 }
 
 #[tokio::test]
-async fn another_node_takes_over_and_knows_what_was_done() {
+async fn a_new_owner_knows_the_jobs_completed_before_its_takeover() {
     let platform = Fake::new();
     let one = start_node("one", &platform);
     wait_until_ready(&one).await;
@@ -226,22 +226,22 @@
 }
 
 #[tokio::test]
-async fn an_owner_that_only_it_can_t_reach_the_store_gives_up_before_its_calls_run_out() {
+async fn an_owner_that_alone_can_t_reach_the_store_gives_the_cell_up_before_its_calls_time_out() {
     let platform = Fake::new();
     let one = start_node("one", &platform);
     wait_until_ready(&one).await;
-    let apart = platform.another_machine();
-    let two = start_node("two", &apart);
+    let other_machine = platform.another_machine();
+    let two = start_node("two", &other_machine);
     wait_until_ready(&two).await;
     platform.set_own_mode(Mode::Unresponsive);
     submit(&two, 1).await.unwrap();
     wait_until_completed(&two, 1).await;
     assert_eq!(platform.timed_out_calls(), 0);
-    assert_eq!(apart.timed_out_calls(), 0);
+    assert_eq!(other_machine.timed_out_calls(), 0);
 }
 
 #[tokio::test]
-async fn a_weak_owner_gives_the_cell_up_for_a_strong_node_and_for_no_equal_one() {
+async fn an_owner_gives_the_cell_up_for_a_stronger_node_but_not_for_an_equal_one() {
     let platform = Fake::new();
     let weak = start_node_with_processor("weak", &platform, Millicores(120));
     wait_until_ready(&weak).await;
@@ -260,7 +260,7 @@
 }
 
 #[tokio::test]
-async fn jobs_run_that_nobody_has_told_the_owner_of_whatever_partition_they_stand_in() {
+async fn jobs_run_from_every_partition_without_a_notice_to_the_owner() {
     let platform = Fake::new();
     let (one, two) = (start_node("one", &platform), start_node("two", &platform));
     wait_until_ready(&one).await;
@@ -284,11 +284,12 @@
 }
 
 /// The former owner's claim says that the cell has more nodes than a small one. The next owner has to read all
-/// partitions: a node that writes to the last one may be unable to reach it.
+/// partitions: a node that writes to the last one may be unable to notify
+/// the owner.
 #[tokio::test]
-async fn jobs_run_from_all_partitions_where_the_cell_was_large() {
+async fn jobs_run_from_all_partitions_if_the_cell_was_large_before() {
     let platform = Fake::new();
-    platform.claim(&Claim {
+    platform.write_claim(&Claim {
         epoch: Epoch(1),
         node: NodeName::from("gone"),
         address: SocketAddr::from(([127, 0, 0, 1], 1)),
@@ -311,7 +312,7 @@
 /// Guards against a lost cancellation: it is recorded, but only an owner that was being replaced was notified of it,
 /// and no node notifies the next one.
 #[tokio::test(start_paused = true)]
-async fn a_cancellation_that_nobody_has_told_the_owner_of_is_in_force_within_three_seconds() {
+async fn a_cancellation_without_a_notice_to_the_owner_takes_effect_within_three_seconds() {
     let platform = Fake::new();
     let one = start_node("one", &platform);
     wait_until_ready(&one).await;
@@ -321,8 +322,8 @@
     for job in 0..u64::from(FIRST_PARTITIONS) {
         let deadline = Instant::now() + 3 * SECOND;
         let front = one.front();
-        let taken = front.submit(&queue, JobId(100 + job), unplaceable.clone(), deadline);
-        taken.await.unwrap();
+        let submission = front.submit(&queue, JobId(100 + job), unplaceable.clone(), deadline);
+        submission.await.unwrap();
     }
     tokio::time::sleep(SECOND).await;
     for partition in 0..FIRST_PARTITIONS {
@@ -338,12 +339,12 @@
 const WORKERS: usize = 120;
 
 #[tokio::test]
-async fn the_orders_to_a_large_fleet_are_given_by_several_nodes() {
+async fn the_orders_to_many_workers_are_sent_by_several_nodes() {
     let platform = Fake::with_workers(WORKERS);
     let one = start_node("one", &platform);
     wait_until_ready(&one).await;
-    let (apart, weak) = (platform.another_machine(), platform.another_machine());
-    let two = start_node("two", &apart);
+    let (other_machine, weak) = (platform.another_machine(), platform.another_machine());
+    let two = start_node("two", &other_machine);
     let three = start_node_with_processor("three", &weak, Millicores(100));
     wait_until_ready(&two).await;
     wait_until_ready(&three).await;
@@ -356,17 +357,17 @@
         assert_eq!(platform.starts(job), 4);
     }
     // The node as strong as the owner sends some of them, the weak node none.
-    assert!(apart.start_orders() > 0);
+    assert!(other_machine.start_orders() > 0);
     assert_eq!(weak.start_orders(), 0);
 }
 
 #[tokio::test]
-async fn the_owner_gives_the_orders_of_a_node_that_is_gone() {
+async fn the_owner_sends_the_orders_of_a_stopped_node() {
     let platform = Fake::with_workers(WORKERS);
     let one = start_node("one", &platform);
     wait_until_ready(&one).await;
-    let apart = platform.another_machine();
-    let two = start_node("two", &apart);
+    let other_machine = platform.another_machine();
+    let two = start_node("two", &other_machine);
     wait_until_ready(&two).await;
     submit(&one, 1).await.unwrap();
     wait_until_completed(&one, 1).await;
@@ -381,7 +382,7 @@
 }
 
 #[tokio::test]
-async fn a_store_that_refuses_means_that_the_job_was_not_taken() {
+async fn a_job_is_not_accepted_when_the_store_refuses_its_record() {
     let platform = Fake::new();
     let one = start_node("one", &platform);
     wait_until_ready(&one).await;
@@ -394,7 +395,7 @@
 }
 
 #[tokio::test]
-async fn a_store_that_gives_no_answer_leaves_it_unknown() {
+async fn a_submission_is_answered_as_unknown_when_the_store_gives_no_answer() {
     let platform = Fake::new();
     let one = start_node("one", &platform);
     wait_until_ready(&one).await;
@@ -406,7 +407,7 @@
 }
 
 #[tokio::test]
-async fn an_append_whose_answer_is_lost_is_sent_again_while_the_caller_waits() {
+async fn an_append_whose_answer_is_lost_is_retried_while_the_caller_waits() {
     let platform = Fake::new();
     let one = start_node("one", &platform);
     wait_until_ready(&one).await;
@@ -421,7 +422,7 @@
 }
 
 #[tokio::test]
-async fn calls_of_a_store_that_refuses_are_bounded() {
+async fn submissions_to_a_store_that_refuses_fail_and_append_nothing() {
     let platform = Fake::new();
     let one = start_node("one", &platform);
     wait_until_ready(&one).await;
@@ -435,7 +436,7 @@
 }
 
 #[tokio::test]
-async fn a_cancelled_job_is_shown_as_cancelled_and_an_unknown_one_is_none() {
+async fn a_cancelled_job_ends_and_unknown_jobs_and_queues_are_refused() {
     let platform = Fake::new();
     let one = start_node("one", &platform);
     wait_until_ready(&one).await;
@@ -461,7 +462,7 @@
 
 /// A node that is cut off from the store does not learn of new queues, so it cannot tell that a queue is missing.
 #[tokio::test(start_paused = true)]
-async fn a_queue_is_missing_only_in_a_configuration_that_the_store_told_of_late() {
+async fn a_queue_is_reported_missing_only_while_the_configuration_is_current() {
     let platform = Fake::new();
     let one = start_node("one", &platform);
     wait_until_ready(&one).await;
@@ -484,7 +485,7 @@
 /// to send the record again: the store never answers calls made before its return.
 #[rstest]
 #[tokio::test(start_paused = true)]
-async fn starts_go_on_soon_after_a_silent_store_returns(
+async fn starts_resume_soon_after_an_outage(
     #[values(2_000, 2_600, 3_200, 3_800, 4_400)] outage_ms: u64,
 ) {
     let platform = Fake::new();
@@ -498,8 +499,8 @@
     platform.set_mode(Mode::Unresponsive);
     sleep(Duration::from_millis(outage_ms)).await;
     platform.set_mode(Mode::Healthy);
-    let back = Instant::now();
+    let outage_end = Instant::now();
     wait_until_completed(&one, 1).await;
-    let took = back.elapsed();
+    let took = outage_end.elapsed();
     assert!(took < 2 * SECOND, "{took:?}");
 }
--- a/crates/node/tests/node/size.rs
+++ b/crates/node/tests/node/size.rs
@@ -23,9 +23,9 @@
         start_node,
         start_node_with_processor,
         submit,
-        wait_until, //
+        wait_until,
         wait_until_completed,
-        wait_until_ready,
+        wait_until_ready, //
     },
 };
 
@@ -82,7 +82,7 @@
 
 /// The store gives no answer to a node's call that waits for a change, while the owner reads the change.
 #[tokio::test(start_paused = true)]
-async fn a_change_is_in_force_in_time_where_the_answer_that_tells_of_it_is_lost() {
+async fn a_node_applies_a_change_in_time_when_the_answer_with_it_is_lost() {
     let platform = Fake::new();
     let (_owner, others) = start_cell(&platform, 2).await;
     sleep(5 * SECOND).await;
@@ -103,7 +103,7 @@
 
 /// Reading the list of workers takes as long as reading the records of the former owner.
 #[tokio::test(start_paused = true)]
-async fn a_new_owner_reads_the_list_of_workers_beside_the_records() {
+async fn a_new_owner_reads_workers_and_progress_concurrently() {
     let platform = Fake::new();
     let one = start_node("one", &platform);
     wait_until_ready(&one).await;
@@ -125,7 +125,7 @@
 
 /// A worker in the first page of the list is used before the last page is read.
 #[tokio::test(start_paused = true)]
-async fn a_new_owner_uses_the_workers_of_the_first_part_of_the_list_at_once() {
+async fn a_new_owner_uses_the_first_page_of_workers_before_it_has_read_the_rest() {
     let platform = Fake::with_workers(40);
     let one = start_node("one", &platform);
     wait_until_ready(&one).await;
--- a/crates/node/tests/node/suspension.rs
+++ b/crates/node/tests/node/suspension.rs
@@ -13,9 +13,9 @@
         SECOND,
         start_node,
         submit,
-        wait_until, //
+        wait_until,
         wait_until_completed,
-        wait_until_ready,
+        wait_until_ready, //
     },
 };
 
--- a/crates/node/tests/node/view.rs
+++ b/crates/node/tests/node/view.rs
@@ -35,8 +35,8 @@
         job,
         start_node,
         step,
-        unplaceable_step, //
-        wait_until_ready,
+        unplaceable_step,
+        wait_until_ready, //
     },
 };
 
@@ -90,7 +90,7 @@
 /// its first read of each partition, and the cancellations only in the second.
 #[rstest]
 #[tokio::test(start_paused = true)]
-async fn a_new_owner_starts_nothing_that_was_cancelled_while_it_read_the_record(
+async fn a_new_owner_starts_nothing_that_was_cancelled_while_it_read_the_store(
     #[values(100, 1_000, 1_900)] cancelled_ms: u64,
 ) {
     let platform = Fake::new();
@@ -114,7 +114,7 @@
 /// Without an owner no node can tell whether the job exists. The cancellation is recorded, and the caller does not have
 /// to wait for an owner.
 #[tokio::test(start_paused = true)]
-async fn a_cancellation_is_taken_while_there_is_no_owner() {
+async fn a_cancellation_is_accepted_while_there_is_no_owner() {
     let platform = Fake::new();
     platform.block_reads(Topic::Jobs(BLOCKED_PARTITION), 2 * SECOND);
     let one = start_node("one", &platform);
@@ -127,7 +127,7 @@
 
 /// Other nodes have recorded the jobs, and the owner has not been notified of them.
 #[tokio::test(start_paused = true)]
-async fn a_job_that_is_on_record_is_never_said_not_to_be_there() {
+async fn a_recorded_job_is_never_reported_as_missing() {
     let platform = Fake::new();
     let one = start_node("one", &platform);
     wait_until_ready(&one).await;
@@ -143,14 +143,14 @@
 
 /// A caller gets no answer to its submission and cancels the job; the store writes the job's record only after that.
 #[tokio::test(start_paused = true)]
-async fn a_cancelled_job_that_turns_up_on_record_later_doesn_t_start() {
+async fn a_job_that_is_recorded_after_its_cancellation_doesn_t_start() {
     let platform = Fake::new();
     let one = start_node("one", &platform);
     wait_until_ready(&one).await;
     assert_eq!(cancel(&one, 1).await, Err(Refusal::NoJob));
     assert_eq!(cancel(&one, 2).await, Err(Refusal::NoJob));
-    let never_handed_in = one.front().look(JobId(2)).await;
-    assert_eq!(never_handed_in, Err(Refusal::NoJob));
+    let never_submitted = one.front().look(JobId(2)).await;
+    assert_eq!(never_submitted, Err(Refusal::NoJob));
     platform.record_job(5, &acceptance(1, quick_job(), 5));
     sleep(10 * SECOND).await;
     assert_eq!(one.front().look(JobId(1)).await, Ok(State::Cancelled));
@@ -159,7 +159,7 @@
 
 /// The jobs were accepted by nodes that could not reach the owner, and none of their tasks has started.
 #[tokio::test(start_paused = true)]
-async fn the_first_count_of_a_new_owner_has_all_jobs_that_waited_for_it() {
+async fn the_first_pending_count_of_a_new_owner_includes_all_waiting_jobs() {
     let platform = Fake::new();
     platform.block_reads(Topic::Jobs(BLOCKED_PARTITION), 2 * SECOND);
     let one = start_node("one", &platform);
@@ -183,7 +183,7 @@
 /// While the store does not answer reads of one partition, the number of waiting jobs is unknown, and callers would
 /// take a stale number for the current one.
 #[tokio::test(start_paused = true)]
-async fn a_count_is_refused_once_it_is_too_old() {
+async fn a_pending_count_is_refused_while_it_would_be_too_old() {
     let platform = Fake::new();
     let one = start_node("one", &platform);
     wait_until_ready(&one).await;
@@ -203,7 +203,7 @@
 
 /// Guards against callers who exhaust the store by looking up jobs that do not exist: it takes 2,000 reads a second.
 #[tokio::test(start_paused = true)]
-async fn questions_about_jobs_that_don_t_exist_cost_a_bounded_number_of_calls() {
+async fn lookups_of_unknown_jobs_make_a_bounded_number_of_store_calls() {
     let platform = Fake::new();
     let one = start_node("one", &platform);
     wait_until_ready(&one).await;
@@ -219,7 +219,7 @@
     for answer in futures::future::join_all(many).await {
         assert_eq!(answer, Err(Refusal::NoJob));
     }
-    let readings = began.elapsed().as_millis() / 100 + 2;
+    let read_rounds = began.elapsed().as_millis() / 100 + 2;
     let reads = platform.job_reads() - before;
-    assert!(reads as u128 <= 16 * readings, "{reads} calls");
+    assert!(reads as u128 <= 16 * read_rounds, "{reads} calls");
 }
--- a/crates/node/tests/node/workspace.rs
+++ b/crates/node/tests/node/workspace.rs
@@ -38,8 +38,8 @@
         start_node,
         two_step_job,
         unplaceable_step,
-        wait_until, //
-        wait_until_ready,
+        wait_until,
+        wait_until_ready, //
     },
 };
 
@@ -101,12 +101,12 @@
 }
 
 #[tokio::test]
-async fn calls_show_a_key_that_is_in_force_unless_their_queue_is_public() {
+async fn callers_need_a_valid_key_unless_their_queue_is_public() {
     let platform = Fake::new();
     let one = start_node("one", &platform);
     wait_until_ready(&one).await;
     let config = one.front().config().unwrap();
-    let is_open = |is_public, key: Option<&str>| {
+    let try_key = |is_public, key: Option<&str>| {
         let front = one.front();
         let config = front.config().unwrap();
         let key = key.map(KeyDigest::of);
@@ -118,18 +118,18 @@
     assert!(front.is_ok(), "without workspaces no key is needed");
     configure(&platform, "a=ka,kb b=kc");
     wait_until_admitted(&one, "ka").await;
-    assert_eq!(is_open(false, Some("kb")), Ok(()));
-    assert_eq!(is_open(false, Some("kd")), Err(Refusal::Unauthorized));
-    assert_eq!(is_open(false, Some("")), Err(Refusal::Unauthorized));
-    assert_eq!(is_open(false, None), Err(Refusal::Unauthorized));
-    assert_eq!(is_open(true, None), Ok(()));
+    assert_eq!(try_key(false, Some("kb")), Ok(()));
+    assert_eq!(try_key(false, Some("kd")), Err(Refusal::Unauthorized));
+    assert_eq!(try_key(false, Some("")), Err(Refusal::Unauthorized));
+    assert_eq!(try_key(false, None), Err(Refusal::Unauthorized));
+    assert_eq!(try_key(true, None), Ok(()));
     // The last key is removed: no caller is admitted.
     configure(&platform, "                        ");
-    wait_until(|| async { is_open(false, Some("ka")) == Err(Refusal::Unauthorized) }).await;
+    wait_until(|| async { try_key(false, Some("ka")) == Err(Refusal::Unauthorized) }).await;
 }
 
 #[tokio::test]
-async fn callers_of_another_workspace_see_count_and_cancel_nothing() {
+async fn callers_can_t_see_count_or_cancel_jobs_of_another_workspace() {
     let platform = Fake::new();
     let (one, two) = (start_node("one", &platform), start_node("two", &platform));
     configure(&platform, "a=ka b=kb");
@@ -159,7 +159,7 @@
 
 /// One node accepts both submissions, so both records are in one partition.
 #[tokio::test]
-async fn a_job_under_an_id_of_another_workspace_takes_that_ones_place_nowhere() {
+async fn a_job_submitted_under_the_id_of_another_workspaces_job_doesn_t_replace_it() {
     let platform = Fake::new();
     let one = start_node("one", &platform);
     configure(&platform, "a=ka b=kb");
@@ -188,7 +188,7 @@
 #[case::the_key_was_moved_to_another_workspace("a=kb b=ka ", "ka", Err(Refusal::NoJob))]
 #[case::the_key_was_replaced("a=kb,kc", "kb", Ok(State::Completed))]
 #[tokio::test]
-async fn a_job_stays_its_workspaces_whatever_becomes_of_the_key(
+async fn a_job_stays_in_its_workspace_whatever_happens_to_its_key(
     #[case] later: &str,
     #[case] key: &str,
     #[case] expected: Result<State, Refusal>,
@@ -219,21 +219,21 @@
 
 /// The store does not serve a node's machine, and the operator revokes a key meanwhile.
 #[rstest]
-#[case::in_silence(Mode::Unresponsive)]
-#[case::at_once(Mode::Refusing)]
+#[case::unresponsive(Mode::Unresponsive)]
+#[case::refusing(Mode::Refusing)]
 #[tokio::test]
-async fn a_node_that_the_store_leaves_alone_follows_the_configuration_by_word_of_the_owner(
+async fn a_node_that_can_t_reach_the_store_gets_the_configuration_from_the_owner(
     #[case] mode: Mode,
 ) {
     let platform = Fake::new();
     let one = start_node("one", &platform);
     wait_until_ready(&one).await;
-    let apart = platform.another_machine();
-    let two = start_node("two", &apart);
+    let other_machine = platform.another_machine();
+    let two = start_node("two", &other_machine);
     configure(&platform, "a=ka");
     wait_until_ready(&two).await;
     wait_until_admitted(&two, "ka").await;
-    apart.set_own_mode(mode);
+    other_machine.set_own_mode(mode);
     configure(&platform, "a=kb b=kc");
     let revoked = Instant::now();
     wait_until(|| async { authenticate(&two, "ka").err() == Some(Refusal::Unauthorized) }).await;
@@ -248,7 +248,7 @@
 
 /// During an outage no key can be revoked, but an unknown key may have been added just before.
 #[tokio::test]
-async fn while_the_store_is_away_for_all_the_keys_hold_that_are_known() {
+async fn known_keys_stay_valid_during_an_outage() {
     let platform = Fake::new();
     let (one, two) = (start_node("one", &platform), start_node("two", &platform));
     configure(&platform, "a=ka");
@@ -265,11 +265,11 @@
 }
 
 #[rstest]
-#[case::no_bound(None, 3_600_000, false)]
-#[case::in_time(Some(5_000), 4_400, false)]
-#[case::as_its_call_is_on_its_way(Some(5_000), 4_500, true)]
-#[case::late(Some(5_000), 60_000, true)]
-fn keys_are_refused_in_time_where_the_platform_bounds_that(
+#[case::no_limit(None, 3_600_000, false)]
+#[case::before_the_limit(Some(5_000), 4_400, false)]
+#[case::at_the_limit_less_the_call_time(Some(5_000), 4_500, true)]
+#[case::after_the_limit(Some(5_000), 60_000, true)]
+fn keys_are_refused_shortly_before_the_revocation_limit(
     #[case] within_ms: Option<u64>,
     #[case] age_ms: u64,
     #[case] expected: bool,
