--- a/crates/node/tests/node/foreign.rs
+++ b/crates/node/tests/node/foreign.rs
@@ -1,4 +1,4 @@
-//! Records of other writers in the topics of a cell.
+//! Invalid records that other writers leave in the topics of a cell.
 
 use std::time::Duration;
 
@@ -20,38 +20,36 @@
 use crate::{
     platform::{
         Fake,
-        LOST_VALUE, //
+        REJECTED_VALUE, //
     },
     support::{
         SECOND,
-        completed,
-        node,
-        node_metered,
-        ready,
-        submit, //
+        start_node,
+        start_node_with_meter,
+        submit,
+        wait_until_completed,
+        wait_until_ready, //
     },
 };
 
 #[rstest]
-#[case::form(b"foreign")]
-#[case::pool(b"elsewhere")]
-#[case::bytes(LOST_VALUE)]
+#[case::malformed(b"foreign")]
+#[case::unknown_pool(b"elsewhere")]
+#[case::rejected_value(REJECTED_VALUE)]
 #[tokio::test(start_paused = true)]
-async fn an_entry_that_turns_foreign_takes_its_worker_out_until_a_good_one_comes(
-    #[case] foreign: &[u8],
-) {
+async fn a_worker_is_not_used_while_its_newest_entry_is_invalid(#[case] invalid: &[u8]) {
     let platform = Fake::new();
-    let one = node("one", &platform);
-    ready(&one).await;
+    let one = start_node("one", &platform);
+    wait_until_ready(&one).await;
     submit(&one, 1).await.unwrap();
-    completed(&one, 1).await;
-    platform.write(Topic::Workers, "w0", foreign);
+    wait_until_completed(&one, 1).await;
+    platform.write(Topic::Workers, "w0", invalid);
     sleep(SECOND).await;
     submit(&one, 2).await.unwrap();
     sleep(30 * SECOND).await;
     assert_eq!(one.front().look(JobId(2)).await, Ok(State::Queued));
     platform.write(Topic::Workers, "w0", b"here");
-    completed(&one, 2).await;
+    wait_until_completed(&one, 2).await;
     assert_eq!(platform.starts(2), 4);
 }
 
@@ -59,42 +57,42 @@
 async fn a_worker_whose_pool_is_configured_later_is_used_then() {
     let platform = Fake::new();
     platform.write(Topic::Workers, "w0", b"elsewhere");
-    let one = node("one", &platform);
-    ready(&one).await;
+    let one = start_node("one", &platform);
+    wait_until_ready(&one).await;
     submit(&one, 1).await.unwrap();
     sleep(3 * SECOND).await;
     assert_eq!(one.front().look(JobId(1)).await, Ok(State::Queued));
     platform.write(Topic::Configuration, "config", b"2");
-    completed(&one, 1).await;
+    wait_until_completed(&one, 1).await;
 }
 
 #[rstest]
-#[case::form(b"foreign")]
-#[case::pool(b"elsewhere")]
-#[case::bytes(LOST_VALUE)]
+#[case::malformed(b"foreign")]
+#[case::unknown_pool(b"elsewhere")]
+#[case::rejected_value(REJECTED_VALUE)]
 #[tokio::test(start_paused = true)]
-async fn the_entry_of_a_worker_that_is_not_known_takes_nobody_out(#[case] foreign: &[u8]) {
+async fn an_invalid_entry_of_an_unknown_worker_affects_no_other_worker(#[case] invalid: &[u8]) {
     let platform = Fake::new();
-    platform.write(Topic::Workers, "another", foreign);
-    let one = node("one", &platform);
-    ready(&one).await;
+    platform.write(Topic::Workers, "another", invalid);
+    let one = start_node("one", &platform);
+    wait_until_ready(&one).await;
     submit(&one, 1).await.unwrap();
-    completed(&one, 1).await;
+    wait_until_completed(&one, 1).await;
     assert_eq!(platform.starts(1), 4);
 }
 
 #[tokio::test(start_paused = true)]
-async fn each_record_that_is_turned_away_is_counted() {
+async fn each_rejected_record_is_counted() {
     let platform = Fake::new();
     let meter = Meter::new().unwrap();
-    let one = node_metered("one", &platform, Millicores(250), meter.clone());
-    ready(&one).await;
+    let one = start_node_with_meter("one", &platform, Millicores(250), meter.clone());
+    wait_until_ready(&one).await;
     let before = meter.render().unwrap();
     assert!(!before.contains("fulmarpier_records_rejected_total{"));
     platform.write(Topic::Workers, "w1", b"foreign");
     platform.write(Topic::Workers, "w2", b"foreign");
     platform.write(Topic::Workers, "w3", b"elsewhere");
-    platform.write(Topic::Workers, "w4", LOST_VALUE);
+    platform.write(Topic::Workers, "w4", REJECTED_VALUE);
     sleep(SECOND).await;
     let after = meter.render().unwrap();
     let mut lines: Vec<&str> = after
@@ -116,11 +114,11 @@
     );
 }
 
-/// What other writers may leave anywhere.
-const GARBAGE: [&[u8]; 3] = [b"", b"\xff\xff\xff\xff", LOST_VALUE];
+/// Values that other writers may leave in any topic.
+const GARBAGE: [&[u8]; 3] = [b"", b"\xff\xff\xff\xff", REJECTED_VALUE];
 
-/// Writes records of another writer into every topic, under keys of its own and of this program.
-fn litter(platform: &Fake, job: u64) {
+/// Writes invalid records into every topic, under keys that nodes use and under others.
+fn write_garbage(platform: &Fake, job: u64) {
     let job = JobId(job).to_string();
     let cancelled = format!("{job}/x");
     for value in GARBAGE {
@@ -142,53 +140,58 @@
 }
 
 #[tokio::test]
-async fn an_owner_goes_on_amid_records_that_can_not_be_read() {
+async fn an_owner_keeps_working_among_unreadable_records() {
     let platform = Fake::new();
-    let one = node("one", &platform);
-    ready(&one).await;
+    let one = start_node("one", &platform);
+    wait_until_ready(&one).await;
     submit(&one, 1).await.unwrap();
-    completed(&one, 1).await;
-    litter(&platform, 1);
-    // Longer than a claim stands that isn't renewed.
+    wait_until_completed(&one, 1).await;
+    write_garbage(&platform, 1);
+    // Longer than an ownership claim is valid without renewal.
     sleep(2 * SECOND).await;
     submit(&one, 2).await.unwrap();
-    completed(&one, 2).await;
+    wait_until_completed(&one, 2).await;
     assert_eq!(one.front().look(JobId(1)).await, Ok(State::Completed));
     assert_eq!((platform.starts(1), platform.starts(2)), (4, 4));
     assert_eq!(platform.owner().as_deref(), Some("one"));
-    assert!(platform.owned().iter().all(|claim| claim.epoch.0 == 1));
+    assert!(
+        platform
+            .valid_claims()
+            .iter()
+            .all(|claim| claim.epoch.0 == 1)
+    );
 }
 
-/// How many records of each topic's end the store keeps that has forgotten some.
-const KEPT: usize = 80;
+/// How many records at the end of each topic a store with a truncated history keeps.
+const KEPT_RECORDS: usize = 80;
 
 #[rstest]
 #[case::whole_history(None)]
-#[case::forgotten_in_part(Some(KEPT))]
+#[case::truncated_history(Some(KEPT_RECORDS))]
 #[tokio::test]
-async fn a_new_owner_takes_over_what_was_good_last(#[case] kept: Option<usize>) {
+async fn a_new_owner_takes_over_the_last_valid_records(#[case] kept: Option<usize>) {
     let platform = Fake::new();
-    // Older than what the store keeps.
-    for _ in 0..KEPT {
+    // These records are older than the truncated history.
+    for _ in 0..KEPT_RECORDS {
         platform.write(Topic::Claims, "another", b"old");
     }
-    let one = node("one", &platform);
-    ready(&one).await;
+    let one = start_node("one", &platform);
+    wait_until_ready(&one).await;
     submit(&one, 1).await.unwrap();
-    completed(&one, 1).await;
+    wait_until_completed(&one, 1).await;
     one.stop(Duration::ZERO).await;
-    litter(&platform, 1);
+    write_garbage(&platform, 1);
     if let Some(kept) = kept {
-        platform.forget(kept);
+        platform.truncate_history(kept);
     }
-    // It has read nothing yet, neither the claim nor the configuration.
-    let two = node("two", &platform);
-    ready(&two).await;
+    // This node has read neither the claim nor the configuration before.
+    let two = start_node("two", &platform);
+    wait_until_ready(&two).await;
     assert_eq!(two.front().look(JobId(1)).await, Ok(State::Completed));
     submit(&two, 2).await.unwrap();
-    completed(&two, 2).await;
+    wait_until_completed(&two, 2).await;
     assert_eq!((platform.starts(1), platform.starts(2)), (4, 4));
-    let last = platform.owned().pop().unwrap();
+    let last = platform.valid_claims().pop().unwrap();
     assert!(
         last.epoch.0 >= 2,
         "the former owner's orders must be refused"
@@ -196,11 +199,11 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn another_writers_word_cancels_no_job() {
+async fn a_malformed_cancellation_cancels_no_job() {
     let platform = Fake::new();
-    let one = node("one", &platform);
-    ready(&one).await;
-    // The job has to wait meanwhile.
+    let one = start_node("one", &platform);
+    wait_until_ready(&one).await;
+    // Without a usable worker the job stays queued.
     platform.write(Topic::Workers, "w0", b"foreign");
     sleep(SECOND).await;
     submit(&one, 1).await.unwrap();
@@ -211,5 +214,5 @@
     sleep(3 * SECOND).await;
     assert_eq!(one.front().look(JobId(1)).await, Ok(State::Queued));
     platform.write(Topic::Workers, "w0", b"here");
-    completed(&one, 1).await;
+    wait_until_completed(&one, 1).await;
 }
--- a/crates/node/tests/node/history.rs
+++ b/crates/node/tests/node/history.rs
@@ -1,4 +1,5 @@
-//! Random histories of one owner: others put jobs and cancellations on record while the store leaves parts of it out.
+//! Random histories of one owner: jobs and cancellations are recorded without notices to the owner, while the
+//! store is slow, loses answers or blocks reads of single partitions.
 
 use std::{
     collections::{
@@ -40,127 +41,130 @@
     },
     support::{
         SECOND,
-        accepted,
+        acceptance,
         job,
-        node,
+        start_node,
         step, //
     },
 };
 
-/// How long a history is troubled, and how long it is calm after that.
-const TROUBLED: Duration = Duration::from_secs(15);
-const CALM: Duration = Duration::from_secs(15);
-/// A start that had left when a cancellation was answered arrives within this time.
-const WAY: Duration = Duration::from_millis(50);
-/// A cancellation that is on record has to be in force after this time, whoever was told of it.
-const IN_FORCE: Duration = Duration::from_secs(3);
+/// How long the store may misbehave in a history.
+const FAULT_PERIOD: Duration = Duration::from_secs(15);
+/// How long the store is healthy after that, before the jobs are checked.
+const RECOVERY_PERIOD: Duration = Duration::from_secs(15);
+/// An order to start that was sent before a cancellation was answered arrives within this time.
+const ORDER_TRANSIT_TIME: Duration = Duration::from_millis(50);
+/// A recorded cancellation takes effect within this time, even if no node notifies the owner.
+const CANCELLATION_DELAY: Duration = Duration::from_secs(3);
 
-/// How many histories are played; more by hand with `HISTORIES=1000`.
-const USUAL: u64 = 25;
+/// How many histories are run by default; `HISTORIES=1000` in the environment runs more.
+const DEFAULT_HISTORIES: u64 = 25;
 
-struct World {
+struct Simulation {
     rng: SmallRng,
     platform: Fake,
     node: Node<Fake>,
-    serial: u64,
-    /// Jobs on record.
+    last_job: u64,
+    /// Jobs that are recorded in the store.
     jobs: BTreeSet<u64>,
-    /// When the cancellation of each job has to be in force.
-    in_force: BTreeMap<u64, Instant>,
-    /// Jobs whose cancellation stands on record as that of a job that its caller was shown.
-    silent: BTreeSet<u64>,
-    /// Until when each partition can't be read, or must stay so that it can.
-    unread: BTreeMap<u16, Instant>,
+    /// When the cancellation of each job has to be in effect.
+    cancellation_deadlines: BTreeMap<u64, Instant>,
+    /// Jobs whose recorded cancellation says that the job was known. They may be shown although they have no record.
+    recorded_cancellations: BTreeSet<u64>,
+    /// Before this time reads of a partition are not blocked anew: they are blocked already, or they have to succeed
+    /// because a cancellation in the partition is due.
+    no_block_before: BTreeMap<u16, Instant>,
     violations: Vec<String>,
 }
 
-impl World {
+impl Simulation {
     fn new(seed: u64) -> Self {
         let mut rng = SmallRng::seed_from_u64(seed);
         let platform = Fake::new();
         if rng.random_bool(0.5) {
-            platform.give_at_most(rng.random_range(1..4));
+            platform.limit_reads(rng.random_range(1..4));
         }
-        let mut world = Self {
+        let mut simulation = Self {
             rng,
-            node: node("one", &platform),
+            node: start_node("one", &platform),
             platform,
-            serial: 0,
+            last_job: 0,
             jobs: BTreeSet::new(),
-            in_force: BTreeMap::new(),
-            silent: BTreeSet::new(),
-            unread: BTreeMap::new(),
+            cancellation_deadlines: BTreeMap::new(),
+            recorded_cancellations: BTreeSet::new(),
+            no_block_before: BTreeMap::new(),
             violations: Vec::new(),
         };
         for _ in 0..4 {
-            world.hold_back();
+            simulation.block_partition();
         }
-        world
+        simulation
     }
 
-    fn hold_back(&mut self) {
+    fn block_partition(&mut self) {
         let partition = self.rng.random_range(0..16);
         let span = Duration::from_millis(self.rng.random_range(100..4_000));
-        let unread = self.unread.get(&partition);
-        if unread.is_some_and(|until| Instant::now() < *until) {
-            // Nobody could know of the cancellation in it then.
+        let no_block_before = self.no_block_before.get(&partition);
+        if no_block_before.is_some_and(|until| Instant::now() < *until) {
+            // Otherwise the owner could not read a cancellation there in time.
             return;
         }
-        self.platform.hold_back(Topic::Jobs(partition), span);
-        self.unread.insert(partition, Instant::now() + span);
+        self.platform.block_reads(Topic::Jobs(partition), span);
+        self.no_block_before
+            .insert(partition, Instant::now() + span);
     }
 
-    fn some_job(&mut self) -> u64 {
-        // One in four is not there, or not yet.
-        self.rng.random_range(0..=self.serial + 2)
+    fn random_job(&mut self) -> u64 {
+        // The range includes three jobs that do not exist, or not yet.
+        self.rng.random_range(0..=self.last_job + 2)
     }
 
-    fn put_on_record(&mut self) {
-        self.serial += 1;
+    fn record_job(&mut self) {
+        self.last_job += 1;
         let partition = self.rng.random_range(0..16);
-        let id = self.serial;
+        let id = self.last_job;
         let spec = job(vec![step()], None);
         self.platform
-            .accept(partition, &accepted(id, spec, partition));
+            .record_job(partition, &acceptance(id, spec, partition));
         self.jobs.insert(id);
     }
 
-    fn cancel_on_record(&mut self) {
-        let job = self.some_job();
+    fn record_cancellation(&mut self) {
+        let job = self.random_job();
         let partition = self.rng.random_range(0..16);
-        self.platform.cancel(partition, job);
-        // It can be read once the partition can, and has to be read within the time after that.
+        self.platform.record_cancellation(partition, job);
+        // The deadline counts from the moment at which the partition can be read.
         let now = Instant::now();
         let readable = self
-            .unread
+            .no_block_before
             .get(&partition)
             .map_or(now, |until| now.max(*until));
-        let in_force = readable + IN_FORCE;
-        self.unread.insert(partition, in_force);
-        self.silent.insert(job);
-        let known = self.in_force.entry(job).or_insert(in_force);
-        *known = in_force.min(*known);
+        let due = readable + CANCELLATION_DELAY;
+        self.no_block_before.insert(partition, due);
+        self.recorded_cancellations.insert(job);
+        let earliest = self.cancellation_deadlines.entry(job).or_insert(due);
+        *earliest = due.min(*earliest);
     }
 
     async fn cancel(&mut self) {
-        let job = self.some_job();
+        let job = self.random_job();
         let queue = QueueName::from("q");
         let deadline = Instant::now() + 3 * SECOND;
         let front = self.node.front();
         let answer = front.cancel(&queue, JobId(job), deadline).await;
         let now = Instant::now();
-        let in_force = match answer {
-            // There may have been no owner to tell of it.
-            Ok(()) => now + IN_FORCE,
-            Err(Refusal::NoJob) => now + WAY,
+        let due = match answer {
+            // There may have been no owner to notify.
+            Ok(()) => now + CANCELLATION_DELAY,
+            Err(Refusal::NoJob) => now + ORDER_TRANSIT_TIME,
             Err(_) => return,
         };
-        let known = self.in_force.entry(job).or_insert(in_force);
-        *known = in_force.min(*known);
+        let earliest = self.cancellation_deadlines.entry(job).or_insert(due);
+        *earliest = due.min(*earliest);
     }
 
     async fn look(&mut self) {
-        let job = self.some_job();
+        let job = self.random_job();
         let is_there = self.jobs.contains(&job);
         let found = self.node.front().look(JobId(job)).await;
         let shown = match found {
@@ -169,50 +173,59 @@
             Err(_) => return,
         };
         if is_there && !shown {
-            self.violations.push(format!("job {job} is denied"));
+            self.violations
+                .push(format!("job {job} exists but is reported as missing"));
         }
-        // A cancellation on record is of a job that was shown to its caller.
-        if !is_there && shown && !self.silent.contains(&job) {
-            self.violations.push(format!("job {job} is shown"));
+        // A recorded cancellation counts as evidence that the job exists.
+        if !is_there && shown && !self.recorded_cancellations.contains(&job) {
+            self.violations
+                .push(format!("job {job} does not exist but is reported"));
         }
     }
 
-    async fn trouble(&mut self) {
+    async fn act(&mut self) {
         match self.rng.random_range(0..10) {
-            0..=2 => self.put_on_record(),
-            3 => self.cancel_on_record(),
+            0..=2 => self.record_job(),
+            3 => self.record_cancellation(),
             4 | 5 => self.cancel().await,
             6 | 7 => self.look().await,
-            8 => self.hold_back(),
+            8 => self.block_partition(),
             _ => {
-                let modes = [Mode::Well, Mode::Well, Mode::Slow, Mode::Losing];
+                let modes = [
+                    Mode::Healthy,
+                    Mode::Healthy,
+                    Mode::Slow,
+                    Mode::HalfAnswersLost,
+                ];
                 let mode = modes[self.rng.random_range(0..modes.len())];
-                self.platform.set(mode);
+                self.platform.set_mode(mode);
             }
         }
         let pause = self.rng.random_range(1..300);
         sleep(Duration::from_millis(pause)).await;
     }
 
-    /// Checks what was promised of each job.
-    async fn check(&mut self) {
+    /// Checks that each job ended as its callers may expect, and that none started after its cancellation.
+    async fn check_jobs(&mut self) {
         for job in self.jobs.clone() {
-            let in_force = self.in_force.get(&job).copied();
+            let due = self.cancellation_deadlines.get(&job).copied();
             let last = self.platform.last_start(job);
-            if let (Some(last), Some(until)) = (last, in_force)
+            if let (Some(last), Some(until)) = (last, due)
                 && last > until
             {
                 let late = last - until;
-                let line = format!("job {job} started {late:?} late");
+                let line = format!(
+                    "job {job} started {late:?} after its cancellation had to be in effect"
+                );
                 self.violations.push(line);
             }
             let state = self.node.front().look(JobId(job)).await;
-            let is_true = match state {
+            let is_expected = match state {
                 Ok(State::Completed) => true,
-                Ok(State::Cancelled) => in_force.is_some(),
+                Ok(State::Cancelled) => due.is_some(),
                 _ => false,
             };
-            if !is_true {
+            if !is_expected {
                 let line = format!("job {job} ended as {state:?}");
                 self.violations.push(line);
             }
@@ -220,33 +233,33 @@
     }
 }
 
-/// Plays a history in a runtime of its own, which ends all that its node has begun.
-fn play(seed: u64) -> Vec<String> {
+/// Runs a history in its own runtime, so that all tasks of its node end with it.
+fn run_history(seed: u64) -> Vec<String> {
     let runtime = Builder::new_current_thread()
         .enable_all()
         .start_paused(true)
         .build();
-    runtime.unwrap().block_on(run(seed))
+    runtime.unwrap().block_on(simulate(seed))
 }
 
-async fn run(seed: u64) -> Vec<String> {
-    let mut world = World::new(seed);
-    let until = Instant::now() + TROUBLED;
+async fn simulate(seed: u64) -> Vec<String> {
+    let mut simulation = Simulation::new(seed);
+    let until = Instant::now() + FAULT_PERIOD;
     while Instant::now() < until {
-        world.trouble().await;
+        simulation.act().await;
     }
-    world.platform.set(Mode::Well);
-    sleep(CALM).await;
-    world.check().await;
-    world.violations
+    simulation.platform.set_mode(Mode::Healthy);
+    sleep(RECOVERY_PERIOD).await;
+    simulation.check_jobs().await;
+    simulation.violations
 }
 
 #[test]
-fn what_an_owner_says_and_starts_is_true_whatever_it_has_read() {
+fn answers_and_starts_are_correct_in_random_histories() {
     let count = std::env::var("HISTORIES").ok();
-    let count = count.map_or(USUAL, |count| count.parse().unwrap());
+    let count = count.map_or(DEFAULT_HISTORIES, |count| count.parse().unwrap());
     for seed in 0..count {
-        let violations = play(seed);
+        let violations = run_history(seed);
         assert!(violations.is_empty(), "seed {seed}: {violations:?}");
     }
 }
--- a/crates/node/tests/node/platform.rs
+++ b/crates/node/tests/node/platform.rs
@@ -1,4 +1,4 @@
-//! A platform in memory, with faults, for whole nodes on loopback.
+//! An in-memory platform for tests of whole nodes: a store that can fail, and workers.
 
 use std::{
     collections::{
@@ -88,114 +88,118 @@
 /// How the store behaves.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) enum Mode {
-    /// It answers.
+    /// It answers every call.
     #[default]
-    Well,
+    Healthy,
     /// It answers late.
     Slow,
     /// It refuses every call.
     Refusing,
-    /// It carries appends out and gives no answer.
-    Mute,
-    /// It carries appends out and loses the answer to every second one of each topic.
-    Losing,
-    /// It does nothing and gives no answer for very long.
-    Silent,
+    /// It carries out appends and answers no call.
+    AnswersLost,
+    /// It carries out appends and loses the answer to every second one of each topic.
+    HalfAnswersLost,
+    /// It carries out nothing, and calls fail only after a long timeout.
+    Unresponsive,
 }
 
 #[derive(Default)]
 struct State {
     mode: Mode,
     /// Topics whose appends are refused.
-    refused: Vec<String>,
-    /// Topics that nobody can read until then.
-    held_back: BTreeMap<String, Instant>,
-    /// How many answers to readings of the newest records of each topic are lost, before one arrives.
-    lost_readings: u32,
-    /// How many readings of the newest records of each topic there were.
-    readings: BTreeMap<String, u32>,
-    /// Topics whose records nobody gets sooner than after this time.
-    delayed: BTreeMap<String, Duration>,
+    refused_topics: Vec<String>,
+    /// Until when reads of each topic get no answer.
+    blocked_until: BTreeMap<String, Instant>,
+    /// How many reads of each topic's newest records get no answer before one succeeds.
+    lost_newest_reads: u32,
+    /// How often the newest records of each topic were read.
+    newest_reads: BTreeMap<String, u32>,
+    /// How long each read of a topic is delayed.
+    read_delays: BTreeMap<String, Duration>,
     topics: BTreeMap<String, Vec<Record>>,
-    /// The first offset of each topic that is still kept, where that is not zero.
-    first: BTreeMap<String, u64>,
+    /// The first offset of each topic that is still kept, if it is not zero.
+    first_offsets: BTreeMap<String, u64>,
+    /// The highest epoch that has written; appends of older ones are refused.
     fence: u32,
-    /// The writer's last append, to answer a repeat of it.
-    written: Option<(u32, u64, u64)>,
-    workers: BTreeMap<WorkerId, Host>,
+    /// Epoch, sequence number and end offset of the writer's last append, which answer a retry of it.
+    last_append: Option<(u32, u64, u64)>,
+    workers: BTreeMap<WorkerId, Worker>,
     starts: Vec<(TaskId, Instant)>,
-    /// How many records it gives at a call, where that is bounded.
-    most_given: Option<usize>,
-    /// How many of the newest records it gives at a call, where that is bounded.
-    most_newest: Option<usize>,
+    /// The maximum number of records in the answer to a read, if there is one.
+    max_records_per_read: Option<usize>,
+    /// The maximum number of records in the answer to a read of the newest ones, if there is one.
+    max_newest_per_read: Option<usize>,
+    /// How many appends were carried out or refused by their condition.
     appends: usize,
-    /// How often the jobs' partitions were read on.
+    /// How often a partition of the jobs was read from an offset.
     job_reads: usize,
-    /// How many appends of each topic there were while answers were lost.
-    lost: BTreeMap<String, u32>,
-    /// When the workers last reported themselves.
-    reported: Option<Instant>,
+    /// How many appends to each topic there were while every second answer is lost.
+    appends_with_losses: BTreeMap<String, u32>,
+    /// When the workers last wrote their entries.
+    last_report: Option<Instant>,
 }
 
 impl State {
-    /// Has the workers report themselves again, as they do from time to time.
+    /// Repeats the newest valid entry of each worker if the report interval has passed.
     fn report_workers(&mut self) {
-        let is_due = self.reported.is_none_or(|at| at.elapsed() >= REPORTS);
-        let entries = self.topics.get_mut(&name(Topic::Workers));
+        let is_due = self
+            .last_report
+            .is_none_or(|at| at.elapsed() >= REPORT_INTERVAL);
+        let entries = self.topics.get_mut(&topic_name(Topic::Workers));
         let Some(entries) = entries.filter(|_| is_due) else {
             return;
         };
-        self.reported = Some(Instant::now());
+        self.last_report = Some(Instant::now());
         let newest: BTreeMap<String, Record> = entries
             .iter()
             .map(|record| (record.key.clone(), record.clone()))
             .collect();
-        // What another writer has written is no report.
+        // Workers do not repeat entries of other writers.
         let own = newest.into_values();
         let own = own.filter(|record| record.value.as_deref() == Some(b"here".as_slice()));
         entries.extend(own);
     }
 }
 
-/// What a worker holds.
+/// The runs of a worker.
 #[derive(Default)]
-struct Host {
+struct Worker {
     running: BTreeMap<TaskId, (Run, Instant)>,
     ended: Vec<Ended>,
-    /// The place of the last end.
+    /// The serial number of the last ended run.
     serial: u64,
 }
 
-/// The platform as one machine sees it; cheap to clone.
+/// The platform as seen from one machine. Cloning is cheap, and clones share their state.
 #[derive(Clone, Default)]
 pub(crate) struct Fake {
     state: Arc<Mutex<State>>,
-    /// How the store behaves towards this machine, where that differs.
-    own: Arc<Mutex<Option<Mode>>>,
-    /// How many calls of this machine the silent store has let run out.
-    run_out: Arc<AtomicUsize>,
-    /// How many orders to start this machine has given.
-    ordered: Arc<AtomicUsize>,
-    /// When this machine read which topic.
+    /// How the store behaves towards this machine, if not as towards the others.
+    own_mode: Arc<Mutex<Option<Mode>>>,
+    /// How many calls of this machine timed out because the store was unresponsive.
+    timed_out_calls: Arc<AtomicUsize>,
+    /// How many orders to start a run this machine has sent.
+    start_orders: Arc<AtomicUsize>,
+    /// Each topic that this machine read, with the time.
     reads: Arc<Mutex<Vec<(String, Instant)>>>,
     /// For how long this machine was suspended.
     suspended: Arc<Mutex<Duration>>,
 }
 
 /// A value that is rejected before it is decoded.
-pub(crate) const LOST_VALUE: &[u8] = b"lost";
-/// Where all workers stand.
+pub(crate) const REJECTED_VALUE: &[u8] = b"lost";
+/// The data centre of all workers.
 const DATA_CENTRE: &str = "north";
-/// What a configuration begins with that names workspaces with their keys, as in `keys: a=key b=other`. The longer one is
-/// the later version.
-const KEYS: &[u8] = b"keys:";
+/// The prefix of a configuration that names workspaces with their keys, as in `keys: a=key b=other`. Its version grows
+/// with its length.
+const KEYS_PREFIX: &[u8] = b"keys:";
 
-/// Returns the version of such a configuration.
+/// Returns the version of a configuration that names workspaces.
 pub(crate) fn version(value: &[u8]) -> u64 {
     3 + value.len() as u64
 }
 
-fn directory(text: &[u8]) -> Directory {
+fn parse_directory(text: &[u8]) -> Directory {
     let text = std::str::from_utf8(text).unwrap();
     let mut directory = Directory::default();
     for entry in text.split_whitespace() {
@@ -210,23 +214,23 @@
     directory
 }
 
-/// How often its workers report themselves.
-const REPORTS: Duration = Duration::from_millis(1_000);
-/// How long its tasks run.
-const RUNS: Duration = Duration::from_millis(40);
-/// How long a call takes.
-const CALL: Duration = Duration::from_millis(2);
+/// How often the workers write their entries.
+const REPORT_INTERVAL: Duration = Duration::from_millis(1_000);
+/// How long tasks run.
+const TASK_DURATION: Duration = Duration::from_millis(40);
+/// How long a call of a healthy store, or of a worker, takes.
+const CALL_LATENCY: Duration = Duration::from_millis(2);
 /// How long a call of a slow store takes.
-const SLOW: Duration = Duration::from_millis(90);
-/// Longer than any caller of the tests waits.
-const NEVER: Duration = Duration::from_secs(4);
-/// How long a call without an answer takes to fail.
-const LOST: Duration = Duration::from_millis(100);
-/// How long a call of a silent store takes to fail: longer than anything that should wait for it.
-const RUNS_OUT: Duration = Duration::from_secs(30);
+const SLOW_CALL_LATENCY: Duration = Duration::from_millis(90);
+/// How long a call takes to fail while every second answer is lost: longer than callers in the tests wait.
+const HALF_ANSWERS_LOST_TIMEOUT: Duration = Duration::from_secs(4);
+/// How long a call takes to fail while all answers are lost.
+const ANSWERS_LOST_TIMEOUT: Duration = Duration::from_millis(100);
+/// How long a call takes to fail if the store is unresponsive: longer than anything that waits for it may take.
+const UNRESPONSIVE_TIMEOUT: Duration = Duration::from_secs(30);
 
 impl Fake {
-    /// Makes a platform with one worker.
+    /// Returns a platform with one worker.
     pub(crate) fn new() -> Self {
         Self::with_workers(1)
     }
@@ -243,8 +247,10 @@
         });
         let workers = workers.collect();
         let mut state = fake.state();
-        state.topics.insert(name(Topic::Configuration), config);
-        state.topics.insert(name(Topic::Workers), workers);
+        state
+            .topics
+            .insert(topic_name(Topic::Configuration), config);
+        state.topics.insert(topic_name(Topic::Workers), workers);
         drop(state);
         fake
     }
@@ -253,131 +259,140 @@
         self.state.lock().unwrap()
     }
 
-    pub(crate) fn set(&self, mode: Mode) {
+    pub(crate) fn set_mode(&self, mode: Mode) {
         self.state().mode = mode;
     }
 
-    /// Returns the same platform for another machine.
-    pub(crate) fn machine(&self) -> Self {
+    /// Returns the same platform as seen from another machine.
+    pub(crate) fn another_machine(&self) -> Self {
         Self {
             state: self.state.clone(),
             ..Self::default()
         }
     }
 
-    /// Suspends this machine for a while, during which the runtime's clock stands still.
+    /// Suspends this machine: from the outside `span` passes while the runtime's clock does not advance.
     pub(crate) fn suspend(&self, span: Duration) {
         *self.suspended.lock().unwrap() += span;
     }
 
-    /// Has the store behave differently towards this machine alone.
-    pub(crate) fn set_here(&self, mode: Mode) {
-        *self.own.lock().unwrap() = Some(mode);
+    /// Sets how the store behaves towards this machine alone.
+    pub(crate) fn set_own_mode(&self, mode: Mode) {
+        *self.own_mode.lock().unwrap() = Some(mode);
     }
 
-    fn note_read(&self, topic: Topic) {
-        let read = (name(topic), Instant::now());
+    fn log_read(&self, topic: Topic) {
+        let read = (topic_name(topic), Instant::now());
         self.reads.lock().unwrap().push(read);
     }
 
-    /// Returns when this machine read a topic, in order.
+    /// Returns the times at which this machine read a topic, in order.
     pub(crate) fn reads(&self, topic: Topic) -> Vec<Instant> {
         let reads = self.reads.lock().unwrap();
-        let own = reads.iter().filter(|(read, _)| *read == name(topic));
+        let own = reads.iter().filter(|(read, _)| *read == topic_name(topic));
         own.map(|(_, at)| *at).collect()
     }
 
-    /// Returns how many calls of this machine a silent store has let run out.
-    pub(crate) fn run_out(&self) -> usize {
-        self.run_out.load(Ordering::Relaxed)
+    /// Returns how many calls of this machine timed out because the store was unresponsive.
+    pub(crate) fn timed_out_calls(&self) -> usize {
+        self.timed_out_calls.load(Ordering::Relaxed)
     }
 
-    /// Keeps a job that a node took which tells nobody of it.
-    pub(crate) fn accept(&self, partition: u16, accepted: &Accepted) {
+    /// Records a job as a node does, without notifying the owner.
+    pub(crate) fn record_job(&self, partition: u16, accepted: &Accepted) {
         let record = Record {
             key: accepted.job.to_string(),
             value: Some(record::encode(accepted).unwrap().into()),
         };
-        let place = name(Topic::Jobs(partition));
+        let place = topic_name(Topic::Jobs(partition));
         let mut state = self.state();
         state.topics.entry(place).or_default().push(record);
     }
 
-    /// Keeps a record in a partition of the jobs.
-    pub(crate) fn put(&self, partition: u16, key: &str, value: Vec<u8>) {
+    /// Writes a record with any value into a partition of the jobs.
+    pub(crate) fn put_in_partition(&self, partition: u16, key: &str, value: Vec<u8>) {
         let record = Record {
             key: key.to_owned(),
             value: Some(value.into()),
         };
-        let place = name(Topic::Jobs(partition));
+        let place = topic_name(Topic::Jobs(partition));
         let mut state = self.state();
         state.topics.entry(place).or_default().push(record);
     }
 
-    /// Keeps a job's cancellation of which nobody tells the owner.
-    pub(crate) fn cancel(&self, partition: u16, job: u64) {
+    /// Records a job's cancellation as a node does, without notifying the owner.
+    pub(crate) fn record_cancellation(&self, partition: u16, job: u64) {
         let record = Record {
             key: format!("{}/x", JobId(job)),
             value: Some(vec![1].into()),
         };
-        let place = name(Topic::Jobs(partition));
+        let place = topic_name(Topic::Jobs(partition));
         let mut state = self.state();
         state.topics.entry(place).or_default().push(record);
     }
 
-    /// Writes a record as another writer does.
+    /// Writes a record as a writer other than the nodes does.
     pub(crate) fn write(&self, topic: Topic, key: &str, value: &[u8]) {
         let record = Record {
             key: key.to_owned(),
             value: Some(value.to_vec().into()),
         };
         let mut state = self.state();
-        state.topics.entry(name(topic)).or_default().push(record);
+        state
+            .topics
+            .entry(topic_name(topic))
+            .or_default()
+            .push(record);
     }
 
-    /// Removes the record under a key.
+    /// Appends a record that removes a key.
     pub(crate) fn remove(&self, topic: Topic, key: &str) {
         let record = Record {
             key: key.to_owned(),
             value: None,
         };
         let mut state = self.state();
-        state.topics.entry(name(topic)).or_default().push(record);
+        state
+            .topics
+            .entry(topic_name(topic))
+            .or_default()
+            .push(record);
     }
 
-    /// Drops all records under a key, as if there had never been any, and the history with them.
+    /// Removes all records under a key without leaving a removal record, and truncates the topic's history.
     pub(crate) fn drop_key(&self, topic: Topic, key: &str) {
         let mut state = self.state();
-        let records = state.topics.entry(name(topic)).or_default();
-        // The offsets of the others stay.
+        let records = state.topics.entry(topic_name(topic)).or_default();
+        // The offsets of the other records stay.
         for record in records.iter_mut().filter(|record| record.key == key) {
             record.value = None;
         }
         let end = records.len() as u64;
-        // Whoever reads on is told that the history is gone.
+        // Readers that continue from an earlier offset are told that the history is gone.
         records.push(Record {
             key: "another".to_owned(),
             value: Some(b"{}".to_vec().into()),
         });
-        state.first.insert(name(topic), end + 1);
+        state.first_offsets.insert(topic_name(topic), end + 1);
     }
 
-    /// Forgets the history of every topic, but for some records at its end; the newest of each key stays.
-    pub(crate) fn forget(&self, but: usize) {
+    /// Truncates the history of every topic to some records at its end. The newest record of each key stays readable.
+    pub(crate) fn truncate_history(&self, kept: usize) {
         let mut state = self.state();
         let topics = state.topics.iter();
         let first = topics.map(|(topic, records)| {
-            let first = records.len().saturating_sub(but);
+            let first = records.len().saturating_sub(kept);
             (topic.clone(), first as u64)
         });
-        state.first = first.collect();
+        state.first_offsets = first.collect();
     }
 
-    /// Returns a page without the records that no store's answer could carry.
+    /// Returns a page in which the records that cannot be read are reported as rejected.
     fn page(records: Vec<Record>, next: u64, end: u64) -> Page {
-        let is_lost = |record: &Record| record.value.as_deref() == Some(LOST_VALUE);
-        let (lost, records): (Vec<Record>, Vec<Record>) = records.into_iter().partition(is_lost);
-        let rejected = lost
+        let is_rejected = |record: &Record| record.value.as_deref() == Some(REJECTED_VALUE);
+        let (unreadable, records): (Vec<Record>, Vec<Record>) =
+            records.into_iter().partition(is_rejected);
+        let rejected = unreadable
             .iter()
             .map(|record| Rejected::record(record, Fault::Value));
         Page {
@@ -388,31 +403,33 @@
         }
     }
 
-    /// Has the store refuse appends to one partition of the jobs.
-    pub(crate) fn refuse(&self, partition: u16) {
-        self.state().refused.push(name(Topic::Jobs(partition)));
+    /// Makes the store refuse appends to a partition of the jobs.
+    pub(crate) fn refuse_appends(&self, partition: u16) {
+        self.state()
+            .refused_topics
+            .push(topic_name(Topic::Jobs(partition)));
     }
 
-    /// Has the store give no answer to who reads a topic, for some time.
-    pub(crate) fn hold_back(&self, topic: Topic, time: Duration) {
+    /// Makes the store give no answer to reads of a topic for some time.
+    pub(crate) fn block_reads(&self, topic: Topic, time: Duration) {
         let until = Instant::now() + time;
-        self.state().held_back.insert(name(topic), until);
+        self.state().blocked_until.insert(topic_name(topic), until);
     }
 
-    /// Has the store take a time for each reading of a topic.
-    pub(crate) fn delay(&self, topic: Topic, time: Duration) {
-        self.state().delayed.insert(name(topic), time);
+    /// Makes the store delay each read of a topic.
+    pub(crate) fn delay_reads(&self, topic: Topic, time: Duration) {
+        self.state().read_delays.insert(topic_name(topic), time);
     }
 
-    async fn wait_for(&self, topic: Topic) {
-        let time = self.state().delayed.get(&name(topic)).copied();
+    async fn wait_read_delay(&self, topic: Topic) {
+        let time = self.state().read_delays.get(&topic_name(topic)).copied();
         sleep(time.unwrap_or_default()).await;
     }
 
     /// Returns the newest record under a key of a partition of the jobs.
     pub(crate) fn newest_job(&self, partition: u16, key: &str) -> Option<Vec<u8>> {
         let state = self.state();
-        let records = state.topics.get(&name(Topic::Jobs(partition)));
+        let records = state.topics.get(&topic_name(Topic::Jobs(partition)));
         let mut own = records.into_iter().flatten().rev();
         own.find(|record| record.key == key)?
             .value
@@ -420,17 +437,17 @@
             .map(|value| value.to_vec())
     }
 
-    /// Returns how many orders to start this machine has given.
-    pub(crate) fn ordered(&self) -> usize {
-        self.ordered.load(Ordering::Relaxed)
+    /// Returns how many orders to start a run this machine has sent.
+    pub(crate) fn start_orders(&self) -> usize {
+        self.start_orders.load(Ordering::Relaxed)
     }
 
     fn mode(&self) -> Mode {
-        let own = *self.own.lock().unwrap();
+        let own = *self.own_mode.lock().unwrap();
         own.unwrap_or_else(|| self.state().mode)
     }
 
-    /// Returns how often each task was started.
+    /// Returns how many runs of a job's tasks were started.
     pub(crate) fn starts(&self, job: u64) -> usize {
         let state = self.state();
         let starts = state.starts.iter();
@@ -445,127 +462,136 @@
         own.map(|(_, at)| *at).max()
     }
 
-    /// Has the store give so many records at a call that reads on.
-    pub(crate) fn give_at_most(&self, count: usize) {
-        self.state().most_given = Some(count);
+    /// Bounds the number of records in the answer to a read from an offset.
+    pub(crate) fn limit_reads(&self, count: usize) {
+        self.state().max_records_per_read = Some(count);
     }
 
-    /// Has the store give so many of the newest records at a call.
-    pub(crate) fn give_newest_by(&self, count: usize) {
-        self.state().most_newest = Some(count);
+    /// Bounds the number of records in the answer to a read of the newest ones.
+    pub(crate) fn limit_newest_reads(&self, count: usize) {
+        self.state().max_newest_per_read = Some(count);
     }
 
     pub(crate) fn appends(&self) -> usize {
         self.state().appends
     }
 
-    /// Returns how often the jobs' partitions were read on.
+    /// Returns how often a partition of the jobs was read from an offset.
     pub(crate) fn job_reads(&self) -> usize {
         self.state().job_reads
     }
 
-    /// Returns the node that owns the cell by the newest claim.
+    /// Returns the node that owns the cell according to the newest claim.
     pub(crate) fn owner(&self) -> Option<String> {
         let state = self.state();
-        let claims = state.topics.get(&name(Topic::Claims))?.iter().rev();
+        let claims = state.topics.get(&topic_name(Topic::Claims))?.iter().rev();
         let mut claims = claims.filter_map(|record| record.value.as_ref());
-        // Other writers' records are among them in some tests.
+        // In some tests there are records of other writers among them.
         let claim: Claim = claims.find_map(|value| record::decode(value).ok())?;
         (!claim.released).then(|| claim.node.to_string())
     }
 
-    /// Puts a claim on record that no node of the test has made.
-    pub(crate) fn claim(&self, claim: &Claim) {
+    /// Writes a claim that no node of the test has made.
+    pub(crate) fn write_claim(&self, claim: &Claim) {
         let value = record::encode(claim).unwrap();
         self.write(Topic::Claims, "owner", &value);
     }
 
-    /// Returns all claims on record, in order.
+    /// Returns all claims in order. Panics if any record of their topic is not a claim.
     pub(crate) fn claims(&self) -> Vec<Claim> {
         let state = self.state();
-        let records = state.topics.get(&name(Topic::Claims)).into_iter().flatten();
+        let records = state
+            .topics
+            .get(&topic_name(Topic::Claims))
+            .into_iter()
+            .flatten();
         let values = records.filter_map(|record| record.value.as_ref());
         values.map(|value| record::decode(value).unwrap()).collect()
     }
 
-    /// Returns the claims among the records of their topic, in order.
-    pub(crate) fn owned(&self) -> Vec<Claim> {
+    /// Returns all claims in order, skipping records of their topic that cannot be decoded.
+    pub(crate) fn valid_claims(&self) -> Vec<Claim> {
         let state = self.state();
-        let records = state.topics.get(&name(Topic::Claims)).into_iter().flatten();
+        let records = state
+            .topics
+            .get(&topic_name(Topic::Claims))
+            .into_iter()
+            .flatten();
         let values = records.filter_map(|record| record.value.as_ref());
         values
             .filter_map(|value| record::decode(value).ok())
             .collect()
     }
 
-    /// Returns whether the store keeps a record under a key in any topic.
-    pub(crate) fn keeps(&self, key: &str) -> bool {
+    /// Returns whether any topic has a record under a key.
+    pub(crate) fn has_record(&self, key: &str) -> bool {
         let state = self.state();
         let mut records = state.topics.values().flatten();
         records.any(|record| record.key == key)
     }
 
-    /// Has the store lose the next answers to readings of the newest records of each topic.
-    pub(crate) fn lose_readings(&self, count: u32) {
+    /// Makes the store lose the answers to the next reads of the newest records of each topic.
+    pub(crate) fn lose_newest_reads(&self, count: u32) {
         let mut state = self.state();
-        state.lost_readings = count;
-        state.readings.clear();
+        state.lost_newest_reads = count;
+        state.newest_reads.clear();
     }
 
-    /// Gives no answer to the first readings of a topic, where these are to be lost.
-    async fn check_lost(&self, topic: Topic) -> Result<(), Error> {
+    /// Counts a read of a topic's newest records, and fails it with a timeout if its answer is to be lost.
+    async fn fail_if_lost(&self, topic: Topic) -> Result<(), Error> {
         let is_lost = {
             let mut state = self.state();
-            let lost = state.lost_readings;
-            let count = state.readings.entry(name(topic)).or_default();
+            let lost = state.lost_newest_reads;
+            let count = state.newest_reads.entry(topic_name(topic)).or_default();
             *count += 1;
             *count <= lost
         };
         if !is_lost {
             return Ok(());
         }
-        sleep(RUNS_OUT).await;
+        sleep(UNRESPONSIVE_TIMEOUT).await;
         Err(Error::Unanswered)
     }
 
-    /// Gives no answer about a topic that is held back.
-    async fn check_held_back(&self, topic: Topic) -> Result<(), Error> {
-        let until = self.state().held_back.get(&name(topic)).copied();
+    /// Fails a read with a timeout while reads of its topic are blocked.
+    async fn fail_if_blocked(&self, topic: Topic) -> Result<(), Error> {
+        let until = self.state().blocked_until.get(&topic_name(topic)).copied();
         if until.is_none_or(|until| Instant::now() >= until) {
             return Ok(());
         }
-        sleep(RUNS_OUT).await;
+        sleep(UNRESPONSIVE_TIMEOUT).await;
         Err(Error::Unanswered)
     }
 
-    async fn answer(&self) -> Result<(), Error> {
+    /// Waits as long as a call takes in the current mode, and fails if the mode says so.
+    async fn simulate_call(&self) -> Result<(), Error> {
         let mode = self.mode();
         match mode {
-            Mode::Well | Mode::Losing => {
-                sleep(CALL).await;
+            Mode::Healthy | Mode::HalfAnswersLost => {
+                sleep(CALL_LATENCY).await;
                 Ok(())
             }
             Mode::Slow => {
-                sleep(SLOW).await;
+                sleep(SLOW_CALL_LATENCY).await;
                 Ok(())
             }
             Mode::Refusing => Err(Error::Refused("unavailable")),
-            Mode::Mute => {
-                sleep(LOST).await;
+            Mode::AnswersLost => {
+                sleep(ANSWERS_LOST_TIMEOUT).await;
                 Err(Error::Unanswered)
             }
-            Mode::Silent => {
-                sleep(RUNS_OUT).await;
-                self.run_out.fetch_add(1, Ordering::Relaxed);
+            Mode::Unresponsive => {
+                sleep(UNRESPONSIVE_TIMEOUT).await;
+                self.timed_out_calls.fetch_add(1, Ordering::Relaxed);
                 Err(Error::Unanswered)
             }
         }
     }
 
-    fn carry_out(&self, append: Append) -> Result<u64, Error> {
+    fn apply_append(&self, append: Append) -> Result<u64, Error> {
         let mut state = self.state();
         state.appends += 1;
-        let place = name(append.topic);
+        let place = topic_name(append.topic);
         let end = state.topics.entry(place.clone()).or_default().len() as u64;
         match append.condition {
             Condition::None => {}
@@ -576,12 +602,12 @@
                     return Err(Error::Fenced);
                 }
                 state.fence = epoch.0;
-                if let Some((writer, last, at)) = state.written
+                if let Some((writer, last, at)) = state.last_append
                     && (writer, last) == (epoch.0, sequence)
                 {
                     return Ok(at);
                 }
-                state.written = Some((epoch.0, sequence, end + append.records.len() as u64));
+                state.last_append = Some((epoch.0, sequence, end + append.records.len() as u64));
             }
         }
         let topic = state.topics.entry(place).or_default();
@@ -590,41 +616,45 @@
     }
 }
 
-fn name(topic: Topic) -> String {
+fn topic_name(topic: Topic) -> String {
     format!("{topic:?}")
 }
 
 impl Platform for Fake {
     async fn append(&self, append: Append) -> Result<u64, Error> {
-        if self.state().refused.contains(&name(append.topic)) {
+        if self
+            .state()
+            .refused_topics
+            .contains(&topic_name(append.topic))
+        {
             return Err(Error::Refused("unavailable"));
         }
         let mode = self.mode();
         match mode {
-            Mode::Refusing | Mode::Silent => self.answer().await.map(|()| 0),
-            Mode::Mute => {
-                // What it gives back is lost with the answer.
-                let _ = self.carry_out(append);
-                self.answer().await.map(|()| 0)
+            Mode::Refusing | Mode::Unresponsive => self.simulate_call().await.map(|()| 0),
+            Mode::AnswersLost => {
+                // The result is lost with the answer.
+                let _ = self.apply_append(append);
+                self.simulate_call().await.map(|()| 0)
             }
-            Mode::Well | Mode::Slow => {
-                self.answer().await?;
-                self.carry_out(append)
+            Mode::Healthy | Mode::Slow => {
+                self.simulate_call().await?;
+                self.apply_append(append)
             }
-            Mode::Losing => {
-                self.answer().await?;
-                let topic = name(append.topic);
-                let result = self.carry_out(append);
+            Mode::HalfAnswersLost => {
+                self.simulate_call().await?;
+                let topic = topic_name(append.topic);
+                let result = self.apply_append(append);
                 let count = {
                     let mut state = self.state();
-                    let count = state.lost.entry(topic).or_default();
+                    let count = state.appends_with_losses.entry(topic).or_default();
                     *count += 1;
                     *count
                 };
                 if count.is_multiple_of(2) {
                     return result;
                 }
-                sleep(NEVER).await;
+                sleep(HALF_ANSWERS_LOST_TIMEOUT).await;
                 Err(Error::Unanswered)
             }
         }
@@ -632,8 +662,8 @@
 
     async fn read(&self, topic: Topic, from: u64, wait: Duration) -> Result<Page, Error> {
         let until = Instant::now() + wait;
-        self.note_read(topic);
-        self.check_held_back(topic).await?;
+        self.log_read(topic);
+        self.fail_if_blocked(topic).await?;
         if matches!(topic, Topic::Jobs(_)) {
             self.state().job_reads += 1;
         }
@@ -641,19 +671,23 @@
             self.state().report_workers();
         }
         loop {
-            self.wait_for(topic).await;
-            self.answer().await?;
+            self.wait_read_delay(topic).await;
+            self.simulate_call().await?;
             let (records, end): (Vec<Record>, u64) = {
                 let state = self.state();
-                let first = state.first.get(&name(topic)).copied().unwrap_or(0);
+                let first = state
+                    .first_offsets
+                    .get(&topic_name(topic))
+                    .copied()
+                    .unwrap_or(0);
                 if from < first {
                     return Err(Error::Forgotten { first });
                 }
-                let records = state.topics.get(&name(topic));
+                let records = state.topics.get(&topic_name(topic));
                 let end = records.map_or(0, |records| records.len() as u64);
                 let skipped = usize::try_from(from).unwrap();
                 let rest = records.into_iter().flatten().skip(skipped);
-                let most = state.most_given.unwrap_or(usize::MAX);
+                let most = state.max_records_per_read.unwrap_or(usize::MAX);
                 (rest.take(most).cloned().collect(), end)
             };
             if !records.is_empty() || Instant::now() >= until {
@@ -665,13 +699,17 @@
     }
 
     async fn newest(&self, topic: Topic) -> Result<Page, Error> {
-        self.note_read(topic);
-        self.check_lost(topic).await?;
-        self.check_held_back(topic).await?;
-        self.wait_for(topic).await;
-        self.answer().await?;
+        self.log_read(topic);
+        self.fail_if_lost(topic).await?;
+        self.fail_if_blocked(topic).await?;
+        self.wait_read_delay(topic).await;
+        self.simulate_call().await?;
         let state = self.state();
-        let records = state.topics.get(&name(topic)).cloned().unwrap_or_default();
+        let records = state
+            .topics
+            .get(&topic_name(topic))
+            .cloned()
+            .unwrap_or_default();
         let next = records.len() as u64;
         let newest: BTreeMap<String, Record> = records
             .into_iter()
@@ -690,7 +728,7 @@
         let mut page = self.newest(topic).await?;
         page.records
             .retain(|record| after.is_none_or(|after| record.key.as_str() > after));
-        let most = self.state().most_newest.unwrap_or(usize::MAX);
+        let most = self.state().max_newest_per_read.unwrap_or(usize::MAX);
         let has_more = page.records.len() > most;
         page.records.truncate(most);
         let last = page.records.last().map(|record| record.key.clone());
@@ -700,21 +738,21 @@
     fn reconnect(&self) {}
 
     async fn start(&self, order: Start) -> StartAnswer {
-        sleep(CALL).await;
-        self.ordered.fetch_add(1, Ordering::Relaxed);
+        sleep(CALL_LATENCY).await;
+        self.start_orders.fetch_add(1, Ordering::Relaxed);
         let mut state = self.state();
         state.starts.push((order.task, Instant::now()));
-        let host = state.workers.entry(order.to.worker).or_default();
-        let ends = Instant::now() + RUNS;
-        host.running.insert(order.task, (order.run, ends));
+        let worker = state.workers.entry(order.to.worker).or_default();
+        let ends = Instant::now() + TASK_DURATION;
+        worker.running.insert(order.task, (order.run, ends));
         StartAnswer::Started
     }
 
     async fn stop(&self, order: Stop) -> StopAnswer {
-        sleep(CALL).await;
+        sleep(CALL_LATENCY).await;
         let mut state = self.state();
-        let host = state.workers.entry(order.to.worker).or_default();
-        host.running.remove(&order.task);
+        let worker = state.workers.entry(order.to.worker).or_default();
+        worker.running.remove(&order.task);
         StopAnswer::Confirmed
     }
 
@@ -725,18 +763,19 @@
     async fn hold(&self, order: Hold) -> HoldAnswer {
         let until = Instant::now() + order.wait;
         loop {
-            sleep(CALL).await;
+            sleep(CALL_LATENCY).await;
             let now = Instant::now();
             let mut state = self.state();
-            let host = state.workers.entry(order.to.worker.clone()).or_default();
-            host.ended.retain(|end| end.serial > order.acknowledged);
-            let over = host.running.iter().filter(|(_, (_, ends))| *ends <= now);
-            let over: Vec<(TaskId, Run)> = over.map(|(task, (run, _))| (*task, *run)).collect();
-            for (task, run) in over {
-                host.running.remove(&task);
-                host.serial += 1;
-                let serial = host.serial;
-                host.ended.push(Ended {
+            let worker = state.workers.entry(order.to.worker.clone()).or_default();
+            worker.ended.retain(|end| end.serial > order.acknowledged);
+            let finished = worker.running.iter().filter(|(_, (_, ends))| *ends <= now);
+            let finished: Vec<(TaskId, Run)> =
+                finished.map(|(task, (run, _))| (*task, *run)).collect();
+            for (task, run) in finished {
+                worker.running.remove(&task);
+                worker.serial += 1;
+                let serial = worker.serial;
+                worker.ended.push(Ended {
                     serial,
                     task,
                     run,
@@ -744,8 +783,8 @@
                     checkpoint: None,
                 });
             }
-            if !host.ended.is_empty() || now >= until {
-                let running = host.running.iter().map(|(task, (run, _))| Running {
+            if !worker.ended.is_empty() || now >= until {
+                let running = worker.running.iter().map(|(task, (run, _))| Running {
                     task: *task,
                     run: *run,
                     checkpoint: None,
@@ -755,7 +794,7 @@
                     incarnation: None,
                     clock: 1,
                     running: running.collect(),
-                    ended: host.ended.clone(),
+                    ended: worker.ended.clone(),
                 });
             }
         }
@@ -773,7 +812,7 @@
         let (version, pool) = match (record.key.as_str(), record.value.as_deref()) {
             ("config", Some(b"1")) => (1, "p"),
             ("config", Some(b"2")) => (2, "elsewhere"),
-            ("config", Some(value)) if value.starts_with(KEYS) => (version(value), "p"),
+            ("config", Some(value)) if value.starts_with(KEYS_PREFIX) => (version(value), "p"),
             ("config", _) => return Err(Fault::Form),
             _ => return Ok(None),
         };
@@ -787,7 +826,7 @@
         };
         config.queues.insert(queue.name.clone(), Arc::new(queue));
         let value = record.value.as_deref().unwrap_or_default();
-        config.directory = value.strip_prefix(KEYS).map(directory);
+        config.directory = value.strip_prefix(KEYS_PREFIX).map(parse_directory);
         Ok(Some(config))
     }
 
--- a/crates/node/tests/node/record.rs
+++ b/crates/node/tests/node/record.rs
@@ -1,4 +1,4 @@
-//! How jobs and cancellations stand on record, and how an owner reads them while parts of the store are in trouble.
+//! How jobs and cancellations are recorded, and how an owner reads them while parts of the store are slow or fail.
 
 use std::time::{
     Duration,
@@ -35,54 +35,55 @@
     platform::Fake,
     support::{
         SECOND,
-        accepted,
+        acceptance,
         cancel,
         job,
-        node,
-        ready,
+        start_node,
         step,
         submit_spec,
-        unplaceable,
-        until, //
+        unplaceable_step,
+        wait_until,
+        wait_until_ready, //
     },
 };
 
-/// One partition takes longer than a second a call, the others milliseconds. Whenever it had answered, the view of
-/// all 16 was older than what a new owner begins with, so all were read again, it among them, and so on. The claim was
-/// renewed all the while, so that no other node took the cell either.
+/// Guards against a takeover that never ends. One partition takes longer than a second per call, the others take
+/// milliseconds. If a new owner reads all 16 partitions again whenever its view of any is too old, the view is too old
+/// each time the slow one answers. As the claim is renewed meanwhile, no other node takes over either.
 #[rstest]
-#[case::quick_enough(900)]
-#[case::slow(1_100)]
-#[case::as_slow_as_the_store_gets(1_400)]
+#[case::below_a_second(900)]
+#[case::above_a_second(1_100)]
+#[case::slowest_expected(1_400)]
 #[tokio::test(start_paused = true)]
-async fn a_takeover_comes_to_an_end_where_one_partition_is_slow(#[case] takes_ms: u64) {
+async fn a_takeover_completes_when_one_partition_is_slow(#[case] delay_ms: u64) {
     let platform = Fake::new();
-    platform.delay(Topic::Jobs(0), Duration::from_millis(takes_ms));
-    let one = node("one", &platform);
-    let taken = timeout(60 * SECOND, async {
+    platform.delay_reads(Topic::Jobs(0), Duration::from_millis(delay_ms));
+    let one = start_node("one", &platform);
+    let takeover = timeout(60 * SECOND, async {
         while one.front().pending(&QueueName::from("q")).await.is_err() {
             sleep(SECOND / 20).await;
         }
     });
-    assert!(taken.await.is_ok(), "no owner for a minute");
+    assert!(takeover.await.is_ok(), "no owner within 60 s");
 }
 
-/// The cancellation is on record in a partition that answers in milliseconds. What was read there was told to the
-/// actor only once the slowest of all partitions that were read beside it had answered or was given up.
+/// Guards against a cancellation that takes effect late because another partition is slow. The cancellation is in a
+/// partition that answers in milliseconds; it comes too late if its record is passed to the owner's actor only after
+/// the slowest of the partitions read at the same time has answered or timed out.
 #[rstest]
 #[case::all_answer(0)]
 #[case::one_is_slow(1_400)]
 #[case::one_gives_no_answer(30_000)]
 #[tokio::test(start_paused = true)]
-async fn a_cancellation_on_record_is_in_force_after_3_s_whatever_another_partition_does(
-    #[case] takes_ms: u64,
+async fn a_recorded_cancellation_takes_effect_within_3_s_whatever_another_partition_does(
+    #[case] delay_ms: u64,
 ) {
     let platform = Fake::new();
     let wall = SystemTime::now().duration_since(UNIX_EPOCH).unwrap();
     let anchor = Instant::now();
-    let one = node("one", &platform);
-    ready(&one).await;
-    // All partitions were read just now; what is due next is due for all of them.
+    let one = start_node("one", &platform);
+    wait_until_ready(&one).await;
+    // All partitions have just been read, so the next reads of all of them are due together.
     sleep(SECOND).await;
     let mut late = Vec::new();
     for id in 1..40u64 {
@@ -92,11 +93,11 @@
             period: SECOND,
             times: 1,
         };
-        let accepted = accepted(id, job(vec![step()], Some(schedule)), partition);
-        platform.accept(partition, &accepted);
+        let accepted = acceptance(id, job(vec![step()], Some(schedule)), partition);
+        platform.record_job(partition, &accepted);
         sleep(3 * SECOND).await;
-        platform.delay(Topic::Jobs(0), Duration::from_millis(takes_ms));
-        platform.cancel(partition, id);
+        platform.delay_reads(Topic::Jobs(0), Duration::from_millis(delay_ms));
+        platform.record_cancellation(partition, id);
         let acked = Instant::now();
         while acked.elapsed() < Duration::from_millis(6_500) {
             sleep(SECOND / 20).await;
@@ -105,7 +106,7 @@
                 break;
             }
         }
-        platform.delay(Topic::Jobs(0), Duration::ZERO);
+        platform.delay_reads(Topic::Jobs(0), Duration::ZERO);
         sleep(3 * SECOND + Duration::from_millis(id * 37)).await;
     }
     assert!(
@@ -114,14 +115,15 @@
     );
 }
 
-/// The job is off the record, and its cancellation says that it was there. The same cancellation comes once more while
-/// there is no owner, and was put on record under the same key as that of a job that nobody knew.
+/// Guards against losing the fact that a cancelled job existed. The job's own record is removed, and only its
+/// cancellation says that it was known. The caller repeats the cancellation while there is no owner, so it is recorded
+/// as that of an unknown job; under the same key it would overwrite the first.
 #[tokio::test(start_paused = true)]
 async fn a_job_whose_cancellation_comes_twice_is_still_shown_as_cancelled() {
     let platform = Fake::new();
-    let one = node("one", &platform);
-    ready(&one).await;
-    submit_spec(&one, 1, job(vec![unplaceable()], None))
+    let one = start_node("one", &platform);
+    wait_until_ready(&one).await;
+    submit_spec(&one, 1, job(vec![unplaceable_step()], None))
         .await
         .unwrap();
     assert_eq!(cancel(&one, 1).await, Ok(()));
@@ -131,27 +133,28 @@
     one.disowned(SECOND).await;
     one.stop(SECOND).await;
     for partition in 0..FIRST_PARTITIONS {
-        platform.hold_back(Topic::Jobs(partition), 2 * SECOND);
+        platform.block_reads(Topic::Jobs(partition), 2 * SECOND);
     }
-    let again = node("one", &platform);
+    let again = start_node("one", &platform);
     sleep(SECOND).await;
     assert_eq!(cancel(&again, 1).await, Ok(()));
-    ready(&again).await;
+    wait_until_ready(&again).await;
     assert_eq!(again.front().look(JobId(1)).await, Ok(State::Cancelled));
 }
 
-/// The store refuses the partition of the job's node, so its record stands in the next one; the owner hears of it from
-/// the node before it reads it, and took it off the record where it never was.
+/// Guards against a finished job whose record stays in the store. The store refuses the partition of the job's node, so
+/// the node writes the record to the next one. The node notifies the owner before the owner reads that partition. An
+/// owner that goes by the notice alone removes the record from a partition in which it never was.
 #[tokio::test(start_paused = true)]
-async fn a_job_in_the_second_partition_of_its_node_is_forgotten_there() {
+async fn a_finished_job_is_removed_from_the_second_partition_of_its_node() {
     let platform = Fake::new();
-    let one = node("one", &platform);
-    ready(&one).await;
+    let one = start_node("one", &platform);
+    wait_until_ready(&one).await;
     submit_spec(&one, 1, job(vec![step()], None)).await.unwrap();
     let key = JobId(1).to_string();
     let own = (0..FIRST_PARTITIONS).find(|p| platform.newest_job(*p, &key).is_some());
     let own = own.unwrap();
-    platform.refuse(own);
+    platform.refuse_appends(own);
     submit_spec(&one, 2, job(vec![step()], None)).await.unwrap();
     let key = JobId(2).to_string();
     let next = (own + 1) % FIRST_PARTITIONS;
@@ -160,57 +163,58 @@
     assert_eq!(one.front().look(JobId(2)).await, Ok(State::Completed));
     assert!(
         platform.newest_job(next, &key).is_none(),
-        "it is still on record"
+        "its record is still in the store"
     );
 }
 
-/// A record that can't be read is not one that isn't there.
+/// A record that cannot be decoded does not mean that the job does not exist.
 #[tokio::test(start_paused = true)]
-async fn a_job_whose_record_can_t_be_read_is_not_said_not_to_be_there() {
+async fn a_job_with_an_undecodable_record_is_not_reported_as_missing() {
     let platform = Fake::new();
-    let one = node("one", &platform);
-    ready(&one).await;
-    platform.put(3, &JobId(1).to_string(), vec![0xff]);
+    let one = start_node("one", &platform);
+    wait_until_ready(&one).await;
+    platform.put_in_partition(3, &JobId(1).to_string(), vec![0xff]);
     sleep(3 * SECOND).await;
     let found = one.front().look(JobId(1)).await;
     assert_ne!(found, Err(Refusal::NoJob));
 }
 
-/// A store that loses a third of its answers: of 17 readings side by side some are lost twice. All must be there before
-/// the cell has an owner again, and until then nobody is served.
+/// Guards against a long takeover when the store loses answers. If it loses a third of them, some of the 17 concurrent
+/// reads fail twice. All must succeed before the cell has an owner again, and until then no caller is served.
 #[rstest]
 #[case::one(1, 500)]
 #[case::two(2, 1_200)]
 #[tokio::test(start_paused = true)]
-async fn a_takeover_is_short_while_answers_are_lost(#[case] lost: u32, #[case] most_ms: u128) {
+async fn a_takeover_is_short_while_answers_are_lost(#[case] lost: u32, #[case] max_ms: u128) {
     let platform = Fake::new();
-    let one = node("one", &platform);
-    ready(&one).await;
+    let one = start_node("one", &platform);
+    wait_until_ready(&one).await;
     one.leave();
     one.disowned(SECOND).await;
     one.stop(SECOND).await;
-    platform.lose_readings(lost);
-    let two = node("two", &platform);
-    until(|| async { platform.owner().as_deref() == Some("two") }).await;
+    platform.lose_newest_reads(lost);
+    let two = start_node("two", &platform);
+    wait_until(|| async { platform.owner().as_deref() == Some("two") }).await;
     let claimed = Instant::now();
-    until(|| async { two.front().pending(&QueueName::from("q")).await.is_ok() }).await;
+    wait_until(|| async { two.front().pending(&QueueName::from("q")).await.is_ok() }).await;
     let took = claimed.elapsed().as_millis();
-    assert!(took <= most_ms, "{took} ms");
+    assert!(took <= max_ms, "{took} ms");
 }
 
-/// The owner stood still, another node claimed the cell, and the owner wants to hand it over as it wakes. It learned where the
-/// claims end by the failure of that, and gave its own, older ownership up there: the newest claim was of an older epoch
-/// than the one before it, and the next owner would have had the epoch of another.
+/// Guards against claims whose epochs decrease. While an owner is stalled, another node claims the cell; then the owner
+/// resumes and tries to hand the cell over. The failed append tells it where the claims end. If it released its own,
+/// older ownership there, the newest claim would have an older epoch than the one before it, and the next owner would
+/// reuse the epoch of another.
 #[tokio::test]
-async fn a_replaced_owner_that_hands_the_cell_over_puts_no_older_claim_behind_the_newer_one() {
+async fn a_replaced_owner_that_hands_the_cell_over_appends_no_claim_of_an_older_epoch() {
     let platform = Fake::new();
-    let one = node("one", &platform);
-    ready(&one).await;
-    let two = node("two", &platform);
-    ready(&two).await;
-    until(|| async { one.greeted_by().await == 1 }).await;
+    let one = start_node("one", &platform);
+    wait_until_ready(&one).await;
+    let two = start_node("two", &platform);
+    wait_until_ready(&two).await;
+    wait_until(|| async { one.greeted_by().await == 1 }).await;
     let newest = platform.claims().pop().unwrap();
-    platform.claim(&Claim {
+    platform.write_claim(&Claim {
         spread: Spread::default(),
         nodes: 1,
         slow_owners: 0,
--- a/crates/node/tests/node/service.rs
+++ b/crates/node/tests/node/service.rs
@@ -1,4 +1,4 @@
-//! Jobs that nodes take, show, cancel and run, through takeovers and a store in trouble.
+//! Jobs that nodes accept, show, cancel and run, during takeovers and failures of the store.
 
 use std::{
     net::SocketAddr,
@@ -47,229 +47,249 @@
     },
     support::{
         SECOND,
-        accepted,
-        completed,
-        node,
-        node_with,
+        acceptance,
         queue,
-        ready,
+        start_node,
+        start_node_with_processor,
         submit,
-        two_steps,
-        until, //
+        two_step_job,
+        wait_until,
+        wait_until_completed,
+        wait_until_ready, //
     },
 };
 
 #[tokio::test]
-async fn a_job_runs_to_its_end_whichever_node_takes_it() {
+async fn a_job_completes_whichever_node_accepts_it() {
     let platform = Fake::new();
-    let (one, two) = (node("one", &platform), node("two", &platform));
-    ready(&one).await;
-    ready(&two).await;
+    let (one, two) = (start_node("one", &platform), start_node("two", &platform));
+    wait_until_ready(&one).await;
+    wait_until_ready(&two).await;
     submit(&one, 1).await.unwrap();
     submit(&two, 2).await.unwrap();
-    completed(&two, 1).await;
-    completed(&one, 2).await;
+    wait_until_completed(&two, 1).await;
+    wait_until_completed(&one, 2).await;
     assert_eq!((platform.starts(1), platform.starts(2)), (4, 4));
 }
 
 #[tokio::test]
-async fn a_job_that_is_handed_in_twice_runs_once() {
+async fn a_job_that_is_submitted_twice_runs_once() {
     let platform = Fake::new();
-    let (one, two) = (node("one", &platform), node("two", &platform));
-    ready(&one).await;
-    ready(&two).await;
+    let (one, two) = (start_node("one", &platform), start_node("two", &platform));
+    wait_until_ready(&one).await;
+    wait_until_ready(&two).await;
     submit(&one, 1).await.unwrap();
-    completed(&one, 1).await;
+    wait_until_completed(&one, 1).await;
     submit(&two, 1).await.unwrap();
     tokio::time::sleep(SECOND).await;
     assert_eq!(platform.starts(1), 4);
 }
 
-/// Machines are restarted in turn while the store is slow: a change of owners takes four of its calls.
+/// During a rolling restart with a slow store each change of owners takes four slow calls, so the owner delays it.
 #[tokio::test]
-async fn a_leaving_owner_waits_a_moment_for_a_slow_store() {
+async fn a_leaving_owner_keeps_the_cell_for_a_while_when_the_store_is_slow() {
     let platform = Fake::new();
-    let one = node("one", &platform);
-    ready(&one).await;
-    let two = node("two", &platform);
-    ready(&two).await;
-    until(|| async { one.greeted_by().await == 1 }).await;
-    platform.set(Mode::Slow);
+    let one = start_node("one", &platform);
+    wait_until_ready(&one).await;
+    let two = start_node("two", &platform);
+    wait_until_ready(&two).await;
+    wait_until(|| async { one.greeted_by().await == 1 }).await;
+    platform.set_mode(Mode::Slow);
     let renewals = |count: usize| {
         let before = platform.claims().len();
         let platform = platform.clone();
-        async move { until(|| async { platform.claims().len() >= before + count }).await }
+        async move { wait_until(|| async { platform.claims().len() >= before + count }).await }
     };
-    // So many calls make the node take it for slow.
+    // After this many slow calls the node considers the store slow.
     renewals(3).await;
     one.leave();
     renewals(2).await;
-    assert_eq!(platform.owner().as_deref(), Some("one"), "it goes on");
-    platform.set(Mode::Well);
-    until(|| async { platform.owner().as_deref() == Some("two") }).await;
+    assert_eq!(
+        platform.owner().as_deref(),
+        Some("one"),
+        "the owner still renews its claim"
+    );
+    platform.set_mode(Mode::Healthy);
+    wait_until(|| async { platform.owner().as_deref() == Some("two") }).await;
     assert!(platform.claims().iter().all(|claim| !claim.released));
 }
 
-/// A machine is cut off from the store with callers on it, who may be served elsewhere.
+/// Callers of a machine that is cut off from the store get an early answer, because another node may serve them.
 #[tokio::test]
-async fn callers_of_a_node_that_the_store_leaves_alone_are_told_long_before_their_deadline() {
+async fn callers_are_answered_early_when_the_store_stops_answering_their_node() {
     let platform = Fake::new();
-    let one = node("one", &platform);
-    ready(&one).await;
-    platform.set_here(Mode::Silent);
+    let one = start_node("one", &platform);
+    wait_until_ready(&one).await;
+    platform.set_own_mode(Mode::Unresponsive);
     let queue = QueueName::from("q");
-    let minutes = Instant::now() + 300 * SECOND;
+    let far_deadline = Instant::now() + 300 * SECOND;
     let front = one.front();
     let (sent, waiting) = tokio::join!(
-        front.submit(&queue, JobId(1), two_steps(), minutes),
+        front.submit(&queue, JobId(1), two_step_job(), far_deadline),
         async {
             tokio::time::sleep(SECOND / 10).await;
-            front.submit(&queue, JobId(2), two_steps(), minutes).await
+            front
+                .submit(&queue, JobId(2), two_step_job(), far_deadline)
+                .await
         }
     );
-    assert_eq!(sent, Err(Refusal::Unknown), "its record may be kept yet");
-    assert_eq!(waiting, Err(Refusal::NotKept), "its record never left");
-    assert_eq!(platform.run_out(), 0, "nobody waited for a call to run out");
+    assert_eq!(
+        sent,
+        Err(Refusal::Unknown),
+        "its record may still be written"
+    );
+    assert_eq!(waiting, Err(Refusal::NotKept), "its record was never sent");
+    assert_eq!(
+        platform.timed_out_calls(),
+        0,
+        "no caller waited for a call to time out"
+    );
 }
 
-/// The store may refuse single partitions; a node writes to one that goes by its name.
+/// The store may refuse single partitions, and a node writes to the partition that its name selects.
 #[tokio::test]
-async fn jobs_are_taken_while_the_store_refuses_the_partition_of_their_node() {
+async fn jobs_are_accepted_while_the_store_refuses_the_partition_of_their_node() {
     let platform = Fake::new();
-    let one = node("one", &platform);
-    ready(&one).await;
+    let one = start_node("one", &platform);
+    wait_until_ready(&one).await;
     for partition in (0..FIRST_PARTITIONS).step_by(2) {
-        platform.refuse(partition);
+        platform.refuse_appends(partition);
     }
-    // Whichever partition is whose, one of two neighbours takes the record.
-    let two = node("two", &platform);
-    ready(&two).await;
+    // Whichever partition a node's name selects, this one or the next accepts the record.
+    let two = start_node("two", &platform);
+    wait_until_ready(&two).await;
     for (job, node) in [(1, &one), (2, &two)] {
         submit(node, job).await.unwrap();
-        completed(node, job).await;
+        wait_until_completed(node, job).await;
     }
     assert_eq!((platform.starts(1), platform.starts(2)), (4, 4));
 }
 
-/// Restarts while the store is silent: a call from before its return is never answered.
+/// A node starts during an outage: calls made before the end of the outage are never answered.
 #[tokio::test]
-async fn a_node_that_starts_in_a_silent_store_doesn_t_wait_for_its_first_calls() {
+async fn a_node_started_during_an_outage_doesn_t_wait_for_its_first_calls_to_time_out() {
     let platform = Fake::new();
-    platform.set(Mode::Silent);
-    let one = node("one", &platform);
+    platform.set_mode(Mode::Unresponsive);
+    let one = start_node("one", &platform);
     tokio::time::sleep(SECOND / 5).await;
-    platform.set(Mode::Well);
-    ready(&one).await;
+    platform.set_mode(Mode::Healthy);
+    wait_until_ready(&one).await;
     submit(&one, 1).await.unwrap();
-    completed(&one, 1).await;
-    assert_eq!(platform.run_out(), 0, "no call had to run out before");
+    wait_until_completed(&one, 1).await;
+    assert_eq!(
+        platform.timed_out_calls(),
+        0,
+        "no call had to time out first"
+    );
 }
 
 #[tokio::test]
 async fn a_leaving_owner_claims_the_cell_for_its_successor() {
     let platform = Fake::new();
-    let one = node("one", &platform);
-    ready(&one).await;
-    let (two, three) = (node("two", &platform), node("three", &platform));
-    ready(&two).await;
-    ready(&three).await;
-    until(|| async { one.greeted_by().await == 2 }).await;
+    let one = start_node("one", &platform);
+    wait_until_ready(&one).await;
+    let (two, three) = (start_node("two", &platform), start_node("three", &platform));
+    wait_until_ready(&two).await;
+    wait_until_ready(&three).await;
+    wait_until(|| async { one.greeted_by().await == 2 }).await;
     let before = platform.claims();
     one.leave();
     one.disowned(SECOND).await;
-    until(|| async { platform.owner().is_some_and(|owner| owner != "one") }).await;
+    wait_until(|| async { platform.owner().is_some_and(|owner| owner != "one") }).await;
     let later = &platform.claims()[before.len()..];
-    // The first record of the next ownership is the former owner's: nothing is released and raced for.
-    let handed = later.iter().find(|claim| claim.epoch.0 == 2).unwrap();
-    assert!(!handed.released && handed.renewal == 0);
+    // The former owner writes the first claim of the next epoch for its successor, so no release leaves the cell
+    // without an owner for other nodes to compete for.
+    let handed_over = later.iter().find(|claim| claim.epoch.0 == 2).unwrap();
+    assert!(!handed_over.released && handed_over.renewal == 0);
     assert!(later.iter().all(|claim| !claim.released));
     submit(&three, 1).await.unwrap();
-    completed(&three, 1).await;
+    wait_until_completed(&three, 1).await;
     assert!(platform.claims().iter().all(|claim| claim.epoch.0 <= 2));
 }
 
 #[tokio::test]
-async fn another_node_takes_over_and_knows_what_was_done() {
+async fn a_new_owner_knows_the_jobs_completed_before_its_takeover() {
     let platform = Fake::new();
-    let one = node("one", &platform);
-    ready(&one).await;
-    let two = node("two", &platform);
-    ready(&two).await;
+    let one = start_node("one", &platform);
+    wait_until_ready(&one).await;
+    let two = start_node("two", &platform);
+    wait_until_ready(&two).await;
     submit(&two, 1).await.unwrap();
-    completed(&two, 1).await;
+    wait_until_completed(&two, 1).await;
     one.leave();
     one.disowned(SECOND).await;
     one.stop(SECOND).await;
     submit(&two, 2).await.unwrap();
-    completed(&two, 2).await;
+    wait_until_completed(&two, 2).await;
     assert_eq!(two.front().look(JobId(1)).await, Ok(State::Completed));
     assert_eq!(platform.starts(1), 4);
 }
 
 #[tokio::test]
-async fn an_owner_that_only_it_can_t_reach_the_store_gives_up_before_its_calls_run_out() {
+async fn an_owner_that_alone_can_t_reach_the_store_gives_the_cell_up_before_its_calls_time_out() {
     let platform = Fake::new();
-    let one = node("one", &platform);
-    ready(&one).await;
-    let apart = platform.machine();
-    let two = node("two", &apart);
-    ready(&two).await;
-    platform.set_here(Mode::Silent);
+    let one = start_node("one", &platform);
+    wait_until_ready(&one).await;
+    let other_machine = platform.another_machine();
+    let two = start_node("two", &other_machine);
+    wait_until_ready(&two).await;
+    platform.set_own_mode(Mode::Unresponsive);
     submit(&two, 1).await.unwrap();
-    completed(&two, 1).await;
-    assert_eq!(platform.run_out(), 0);
-    assert_eq!(apart.run_out(), 0);
+    wait_until_completed(&two, 1).await;
+    assert_eq!(platform.timed_out_calls(), 0);
+    assert_eq!(other_machine.timed_out_calls(), 0);
 }
 
 #[tokio::test]
-async fn a_weak_owner_gives_the_cell_up_for_a_strong_node_and_for_no_equal_one() {
+async fn an_owner_gives_the_cell_up_for_a_stronger_node_but_not_for_an_equal_one() {
     let platform = Fake::new();
-    let weak = node_with("weak", &platform, Millicores(120));
-    ready(&weak).await;
+    let weak = start_node_with_processor("weak", &platform, Millicores(120));
+    wait_until_ready(&weak).await;
     assert_eq!(platform.owner().as_deref(), Some("weak"));
-    let strong = node_with("strong", &platform, Millicores(500));
-    until(|| async { platform.owner().as_deref() == Some("strong") }).await;
-    let equal = node_with("equal", &platform, Millicores(400));
+    let strong = start_node_with_processor("strong", &platform, Millicores(500));
+    wait_until(|| async { platform.owner().as_deref() == Some("strong") }).await;
+    let equal = start_node_with_processor("equal", &platform, Millicores(400));
     submit(&weak, 1).await.unwrap();
-    completed(&equal, 1).await;
-    // Longer than an owner keeps the cell from a stronger node.
+    wait_until_completed(&equal, 1).await;
+    // Longer than an owner keeps the cell while a stronger node is present.
     tokio::time::sleep(4 * SECOND).await;
     assert_eq!(platform.owner().as_deref(), Some("strong"));
     strong.leave();
     strong.disowned(SECOND).await;
-    until(|| async { platform.owner().as_deref() == Some("equal") }).await;
+    wait_until(|| async { platform.owner().as_deref() == Some("equal") }).await;
 }
 
 #[tokio::test]
-async fn jobs_run_that_nobody_has_told_the_owner_of_whatever_partition_they_stand_in() {
+async fn jobs_run_from_every_partition_without_a_notice_to_the_owner() {
     let platform = Fake::new();
-    let (one, two) = (node("one", &platform), node("two", &platform));
-    ready(&one).await;
-    ready(&two).await;
+    let (one, two) = (start_node("one", &platform), start_node("two", &platform));
+    wait_until_ready(&one).await;
+    wait_until_ready(&two).await;
     for partition in 0..FIRST_PARTITIONS {
         let accepted = Accepted {
             job: JobId(100 + u64::from(partition)),
             queue: queue().into(),
-            spec: two_steps().into(),
+            spec: two_step_job().into(),
             workspace: None,
             received: Timestamp::ZERO,
             partition,
         };
-        platform.accept(partition, &accepted);
+        platform.record_job(partition, &accepted);
     }
     for partition in 0..FIRST_PARTITIONS {
         let job = 100 + u64::from(partition);
-        completed(&two, job).await;
+        wait_until_completed(&two, job).await;
         assert_eq!(platform.starts(job), 4);
     }
 }
 
-/// The owner before this one knew more nodes than a small cell has; one that writes to the last partition may be cut off from
-/// the next owner.
+/// The former owner's claim says that the cell has more nodes than a small one. The next owner has to read all
+/// partitions: a node that writes to the last one may be unable to notify
+/// the owner.
 #[tokio::test]
-async fn jobs_run_from_all_partitions_where_the_cell_was_large() {
+async fn jobs_run_from_all_partitions_if_the_cell_was_large_before() {
     let platform = Fake::new();
-    platform.claim(&Claim {
+    platform.write_claim(&Claim {
         epoch: Epoch(1),
         node: NodeName::from("gone"),
         address: SocketAddr::from(([127, 0, 0, 1], 1)),
@@ -281,32 +301,33 @@
         nodes: 1,
         slow_owners: 0,
     });
-    let one = node("one", &platform);
-    ready(&one).await;
+    let one = start_node("one", &platform);
+    wait_until_ready(&one).await;
     let partition = JOB_PARTITIONS - 1;
-    platform.accept(partition, &accepted(100, two_steps(), partition));
-    completed(&one, 100).await;
+    platform.record_job(partition, &acceptance(100, two_step_job(), partition));
+    wait_until_completed(&one, 100).await;
     assert_eq!(platform.starts(100), 4);
 }
 
-/// A cancellation that was told to an owner which was being replaced: it is on record, and nobody tells again.
+/// Guards against a lost cancellation: it is recorded, but only an owner that was being replaced was notified of it,
+/// and no node notifies the next one.
 #[tokio::test(start_paused = true)]
-async fn a_cancellation_that_nobody_has_told_the_owner_of_is_in_force_within_three_seconds() {
+async fn a_cancellation_without_a_notice_to_the_owner_takes_effect_within_three_seconds() {
     let platform = Fake::new();
-    let one = node("one", &platform);
-    ready(&one).await;
+    let one = start_node("one", &platform);
+    wait_until_ready(&one).await;
     let queue = QueueName::from("q");
-    let mut unplaceable = two_steps();
+    let mut unplaceable = two_step_job();
     unplaceable.steps[0].size = Resources::new(Millicores::from_cores(64), Bytes::from_gib(1), 0);
     for job in 0..u64::from(FIRST_PARTITIONS) {
         let deadline = Instant::now() + 3 * SECOND;
         let front = one.front();
-        let taken = front.submit(&queue, JobId(100 + job), unplaceable.clone(), deadline);
-        taken.await.unwrap();
+        let submission = front.submit(&queue, JobId(100 + job), unplaceable.clone(), deadline);
+        submission.await.unwrap();
     }
     tokio::time::sleep(SECOND).await;
     for partition in 0..FIRST_PARTITIONS {
-        platform.cancel(partition, 100 + u64::from(partition));
+        platform.record_cancellation(partition, 100 + u64::from(partition));
     }
     tokio::time::sleep(3 * SECOND).await;
     for job in 100..100 + u64::from(FIRST_PARTITIONS) {
@@ -314,118 +335,118 @@
     }
 }
 
-/// More workers than the owner gives all orders to.
-const FLEET: usize = 120;
+/// More workers than the owner sends all orders to by itself.
+const WORKERS: usize = 120;
 
 #[tokio::test]
-async fn the_orders_to_a_large_fleet_are_given_by_several_nodes() {
-    let platform = Fake::with_workers(FLEET);
-    let one = node("one", &platform);
-    ready(&one).await;
-    let (apart, weak) = (platform.machine(), platform.machine());
-    let two = node("two", &apart);
-    let three = node_with("three", &weak, Millicores(100));
-    ready(&two).await;
-    ready(&three).await;
+async fn the_orders_to_many_workers_are_sent_by_several_nodes() {
+    let platform = Fake::with_workers(WORKERS);
+    let one = start_node("one", &platform);
+    wait_until_ready(&one).await;
+    let (other_machine, weak) = (platform.another_machine(), platform.another_machine());
+    let two = start_node("two", &other_machine);
+    let three = start_node_with_processor("three", &weak, Millicores(100));
+    wait_until_ready(&two).await;
+    wait_until_ready(&three).await;
     let jobs = 1..20;
     for job in jobs.clone() {
         submit(&two, job).await.unwrap();
     }
     for job in jobs {
-        completed(&one, job).await;
+        wait_until_completed(&one, job).await;
         assert_eq!(platform.starts(job), 4);
     }
-    // The owner's equal gives some of them, the weak node none.
-    assert!(apart.ordered() > 0);
-    assert_eq!(weak.ordered(), 0);
+    // The node as strong as the owner sends some of them, the weak node none.
+    assert!(other_machine.start_orders() > 0);
+    assert_eq!(weak.start_orders(), 0);
 }
 
 #[tokio::test]
-async fn the_owner_gives_the_orders_of_a_node_that_is_gone() {
-    let platform = Fake::with_workers(FLEET);
-    let one = node("one", &platform);
-    ready(&one).await;
-    let apart = platform.machine();
-    let two = node("two", &apart);
-    ready(&two).await;
+async fn the_owner_sends_the_orders_of_a_stopped_node() {
+    let platform = Fake::with_workers(WORKERS);
+    let one = start_node("one", &platform);
+    wait_until_ready(&one).await;
+    let other_machine = platform.another_machine();
+    let two = start_node("two", &other_machine);
+    wait_until_ready(&two).await;
     submit(&one, 1).await.unwrap();
-    completed(&one, 1).await;
+    wait_until_completed(&one, 1).await;
     two.stop(Duration::ZERO).await;
     for job in 2..12 {
         submit(&one, job).await.unwrap();
     }
     for job in 2..12 {
-        completed(&one, job).await;
+        wait_until_completed(&one, job).await;
         assert_eq!(platform.starts(job), 4);
     }
 }
 
 #[tokio::test]
-async fn a_store_that_refuses_means_that_the_job_was_not_taken() {
+async fn a_job_is_not_accepted_when_the_store_refuses_its_record() {
     let platform = Fake::new();
-    let one = node("one", &platform);
-    ready(&one).await;
-    platform.set(Mode::Refusing);
+    let one = start_node("one", &platform);
+    wait_until_ready(&one).await;
+    platform.set_mode(Mode::Refusing);
     assert_eq!(submit(&one, 1).await, Err(Refusal::NotKept));
-    platform.set(Mode::Well);
-    ready(&one).await;
-    assert!(!platform.keeps(&JobId(1).to_string()));
+    platform.set_mode(Mode::Healthy);
+    wait_until_ready(&one).await;
+    assert!(!platform.has_record(&JobId(1).to_string()));
     assert_eq!(one.front().look(JobId(1)).await, Err(Refusal::NoJob));
 }
 
 #[tokio::test]
-async fn a_store_that_gives_no_answer_leaves_it_unknown() {
+async fn a_submission_is_answered_as_unknown_when_the_store_gives_no_answer() {
     let platform = Fake::new();
-    let one = node("one", &platform);
-    ready(&one).await;
-    platform.set(Mode::Mute);
+    let one = start_node("one", &platform);
+    wait_until_ready(&one).await;
+    platform.set_mode(Mode::AnswersLost);
     assert_eq!(submit(&one, 1).await, Err(Refusal::Unknown));
-    platform.set(Mode::Well);
-    // It was kept, so it runs.
-    completed(&one, 1).await;
+    platform.set_mode(Mode::Healthy);
+    // The store wrote the record, so the job runs.
+    wait_until_completed(&one, 1).await;
 }
 
 #[tokio::test]
-async fn an_append_whose_answer_is_lost_is_sent_again_while_the_caller_waits() {
+async fn an_append_whose_answer_is_lost_is_retried_while_the_caller_waits() {
     let platform = Fake::new();
-    let one = node("one", &platform);
-    ready(&one).await;
-    platform.set(Mode::Losing);
+    let one = start_node("one", &platform);
+    wait_until_ready(&one).await;
+    platform.set_mode(Mode::HalfAnswersLost);
     for job in 1..6 {
         assert_eq!(submit(&one, job).await, Ok(()));
     }
     for job in 1..6 {
-        completed(&one, job).await;
+        wait_until_completed(&one, job).await;
         assert_eq!(platform.starts(job), 4);
     }
 }
 
 #[tokio::test]
-async fn calls_of_a_store_that_refuses_are_bounded() {
+async fn submissions_to_a_store_that_refuses_fail_and_append_nothing() {
     let platform = Fake::new();
-    let one = node("one", &platform);
-    ready(&one).await;
-    platform.set(Mode::Refusing);
+    let one = start_node("one", &platform);
+    wait_until_ready(&one).await;
+    platform.set_mode(Mode::Refusing);
     let before = platform.appends();
     for job in 1..200 {
         assert_eq!(submit(&one, job).await, Err(Refusal::NotKept));
     }
-    // Refused calls never get as far as an append.
+    // Appends that the store refuses are not counted.
     assert_eq!(platform.appends(), before);
 }
 
 #[tokio::test]
-async fn a_cancelled_job_is_shown_as_cancelled_and_an_unknown_one_is_none() {
+async fn a_cancelled_job_ends_and_unknown_jobs_and_queues_are_refused() {
     let platform = Fake::new();
-    let one = node("one", &platform);
-    ready(&one).await;
+    let one = start_node("one", &platform);
+    wait_until_ready(&one).await;
     let queue = QueueName::from("q");
     let deadline = Instant::now() + 3 * SECOND;
     submit(&one, 1).await.unwrap();
-    until(|| async { one.front().look(JobId(1)).await.is_ok() }).await;
+    wait_until(|| async { one.front().look(JobId(1)).await.is_ok() }).await;
     let front = one.front();
     front.cancel(&queue, JobId(1), deadline).await.unwrap();
-    until(|| async {
+    wait_until(|| async {
         let state = one.front().look(JobId(1)).await;
         matches!(state, Ok(State::Cancelled | State::Completed))
     })
@@ -434,51 +455,52 @@
     assert_eq!(unknown, Err(Refusal::NoJob));
     let missing = QueueName::from("missing");
     let refused = front
-        .submit(&missing, JobId(3), two_steps(), deadline)
+        .submit(&missing, JobId(3), two_step_job(), deadline)
         .await;
     assert_eq!(refused, Err(Refusal::NoQueue));
 }
 
-/// A node that is cut off from the store doesn't hear of new queues.
+/// A node that is cut off from the store does not learn of new queues, so it cannot tell that a queue is missing.
 #[tokio::test(start_paused = true)]
-async fn a_queue_is_missing_only_in_a_configuration_that_the_store_told_of_late() {
+async fn a_queue_is_reported_missing_only_while_the_configuration_is_current() {
     let platform = Fake::new();
-    let one = node("one", &platform);
-    ready(&one).await;
+    let one = start_node("one", &platform);
+    wait_until_ready(&one).await;
     let missing = QueueName::from("missing");
     let deadline = Instant::now() + 300 * SECOND;
     let front = one.front();
-    let submit = || front.submit(&missing, JobId(1), two_steps(), deadline);
+    let submit = || front.submit(&missing, JobId(1), two_step_job(), deadline);
     assert_eq!(submit().await, Err(Refusal::NoQueue));
     assert_eq!(front.pending(&missing).await, Err(Refusal::NoQueue));
-    platform.set(Mode::Silent);
+    platform.set_mode(Mode::Unresponsive);
     tokio::time::sleep(4 * SECOND).await;
     assert_eq!(submit().await, Err(Refusal::NotReady));
     assert_eq!(front.pending(&missing).await, Err(Refusal::NotReady));
-    platform.set(Mode::Well);
+    platform.set_mode(Mode::Healthy);
     tokio::time::sleep(SECOND).await;
     assert_eq!(submit().await, Err(Refusal::NoQueue));
 }
 
-/// Whenever a store returns that was silent, what waited for its record starts soon: no copy from before its return is answered.
+/// Guards against starts that stay blocked after an outage, however long it took. A start that waits for its record has
+/// to send the record again: the store never answers calls made before its return.
 #[rstest]
 #[tokio::test(start_paused = true)]
-async fn starts_go_on_soon_after_a_silent_store_returns(
+async fn starts_resume_soon_after_an_outage(
     #[values(2_000, 2_600, 3_200, 3_800, 4_400)] outage_ms: u64,
 ) {
     let platform = Fake::new();
-    // Alone it would give the cell up.
-    let (one, two) = (node("one", &platform), node("two", &platform));
-    ready(&one).await;
-    ready(&two).await;
-    // Its first step runs when the store falls silent, and the second one can't start without a record.
+    // A single node would give up the cell.
+    let (one, two) = (start_node("one", &platform), start_node("two", &platform));
+    wait_until_ready(&one).await;
+    wait_until_ready(&two).await;
+    // The first step runs when the outage begins, and the second one cannot start without a record.
     submit(&one, 1).await.unwrap();
-    until(|| async { platform.starts(1) == 2 }).await;
-    platform.set(Mode::Silent);
+    wait_until(|| async { platform.starts(1) == 2 }).await;
+    platform.set_mode(Mode::Unresponsive);
     sleep(Duration::from_millis(outage_ms)).await;
-    platform.set(Mode::Well);
-    let back = Instant::now();
-    completed(&one, 1).await;
-    let took = back.elapsed();
+    platform.set_mode(Mode::Healthy);
+    let outage_end = Instant::now();
+    wait_until_completed(&one, 1).await;
+    let took = outage_end.elapsed();
     assert!(took < 2 * SECOND, "{took:?}");
 }
--- a/crates/node/tests/node/support.rs
+++ b/crates/node/tests/node/support.rs
@@ -1,4 +1,4 @@
-//! Nodes, jobs and calls of callers, as the tests make them.
+//! Helpers that start nodes, build jobs and act as callers.
 
 use std::{
     net::SocketAddr,
@@ -48,7 +48,7 @@
 
 pub(crate) const SECOND: Duration = Duration::from_secs(1);
 
-/// Makes the one queue.
+/// Returns the only queue of the tests' configuration.
 pub(crate) fn queue() -> Queue {
     Queue {
         name: QueueName::from("q"),
@@ -61,18 +61,22 @@
     }
 }
 
-/// Starts a node on any port.
-pub(crate) fn node(name: &str, platform: &Fake) -> Node<Fake> {
-    node_with(name, platform, Millicores(250))
+/// Starts a node on a free port.
+pub(crate) fn start_node(name: &str, platform: &Fake) -> Node<Fake> {
+    start_node_with_processor(name, platform, Millicores(250))
 }
 
-/// Starts a node with a processor.
-pub(crate) fn node_with(name: &str, platform: &Fake, processor: Millicores) -> Node<Fake> {
-    node_metered(name, platform, processor, Meter::new().unwrap())
+/// Starts a node with a processor share.
+pub(crate) fn start_node_with_processor(
+    name: &str,
+    platform: &Fake,
+    processor: Millicores,
+) -> Node<Fake> {
+    start_node_with_meter(name, platform, processor, Meter::new().unwrap())
 }
 
-/// Starts a node whose metrics can be read.
-pub(crate) fn node_metered(
+/// Starts a node that records its metrics in `meter`.
+pub(crate) fn start_node_with_meter(
     name: &str,
     platform: &Fake,
     processor: Millicores,
@@ -96,24 +100,27 @@
     .unwrap()
 }
 
-/// Waits until a node takes jobs and knows which there are.
-pub(crate) async fn ready(node: &Node<Fake>) {
-    until(|| async {
+/// Waits until a node accepts jobs and can tell which jobs exist.
+pub(crate) async fn wait_until_ready(node: &Node<Fake>) {
+    wait_until(|| async {
         node.front().is_ready() && node.front().look(JobId(0)).await == Err(Refusal::NoJob)
     })
     .await;
 }
 
-/// Waits until something holds; the limit only ends a test that hangs.
-pub(crate) async fn until<F: Future<Output = bool>>(mut holds: impl FnMut() -> F) {
+/// Waits until a condition holds. The time limit only ends a test that hangs.
+pub(crate) async fn wait_until<F: Future<Output = bool>>(mut holds: impl FnMut() -> F) {
     let limit = Instant::now() + Duration::from_secs(60);
     while !holds().await {
-        assert!(Instant::now() < limit, "it never came to hold");
+        assert!(
+            Instant::now() < limit,
+            "the condition did not hold within 60 s"
+        );
         sleep(Duration::from_millis(20)).await;
     }
 }
 
-/// Makes a step of two short tasks.
+/// Returns a step of two short tasks.
 pub(crate) fn step() -> Step {
     Step {
         count: 2,
@@ -123,15 +130,15 @@
     }
 }
 
-/// Makes a step that no worker has room for.
-pub(crate) fn unplaceable() -> Step {
+/// Returns a step that no worker has room for.
+pub(crate) fn unplaceable_step() -> Step {
     Step {
         size: Resources::new(Millicores::from_cores(64), Bytes::from_gib(1), 0),
         ..step()
     }
 }
 
-/// Makes a job of steps.
+/// Returns a job of the given steps.
 pub(crate) fn job(steps: Vec<Step>, schedule: Option<Schedule>) -> Spec {
     Spec {
         text: "text".into(),
@@ -140,8 +147,8 @@
     }
 }
 
-/// Makes a job of two steps of two tasks, one after the other.
-pub(crate) fn two_steps() -> Spec {
+/// Returns a job of two steps of two tasks each, the second step after the first.
+pub(crate) fn two_step_job() -> Spec {
     let then = Step {
         after: vec![0],
         ..step()
@@ -149,8 +156,8 @@
     job(vec![step(), then], None)
 }
 
-/// Makes the acceptance of a job that a node has put on record in a partition.
-pub(crate) fn accepted(id: u64, spec: Spec, partition: u16) -> Accepted {
+/// Returns the record with which a node accepts a job in a partition.
+pub(crate) fn acceptance(id: u64, spec: Spec, partition: u16) -> Accepted {
     Accepted {
         job: JobId(id),
         queue: queue().into(),
@@ -161,9 +168,9 @@
     }
 }
 
-/// Hands in a job of two steps.
+/// Submits a job of two steps.
 pub(crate) async fn submit(node: &Node<Fake>, id: u64) -> Result<(), Refusal> {
-    submit_spec(node, id, two_steps()).await
+    submit_spec(node, id, two_step_job()).await
 }
 
 pub(crate) async fn submit_spec(node: &Node<Fake>, id: u64, spec: Spec) -> Result<(), Refusal> {
@@ -182,6 +189,6 @@
         .await
 }
 
-pub(crate) async fn completed(node: &Node<Fake>, id: u64) {
-    until(|| async { node.front().look(JobId(id)).await == Ok(State::Completed) }).await;
+pub(crate) async fn wait_until_completed(node: &Node<Fake>, id: u64) {
+    wait_until(|| async { node.front().look(JobId(id)).await == Ok(State::Completed) }).await;
 }
--- a/crates/node/tests/node/suspension.rs
+++ b/crates/node/tests/node/suspension.rs
@@ -1,4 +1,4 @@
-//! Machines that are suspended: the runtime's clock stands still, and the leases that others count run on.
+//! Machines that are suspended: the runtime's clock stops while the leases that other nodes observe go on to expire.
 
 use std::{
     collections::BTreeSet,
@@ -11,47 +11,47 @@
     platform::Fake,
     support::{
         SECOND,
-        completed,
-        node,
-        ready,
+        start_node,
         submit,
-        until, //
+        wait_until,
+        wait_until_completed,
+        wait_until_ready, //
     },
 };
 
-const SLEPT: Duration = Duration::from_secs(5);
+const SUSPENSION: Duration = Duration::from_secs(5);
 
 #[tokio::test]
 async fn an_owner_whose_machine_was_suspended_gives_the_cell_up() {
     let platform = Fake::new();
-    let machine = platform.machine();
-    let one = node("one", &machine);
-    ready(&one).await;
-    let two = node("two", &platform);
-    ready(&two).await;
+    let machine = platform.another_machine();
+    let one = start_node("one", &machine);
+    wait_until_ready(&one).await;
+    let two = start_node("two", &platform);
+    wait_until_ready(&two).await;
     let first = platform.claims().last().map(|claim| claim.epoch);
-    machine.suspend(SLEPT);
-    // Whoever owns it next has read anew what stands on record.
-    until(|| async { platform.claims().last().map(|claim| claim.epoch) > first }).await;
-    ready(&two).await;
+    machine.suspend(SUSPENSION);
+    // The next owner has read the store again.
+    wait_until(|| async { platform.claims().last().map(|claim| claim.epoch) > first }).await;
+    wait_until_ready(&two).await;
     submit(&two, 1).await.unwrap();
-    completed(&two, 1).await;
+    wait_until_completed(&two, 1).await;
     assert_eq!(platform.starts(1), 4);
 }
 
-/// What a node noticed before it owned the cell doesn't end its ownership.
+/// A suspension that a node noticed before it owned the cell does not end its ownership.
 #[tokio::test]
 async fn a_node_that_was_suspended_keeps_the_cell_that_it_claims_later() {
     let platform = Fake::new();
-    let one = node("one", &platform);
-    ready(&one).await;
-    let machine = platform.machine();
-    let two = node("two", &machine);
-    ready(&two).await;
-    machine.suspend(SLEPT);
+    let one = start_node("one", &platform);
+    wait_until_ready(&one).await;
+    let machine = platform.another_machine();
+    let two = start_node("two", &machine);
+    wait_until_ready(&two).await;
+    machine.suspend(SUSPENSION);
     tokio::time::sleep(Duration::from_millis(300)).await;
     drop(one);
-    until(|| async { platform.owner().as_deref() == Some("two") }).await;
+    wait_until(|| async { platform.owner().as_deref() == Some("two") }).await;
     tokio::time::sleep(SECOND).await;
     let claims = platform.claims();
     let own = claims.iter().filter(|claim| claim.node.as_str() == "two");
--- a/crates/node/tests/node/workspace.rs
+++ b/crates/node/tests/node/workspace.rs
@@ -1,4 +1,4 @@
-//! Keys and workspaces: who is let in, by which node, and what they learn of each other.
+//! API keys and workspaces: which callers a node admits, and what callers of one workspace can see of another.
 
 use std::time::Duration;
 
@@ -35,11 +35,11 @@
     support::{
         SECOND,
         job,
-        node,
-        ready,
-        two_steps,
-        unplaceable,
-        until, //
+        start_node,
+        two_step_job,
+        unplaceable_step,
+        wait_until,
+        wait_until_ready, //
     },
 };
 
@@ -52,38 +52,41 @@
     }
 }
 
-/// Has the operator name workspaces with their keys; a later version has the longer text.
+/// Writes a configuration that names workspaces with their keys. Its version grows with the length of the text, so a
+/// later configuration needs a longer text.
 fn configure(platform: &Fake, text: &str) {
     let value = format!("keys: {text}");
     platform.write(Topic::Configuration, "config", value.as_bytes());
 }
 
-/// Lets a caller in who shows a key.
-fn enter(node: &Node<Fake>, key: &str) -> Result<Front<Fake>, Refusal> {
+/// Authenticates a caller by its key.
+fn authenticate(node: &Node<Fake>, key: &str) -> Result<Front<Fake>, Refusal> {
     let front = node.front();
     let config = front.config().ok_or(Refusal::NotReady)?;
     front.authenticate(&config, &ingress(false), Some(&KeyDigest::of(key)))
 }
 
-/// Returns the version of a configuration that the operator has written so.
+/// Returns the version of the configuration that [`configure`] writes for a text.
 fn version(text: &str) -> u64 {
     platform::version(format!("keys: {text}").as_bytes())
 }
 
-async fn let_in(node: &Node<Fake>, key: &str) -> Front<Fake> {
-    until(|| async {
+async fn wait_until_admitted(node: &Node<Fake>, key: &str) -> Front<Fake> {
+    wait_until(|| async {
         let config = node.front().config();
         let has_keys = config.is_some_and(|config| config.directory.is_some());
-        has_keys && enter(node, key).is_ok()
+        has_keys && authenticate(node, key).is_ok()
     })
     .await;
-    enter(node, key).unwrap()
+    authenticate(node, key).unwrap()
 }
 
 async fn submit(front: &Front<Fake>, id: u64) -> Result<(), Refusal> {
     let deadline = Instant::now() + 3 * SECOND;
     let queue = QueueName::from("q");
-    front.submit(&queue, JobId(id), two_steps(), deadline).await
+    front
+        .submit(&queue, JobId(id), two_step_job(), deadline)
+        .await
 }
 
 async fn cancel(front: &Front<Fake>, id: u64) -> Result<(), Refusal> {
@@ -93,17 +96,17 @@
         .await
 }
 
-async fn completed(front: &Front<Fake>, id: u64) {
-    until(|| async { front.look(JobId(id)).await == Ok(State::Completed) }).await;
+async fn wait_until_completed(front: &Front<Fake>, id: u64) {
+    wait_until(|| async { front.look(JobId(id)).await == Ok(State::Completed) }).await;
 }
 
 #[tokio::test]
-async fn calls_show_a_key_that_is_in_force_unless_their_queue_is_public() {
+async fn callers_need_a_valid_key_unless_their_queue_is_public() {
     let platform = Fake::new();
-    let one = node("one", &platform);
-    ready(&one).await;
+    let one = start_node("one", &platform);
+    wait_until_ready(&one).await;
     let config = one.front().config().unwrap();
-    let is_open = |is_public, key: Option<&str>| {
+    let try_key = |is_public, key: Option<&str>| {
         let front = one.front();
         let config = front.config().unwrap();
         let key = key.map(KeyDigest::of);
@@ -112,68 +115,71 @@
             .map(drop)
     };
     let front = one.front().authenticate(&config, &ingress(false), None);
-    assert!(front.is_ok(), "there are no workspaces yet");
+    assert!(front.is_ok(), "without workspaces no key is needed");
     configure(&platform, "a=ka,kb b=kc");
-    let_in(&one, "ka").await;
-    assert_eq!(is_open(false, Some("kb")), Ok(()));
-    assert_eq!(is_open(false, Some("kd")), Err(Refusal::Unauthorized));
-    assert_eq!(is_open(false, Some("")), Err(Refusal::Unauthorized));
-    assert_eq!(is_open(false, None), Err(Refusal::Unauthorized));
-    assert_eq!(is_open(true, None), Ok(()));
-    // The last key of all is taken away: nobody is let in.
+    wait_until_admitted(&one, "ka").await;
+    assert_eq!(try_key(false, Some("kb")), Ok(()));
+    assert_eq!(try_key(false, Some("kd")), Err(Refusal::Unauthorized));
+    assert_eq!(try_key(false, Some("")), Err(Refusal::Unauthorized));
+    assert_eq!(try_key(false, None), Err(Refusal::Unauthorized));
+    assert_eq!(try_key(true, None), Ok(()));
+    // The last key is removed: no caller is admitted.
     configure(&platform, "                        ");
-    until(|| async { is_open(false, Some("ka")) == Err(Refusal::Unauthorized) }).await;
+    wait_until(|| async { try_key(false, Some("ka")) == Err(Refusal::Unauthorized) }).await;
 }
 
 #[tokio::test]
-async fn callers_of_another_workspace_see_count_and_cancel_nothing() {
+async fn callers_can_t_see_count_or_cancel_jobs_of_another_workspace() {
     let platform = Fake::new();
-    let (one, two) = (node("one", &platform), node("two", &platform));
+    let (one, two) = (start_node("one", &platform), start_node("two", &platform));
     configure(&platform, "a=ka b=kb");
-    ready(&one).await;
-    ready(&two).await;
-    let own = let_in(&one, "ka").await;
-    let other = let_in(&two, "kb").await;
+    wait_until_ready(&one).await;
+    wait_until_ready(&two).await;
+    let own = wait_until_admitted(&one, "ka").await;
+    let other = wait_until_admitted(&two, "kb").await;
     let queue = QueueName::from("q");
     let deadline = Instant::now() + 3 * SECOND;
-    let waiting = job(vec![unplaceable()], None);
+    let waiting = job(vec![unplaceable_step()], None);
     own.submit(&queue, JobId(1), waiting, deadline)
         .await
         .unwrap();
-    until(|| async { own.pending(&queue).await == Ok(1) }).await;
+    wait_until(|| async { own.pending(&queue).await == Ok(1) }).await;
     assert_eq!(other.pending(&queue).await, Ok(0));
     assert_eq!(other.look(JobId(1)).await, Err(Refusal::NoJob));
     assert_eq!(cancel(&other, 1).await, Err(Refusal::NoJob));
     assert_eq!(own.look(JobId(1)).await, Ok(State::Queued));
-    // Before it was known, too.
+    // The same holds for a job that is not known yet.
     assert_eq!(cancel(&other, 2).await, Err(Refusal::NoJob));
     submit(&own, 2).await.unwrap();
-    completed(&own, 2).await;
+    wait_until_completed(&own, 2).await;
     assert_eq!(other.look(JobId(2)).await, Err(Refusal::NoJob));
     assert_eq!(cancel(&own, 1).await, Ok(()));
-    until(|| async { own.look(JobId(1)).await == Ok(State::Cancelled) }).await;
+    wait_until(|| async { own.look(JobId(1)).await == Ok(State::Cancelled) }).await;
 }
 
-/// Both are kept by one node, so under keys of one partition.
+/// One node accepts both submissions, so both records are in one partition.
 #[tokio::test]
-async fn a_job_under_an_id_of_another_workspace_takes_that_ones_place_nowhere() {
+async fn a_job_submitted_under_the_id_of_another_workspaces_job_doesn_t_replace_it() {
     let platform = Fake::new();
-    let one = node("one", &platform);
+    let one = start_node("one", &platform);
     configure(&platform, "a=ka b=kb");
-    ready(&one).await;
-    let (own, other) = (let_in(&one, "ka").await, let_in(&one, "kb").await);
+    wait_until_ready(&one).await;
+    let (own, other) = (
+        wait_until_admitted(&one, "ka").await,
+        wait_until_admitted(&one, "kb").await,
+    );
     submit(&own, 1).await.unwrap();
     submit(&other, 1).await.unwrap();
-    completed(&own, 1).await;
+    wait_until_completed(&own, 1).await;
     assert_eq!(platform.starts(1), 4);
     assert_eq!(other.look(JobId(1)).await, Err(Refusal::NoJob));
-    let two = node("two", &platform);
-    ready(&two).await;
+    let two = start_node("two", &platform);
+    wait_until_ready(&two).await;
     one.leave();
     one.disowned(SECOND).await;
     one.stop(SECOND).await;
-    let own = let_in(&two, "ka").await;
-    completed(&own, 1).await;
+    let own = wait_until_admitted(&two, "ka").await;
+    wait_until_completed(&own, 1).await;
     assert_eq!(platform.starts(1), 4);
 }
 
@@ -182,28 +188,28 @@
 #[case::the_key_was_moved_to_another_workspace("a=kb b=ka ", "ka", Err(Refusal::NoJob))]
 #[case::the_key_was_replaced("a=kb,kc", "kb", Ok(State::Completed))]
 #[tokio::test]
-async fn a_job_stays_its_workspaces_whatever_becomes_of_the_key(
+async fn a_job_stays_in_its_workspace_whatever_happens_to_its_key(
     #[case] later: &str,
     #[case] key: &str,
     #[case] expected: Result<State, Refusal>,
 ) {
     let platform = Fake::new();
-    let one = node("one", &platform);
+    let one = start_node("one", &platform);
     configure(&platform, "a=ka");
-    ready(&one).await;
-    let own = let_in(&one, "ka").await;
+    wait_until_ready(&one).await;
+    let own = wait_until_admitted(&one, "ka").await;
     submit(&own, 1).await.unwrap();
     configure(&platform, later);
-    completed(&own, 1).await;
-    until(|| async {
+    wait_until_completed(&own, 1).await;
+    wait_until(|| async {
         let front = one.front();
         let config = front.config().unwrap();
         config.version == version(later)
     })
     .await;
-    let front = let_in(&one, key).await;
+    let front = wait_until_admitted(&one, key).await;
     assert_eq!(front.look(JobId(1)).await, expected);
-    // Handed in again by whoever may, it is the same job.
+    // Submitted again by a caller of its workspace, it is the same job.
     if expected.is_ok() {
         submit(&front, 1).await.unwrap();
         sleep(SECOND / 2).await;
@@ -211,59 +217,59 @@
     }
 }
 
-/// The store turns a machine away, and the operator takes a key away meanwhile.
+/// The store does not serve a node's machine, and the operator revokes a key meanwhile.
 #[rstest]
-#[case::in_silence(Mode::Silent)]
-#[case::at_once(Mode::Refusing)]
+#[case::unresponsive(Mode::Unresponsive)]
+#[case::refusing(Mode::Refusing)]
 #[tokio::test]
-async fn a_node_that_the_store_leaves_alone_follows_the_configuration_by_word_of_the_owner(
+async fn a_node_that_can_t_reach_the_store_gets_the_configuration_from_the_owner(
     #[case] mode: Mode,
 ) {
     let platform = Fake::new();
-    let one = node("one", &platform);
-    ready(&one).await;
-    let apart = platform.machine();
-    let two = node("two", &apart);
+    let one = start_node("one", &platform);
+    wait_until_ready(&one).await;
+    let other_machine = platform.another_machine();
+    let two = start_node("two", &other_machine);
     configure(&platform, "a=ka");
-    ready(&two).await;
-    let_in(&two, "ka").await;
-    apart.set_here(mode);
+    wait_until_ready(&two).await;
+    wait_until_admitted(&two, "ka").await;
+    other_machine.set_own_mode(mode);
     configure(&platform, "a=kb b=kc");
     let revoked = Instant::now();
-    until(|| async { enter(&two, "ka").err() == Some(Refusal::Unauthorized) }).await;
+    wait_until(|| async { authenticate(&two, "ka").err() == Some(Refusal::Unauthorized) }).await;
     let took = revoked.elapsed();
     assert!(took < 3 * SECOND, "{took:?}");
-    assert!(enter(&two, "kb").is_ok());
-    // It goes on to know that there is nothing newer.
+    assert!(authenticate(&two, "kb").is_ok());
+    // The owner keeps confirming that there is nothing newer.
     sleep(3 * SECOND).await;
-    assert_eq!(enter(&two, "ka").err(), Some(Refusal::Unauthorized));
-    assert!(enter(&two, "kb").is_ok());
+    assert_eq!(authenticate(&two, "ka").err(), Some(Refusal::Unauthorized));
+    assert!(authenticate(&two, "kb").is_ok());
 }
 
-/// Nobody can take a key away meanwhile, but a new one may have come just before.
+/// During an outage no key can be revoked, but an unknown key may have been added just before.
 #[tokio::test]
-async fn while_the_store_is_away_for_all_the_keys_hold_that_are_known() {
+async fn known_keys_stay_valid_during_an_outage() {
     let platform = Fake::new();
-    let (one, two) = (node("one", &platform), node("two", &platform));
+    let (one, two) = (start_node("one", &platform), start_node("two", &platform));
     configure(&platform, "a=ka");
-    ready(&one).await;
-    ready(&two).await;
-    let_in(&one, "ka").await;
-    let_in(&two, "ka").await;
-    platform.set(Mode::Silent);
+    wait_until_ready(&one).await;
+    wait_until_ready(&two).await;
+    wait_until_admitted(&one, "ka").await;
+    wait_until_admitted(&two, "ka").await;
+    platform.set_mode(Mode::Unresponsive);
     sleep(4 * SECOND).await;
     for node in [&one, &two] {
-        assert!(enter(node, "ka").is_ok());
-        assert_eq!(enter(node, "kb").err(), Some(Refusal::NotReady));
+        assert!(authenticate(node, "ka").is_ok());
+        assert_eq!(authenticate(node, "kb").err(), Some(Refusal::NotReady));
     }
 }
 
 #[rstest]
-#[case::no_bound(None, 3_600_000, false)]
-#[case::in_time(Some(5_000), 4_400, false)]
-#[case::as_its_call_is_on_its_way(Some(5_000), 4_500, true)]
-#[case::late(Some(5_000), 60_000, true)]
-fn keys_are_refused_in_time_where_the_platform_bounds_that(
+#[case::no_limit(None, 3_600_000, false)]
+#[case::before_the_limit(Some(5_000), 4_400, false)]
+#[case::at_the_limit_less_the_call_time(Some(5_000), 4_500, true)]
+#[case::after_the_limit(Some(5_000), 60_000, true)]
+fn keys_are_refused_shortly_before_the_revocation_limit(
     #[case] within_ms: Option<u64>,
     #[case] age_ms: u64,
     #[case] expected: bool,
