--- a/crates/cell/src/bounds.rs
+++ b/crates/cell/src/bounds.rs
@@ -18,7 +18,7 @@
     /// How much processor time a task uses between two checkpoints.
     pub checkpoint: Duration,
     /// For how long after the evacuation of a data centre a task may still be started there; `None` sets no limit.
-    pub evacuate: Option<Duration>,
+    pub evacuation_deadline: Option<Duration>,
 }
 
 impl Default for Bounds {
@@ -30,7 +30,7 @@
             remote_penalty: 1.5,
             restore: Duration::from_millis(250),
             checkpoint: Duration::from_millis(500),
-            evacuate: None,
+            evacuation_deadline: None,
         }
     }
 }
@@ -54,7 +54,7 @@
     /// Returns the greatest age that the list of evacuated data centres may have when an order to start is sent; `None`
     /// if any age is allowed.
     pub fn evacuation_age(&self) -> Option<Duration> {
-        let evacuate = self.evacuate?;
+        let evacuate = self.evacuation_deadline?;
         Some(
             evacuate
                 .saturating_sub(MAX_START_DELIVERY)
--- a/crates/cell/tests/cell/world/evacuate.rs
+++ b/crates/cell/tests/cell/world/evacuate.rs
@@ -29,7 +29,7 @@
 /// Returns the engine's bounds for a history with the given faults.
 pub(super) fn bounds(faults: &Faults) -> Bounds {
     Bounds {
-        evacuate: (faults.evacuations > 0).then_some(EVACUATION_DEADLINE),
+        evacuation_deadline: (faults.evacuations > 0).then_some(EVACUATION_DEADLINE),
         ..Bounds::default()
     }
 }
