--- a/crates/cell/src/bounds.rs
+++ b/crates/cell/src/bounds.rs
@@ -16,7 +16,7 @@
     /// How long a task takes to resume from a checkpoint.
     pub restore_duration: Duration,
     /// How much processor time a task uses between two checkpoints.
-    pub checkpoint: Duration,
+    pub checkpoint_interval: Duration,
     /// For how long after the evacuation of a data centre a task may still be started there; `None` sets no limit.
     pub evacuation_deadline: Option<Duration>,
 }
@@ -29,7 +29,7 @@
             gang_wait: Duration::from_secs(3),
             remote_penalty: 1.5,
             restore_duration: Duration::from_millis(250),
-            checkpoint: Duration::from_millis(500),
+            checkpoint_interval: Duration::from_millis(500),
             evacuation_deadline: None,
         }
     }
@@ -69,7 +69,7 @@
 
     /// Returns the average processor time that a preempted task loses.
     pub fn preemption_loss(&self) -> Duration {
-        self.checkpoint / 2 + self.restore_duration
+        self.checkpoint_interval / 2 + self.restore_duration
     }
 
     /// Returns how long after an order was sent the lease that it granted has expired for certain.
