--- a/crates/cell/src/bounds.rs
+++ b/crates/cell/src/bounds.rs
@@ -42,7 +42,7 @@
 
 /// For how long an owner that is cut off may go on extending leases after another node has taken over. It stops 1.2 s
 /// after it last reached the store or a node, and detects that within 0.6 s.
-pub const FORMER_OWNER: Duration = Duration::from_millis(1_800);
+pub const MAX_FORMER_OWNER_ACTIVITY: Duration = Duration::from_millis(1_800);
 
 /// The longest time that an order to start takes to reach its worker, including when another node forwards it.
 const MAX_START_DELIVERY: Duration = Duration::from_secs(1);
--- a/crates/cell/src/engine/mod.rs
+++ b/crates/cell/src/engine/mod.rs
@@ -93,7 +93,7 @@
     },
     bounds::{
         Bounds,
-        FORMER_OWNER, //
+        MAX_FORMER_OWNER_ACTIVITY, //
     },
     config::Config,
     effect::{
@@ -310,7 +310,7 @@
         engine.ended = over
             .filter(|(job, _)| !engine.jobs.contains_key(job))
             .collect();
-        let lapses = now + engine.bounds.lapse() + FORMER_OWNER;
+        let lapses = now + engine.bounds.lapse() + MAX_FORMER_OWNER_ACTIVITY;
         for (worker, usage) in inheritance.workers {
             engine.expect_worker(worker, usage, lapses, now);
         }
--- a/crates/cell/tests/cell/foreign.rs
+++ b/crates/cell/tests/cell/foreign.rs
@@ -5,7 +5,7 @@
 use fulmarpier_cell::{
     bounds::{
         Bounds,
-        FORMER_OWNER, //
+        MAX_FORMER_OWNER_ACTIVITY, //
     },
     engine::State,
     id::{
@@ -120,7 +120,7 @@
         world.turn_foreign(&id, FOREVER);
     }
     world.take_over();
-    world.run(2 * (Bounds::default().lapse() + FORMER_OWNER));
+    world.run(2 * (Bounds::default().lapse() + MAX_FORMER_OWNER_ACTIVITY));
     assert_eq!(world.violations, Vec::<String>::new());
     assert!(is_completed(&world, job));
     assert_eq!(world.starts, 32, "no task is started twice");
