--- a/crates/cell/src/bounds.rs
+++ b/crates/cell/src/bounds.rs
@@ -53,7 +53,7 @@
 impl Bounds {
     /// Returns the greatest age that the list of evacuated data centres may have when an order to start is sent; `None`
     /// if any age is allowed.
-    pub fn evacuation_age(&self) -> Option<Duration> {
+    pub fn max_evacuation_age(&self) -> Option<Duration> {
         let evacuate = self.evacuation_deadline?;
         Some(
             evacuate
--- a/crates/cell/src/engine/evacuate.rs
+++ b/crates/cell/src/engine/evacuate.rs
@@ -47,7 +47,7 @@
         let Some(reading) = &self.evacuation else {
             return false;
         };
-        let max_age = self.bounds.evacuation_age();
+        let max_age = self.bounds.max_evacuation_age();
         max_age.is_none_or(|max_age| now.since(reading.at) <= max_age)
     }
 
