--- a/crates/cell/src/bounds.rs
+++ b/crates/cell/src/bounds.rs
@@ -63,7 +63,7 @@
     }
 
     /// Returns how long after a confirmed stop every run that was on the worker is listed as ended.
-    pub fn stopped(&self) -> Duration {
+    pub fn stop_settle_time(&self) -> Duration {
         self.stop_grace + TIMER_SLACK
     }
 
--- a/crates/cell/src/engine/contact.rs
+++ b/crates/cell/src/engine/contact.rs
@@ -159,7 +159,7 @@
                 load: 0,
             };
             // Runs that a former owner was stopping may be missing from an inventory; they end within the grace time.
-            self.adopt(slot, &running, now + self.bounds.stopped(), now);
+            self.adopt(slot, &running, now + self.bounds.stop_settle_time(), now);
         }
     }
 
@@ -454,7 +454,7 @@
                     Phase::Running { since } => is_void || since <= asked,
                     // During a stop, a run may be listed neither as running nor as ended.
                     Phase::Stopping { confirmed } => {
-                        confirmed.is_some_and(|at| at + self.bounds.stopped() <= asked)
+                        confirmed.is_some_and(|at| at + self.bounds.stop_settle_time() <= asked)
                     }
                 };
                 is_settled && !listed.contains(key)
