--- a/crates/cell/src/bounds.rs
+++ b/crates/cell/src/bounds.rs
@@ -73,7 +73,7 @@
     }
 
     /// Returns how long after an order was sent the lease that it granted has expired for certain.
-    pub fn lapse(&self) -> Duration {
+    pub fn lease_expiry_time(&self) -> Duration {
         self.lease
             + self.lease * MAX_CLOCK_DRIFT_PERMILLE / (1_000 - MAX_CLOCK_DRIFT_PERMILLE)
             + TIMER_SLACK
--- a/crates/cell/src/engine/mod.rs
+++ b/crates/cell/src/engine/mod.rs
@@ -310,7 +310,7 @@
         engine.ended = over
             .filter(|(job, _)| !engine.jobs.contains_key(job))
             .collect();
-        let lapses = now + engine.bounds.lapse() + MAX_FORMER_OWNER_ACTIVITY;
+        let lapses = now + engine.bounds.lease_expiry_time() + MAX_FORMER_OWNER_ACTIVITY;
         for (worker, usage) in inheritance.workers {
             engine.expect_worker(worker, usage, lapses, now);
         }
--- a/crates/cell/src/worker.rs
+++ b/crates/cell/src/worker.rs
@@ -259,7 +259,7 @@
     pub fn extend(&mut self, bounds: &Bounds, now: Timestamp) -> Option<u64> {
         let reading = self.clock_reading?;
         let elapsed = now.since(reading.at) + bounds.lease;
-        self.leases_end = self.leases_end.max(now + bounds.lapse());
+        self.leases_end = self.leases_end.max(now + bounds.lease_expiry_time());
         let elapsed = u64::try_from(elapsed.as_millis()).unwrap_or(u64::MAX);
         Some(reading.millis.saturating_add(elapsed))
     }
--- a/crates/cell/tests/cell/foreign.rs
+++ b/crates/cell/tests/cell/foreign.rs
@@ -99,14 +99,14 @@
     let cut_off = workers(&world)[0].clone();
     world.workers.get_mut(&cut_off).unwrap().cut_until = world.now + FOREVER;
     world.turn_foreign(&cut_off, FOREVER);
-    world.run(Bounds::default().lapse() / 2);
+    world.run(Bounds::default().lease_expiry_time() / 2);
     assert_eq!(
         world.engine.worker_count(),
         8,
         "the worker may still run tasks under its lease"
     );
     assert!(!is_completed(&world, job));
-    world.run(2 * Bounds::default().lapse());
+    world.run(2 * Bounds::default().lease_expiry_time());
     assert_eq!(world.engine.worker_count(), 7);
     world.run(10 * SECOND);
     assert!(is_completed(&world, job), "its tasks ran on other workers");
@@ -120,7 +120,7 @@
         world.turn_foreign(&id, FOREVER);
     }
     world.take_over();
-    world.run(2 * (Bounds::default().lapse() + MAX_FORMER_OWNER_ACTIVITY));
+    world.run(2 * (Bounds::default().lease_expiry_time() + MAX_FORMER_OWNER_ACTIVITY));
     assert_eq!(world.violations, Vec::<String>::new());
     assert!(is_completed(&world, job));
     assert_eq!(world.starts, 32, "no task is started twice");
--- a/crates/cell/tests/cell/takeover.rs
+++ b/crates/cell/tests/cell/takeover.rs
@@ -140,11 +140,12 @@
         now = now + Duration::from_millis(20);
     };
     assert!(
-        start_delay >= bounds.lapse() + MAX_FORMER_OWNER_ACTIVITY,
+        start_delay >= bounds.lease_expiry_time() + MAX_FORMER_OWNER_ACTIVITY,
         "{start_delay:?}"
     );
     assert!(
-        start_delay < bounds.lapse() + MAX_FORMER_OWNER_ACTIVITY + Duration::from_secs(1),
+        start_delay
+            < bounds.lease_expiry_time() + MAX_FORMER_OWNER_ACTIVITY + Duration::from_secs(1),
         "{start_delay:?}"
     );
 }
