--- a/crates/cell/examples/fleet.rs
+++ b/crates/cell/examples/fleet.rs
@@ -19,7 +19,7 @@
 use fulmarpier_cell::{
     bounds::Bounds,
     config::{
-        AdviceTerms,
+        AdviceTiming,
         Config,
         Queue, //
     },
@@ -431,7 +431,7 @@
         tries: 3,
         stretch: 2.2,
         objective: Duration::from_secs(1),
-        advice: Some(AdviceTerms {
+        advice: Some(AdviceTiming {
             base: Duration::from_millis(kind.advice.0),
             each: Duration::ZERO,
             validity: Duration::from_millis(1_500),
--- a/crates/cell/src/config.rs
+++ b/crates/cell/src/config.rs
@@ -25,7 +25,7 @@
 
 /// The cost of a call to the advice service, and the validity of its answer.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct AdviceTerms {
+pub struct AdviceTiming {
     /// The fixed duration of a call.
     pub base: Duration,
     /// The additional duration of a call for each worker asked about.
@@ -34,7 +34,7 @@
     pub validity: Duration,
 }
 
-impl AdviceTerms {
+impl AdviceTiming {
     /// Returns the smallest number of workers per call at which the fixed duration is not the larger part.
     pub fn worthwhile(&self) -> usize {
         let each = self.each.max(Duration::from_micros(1));
@@ -64,7 +64,7 @@
     /// The constant part of the latency objective, added to the multiple.
     pub objective: Duration,
     /// The cost of asking for advice; `None` if any worker of the pool may run a step.
-    pub advice: Option<AdviceTerms>,
+    pub advice: Option<AdviceTiming>,
 }
 
 /// A pool of workers.
--- a/crates/cell/src/engine/view.rs
+++ b/crates/cell/src/engine/view.rs
@@ -5,7 +5,7 @@
     job::Job, //
 };
 use crate::{
-    config::AdviceTerms,
+    config::AdviceTiming,
     id::{
         JobId,
         QueueName,
@@ -161,7 +161,7 @@
     }
 
     /// Returns the cost of advice calls for a step and the validity of their tickets, if its queue needs advice.
-    pub fn advice_terms(&self, step: StepId) -> Option<AdviceTerms> {
+    pub fn advice_terms(&self, step: StepId) -> Option<AdviceTiming> {
         let job = self.jobs.get(&step.job)?;
         self.queue_of(job).advice
     }
--- a/crates/cell/tests/cell/world/mod.rs
+++ b/crates/cell/tests/cell/world/mod.rs
@@ -27,7 +27,7 @@
 
 use fulmarpier_cell::{
     config::{
-        AdviceTerms,
+        AdviceTiming,
         Config,
         Pool,
         Queue, //
@@ -305,7 +305,7 @@
         tries: MAX_ATTEMPTS,
         stretch: 2.0,
         objective: Duration::from_secs(1),
-        advice: advice.then_some(AdviceTerms {
+        advice: advice.then_some(AdviceTiming {
             base: Duration::from_millis(20),
             each: Duration::from_millis(1),
             validity: TICKET_VALIDITY,
