--- a/crates/cell/examples/fleet.rs
+++ b/crates/cell/examples/fleet.rs
@@ -432,7 +432,7 @@
         stretch: 2.2,
         objective: Duration::from_secs(1),
         advice: Some(AdviceTiming {
-            base: Duration::from_millis(kind.advice.0),
+            call_overhead: Duration::from_millis(kind.advice.0),
             each: Duration::ZERO,
             validity: Duration::from_millis(1_500),
         }),
--- a/crates/cell/src/config.rs
+++ b/crates/cell/src/config.rs
@@ -27,7 +27,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct AdviceTiming {
     /// The fixed duration of a call.
-    pub base: Duration,
+    pub call_overhead: Duration,
     /// The additional duration of a call for each worker asked about.
     pub each: Duration,
     /// How long a ticket is valid.
@@ -38,13 +38,13 @@
     /// Returns the smallest number of workers per call at which the fixed duration is not the larger part.
     pub fn worthwhile(&self) -> usize {
         let each = self.each.max(Duration::from_micros(1));
-        let count = self.base.as_micros() / each.as_micros();
+        let count = self.call_overhead.as_micros() / each.as_micros();
         usize::try_from(count).unwrap_or(usize::MAX)
     }
 
     /// Returns how long a call about this many workers takes.
     pub fn duration(&self, workers: usize) -> Duration {
-        self.base + self.each * u32::try_from(workers).unwrap_or(u32::MAX)
+        self.call_overhead + self.each * u32::try_from(workers).unwrap_or(u32::MAX)
     }
 }
 
--- a/crates/cell/tests/cell/world/mod.rs
+++ b/crates/cell/tests/cell/world/mod.rs
@@ -306,7 +306,7 @@
         stretch: 2.0,
         objective: Duration::from_secs(1),
         advice: advice.then_some(AdviceTiming {
-            base: Duration::from_millis(20),
+            call_overhead: Duration::from_millis(20),
             each: Duration::from_millis(1),
             validity: TICKET_VALIDITY,
         }),
