--- a/crates/cell/examples/fleet.rs
+++ b/crates/cell/examples/fleet.rs
@@ -433,7 +433,7 @@
         objective: Duration::from_secs(1),
         advice: Some(AdviceTiming {
             call_overhead: Duration::from_millis(kind.advice.0),
-            each: Duration::ZERO,
+            time_per_worker: Duration::ZERO,
             validity: Duration::from_millis(1_500),
         }),
     }
--- a/crates/cell/src/config.rs
+++ b/crates/cell/src/config.rs
@@ -29,7 +29,7 @@
     /// The fixed duration of a call.
     pub call_overhead: Duration,
     /// The additional duration of a call for each worker asked about.
-    pub each: Duration,
+    pub time_per_worker: Duration,
     /// How long a ticket is valid.
     pub validity: Duration,
 }
@@ -37,14 +37,14 @@
 impl AdviceTiming {
     /// Returns the smallest number of workers per call at which the fixed duration is not the larger part.
     pub fn worthwhile(&self) -> usize {
-        let each = self.each.max(Duration::from_micros(1));
+        let each = self.time_per_worker.max(Duration::from_micros(1));
         let count = self.call_overhead.as_micros() / each.as_micros();
         usize::try_from(count).unwrap_or(usize::MAX)
     }
 
     /// Returns how long a call about this many workers takes.
     pub fn duration(&self, workers: usize) -> Duration {
-        self.call_overhead + self.each * u32::try_from(workers).unwrap_or(u32::MAX)
+        self.call_overhead + self.time_per_worker * u32::try_from(workers).unwrap_or(u32::MAX)
     }
 }
 
--- a/crates/cell/tests/cell/world/mod.rs
+++ b/crates/cell/tests/cell/world/mod.rs
@@ -307,7 +307,7 @@
         objective: Duration::from_secs(1),
         advice: advice.then_some(AdviceTiming {
             call_overhead: Duration::from_millis(20),
-            each: Duration::from_millis(1),
+            time_per_worker: Duration::from_millis(1),
             validity: TICKET_VALIDITY,
         }),
     }
