--- a/crates/cell/examples/fleet.rs
+++ b/crates/cell/examples/fleet.rs
@@ -434,7 +434,7 @@
         advice: Some(AdviceTiming {
             call_overhead: Duration::from_millis(kind.advice.0),
             time_per_worker: Duration::ZERO,
-            validity: Duration::from_millis(1_500),
+            ticket_validity: Duration::from_millis(1_500),
         }),
     }
 }
--- a/crates/cell/src/config.rs
+++ b/crates/cell/src/config.rs
@@ -31,7 +31,7 @@
     /// The additional duration of a call for each worker asked about.
     pub time_per_worker: Duration,
     /// How long a ticket is valid.
-    pub validity: Duration,
+    pub ticket_validity: Duration,
 }
 
 impl AdviceTiming {
--- a/crates/cell/src/engine/ask.rs
+++ b/crates/cell/src/engine/ask.rs
@@ -373,7 +373,7 @@
         let queue = self.queue_of(job).clone();
         self.experience
             .learn(&queue.name, call.named.len(), answer.len());
-        let validity = queue.advice.map(|terms| terms.validity);
+        let validity = queue.advice.map(|terms| terms.ticket_validity);
         let until = now + validity.unwrap_or_default();
         let tickets: Vec<_> = answer
             .into_iter()
--- a/crates/cell/tests/cell/world/mod.rs
+++ b/crates/cell/tests/cell/world/mod.rs
@@ -308,7 +308,7 @@
         advice: advice.then_some(AdviceTiming {
             call_overhead: Duration::from_millis(20),
             time_per_worker: Duration::from_millis(1),
-            validity: TICKET_VALIDITY,
+            ticket_validity: TICKET_VALIDITY,
         }),
     }
 }
