--- a/crates/cell/src/config.rs
+++ b/crates/cell/src/config.rs
@@ -36,7 +36,7 @@
 
 impl AdviceTiming {
     /// Returns the smallest number of workers per call at which the fixed duration is not the larger part.
-    pub fn worthwhile(&self) -> usize {
+    pub fn min_batch_size(&self) -> usize {
         let each = self.time_per_worker.max(Duration::from_micros(1));
         let count = self.call_overhead.as_micros() / each.as_micros();
         usize::try_from(count).unwrap_or(usize::MAX)
--- a/crates/cell/src/engine/ask.rs
+++ b/crates/cell/src/engine/ask.rs
@@ -240,7 +240,10 @@
                 return Vec::new();
             }
             let missing = missing / self.experience.share(&demand.queue.name);
-            let worthwhile = demand.queue.advice.map_or(0, |terms| terms.worthwhile());
+            let worthwhile = demand
+                .queue
+                .advice
+                .map_or(0, |terms| terms.min_batch_size());
             let mut sum = 0.0;
             let further = unnamed(Millicores(0)).enumerate();
             let further = further.take_while(|(count, (_, worker))| {
