--- a/crates/cell/src/config.rs
+++ b/crates/cell/src/config.rs
@@ -43,7 +43,7 @@
     }
 
     /// Returns how long a call about this many workers takes.
-    pub fn duration(&self, workers: usize) -> Duration {
+    pub fn call_duration(&self, workers: usize) -> Duration {
         self.call_overhead + self.time_per_worker * u32::try_from(workers).unwrap_or(u32::MAX)
     }
 }
--- a/crates/cell/src/engine/ask.rs
+++ b/crates/cell/src/engine/ask.rs
@@ -266,7 +266,7 @@
     /// call about one worker.
     fn may_call(&self, demand: &Demand<'_>, stage: &Stage, now: Timestamp) -> bool {
         let terms = demand.queue.advice;
-        let is_long = terms.is_some_and(|terms| terms.duration(1) > LONG_CALL_THRESHOLD);
+        let is_long = terms.is_some_and(|terms| terms.call_duration(1) > LONG_CALL_THRESHOLD);
         let is_free = stage.advice.asking == 0 && stage.advice.pause <= now;
         is_free && self.desk.idle(is_long).is_some()
     }
@@ -309,7 +309,7 @@
         while let Some(stage) = self.jobs.get_mut(&id.job).and_then(|job| job.stage_mut(id))
             && let Some(mut named) = stage.advice.planned.pop()
         {
-            let is_long = terms.duration(named.len()) > LONG_CALL_THRESHOLD;
+            let is_long = terms.call_duration(named.len()) > LONG_CALL_THRESHOLD;
             let Some(node) = self.desk.idle(is_long).cloned() else {
                 stage.advice.planned.push(named);
                 return;
