--- a/crates/cell/examples/fleet.rs
+++ b/crates/cell/examples/fleet.rs
@@ -428,7 +428,7 @@
         name: QueueName::from(kind.queue),
         pool: PoolName::from("pool"),
         priority: kind.priority,
-        tries: 3,
+        max_attempts: 3,
         stretch: 2.2,
         objective: Duration::from_secs(1),
         advice: Some(AdviceTiming {
--- a/crates/cell/src/config.rs
+++ b/crates/cell/src/config.rs
@@ -58,7 +58,7 @@
     /// Its priority: zero is the highest and may preempt the others.
     pub priority: u8,
     /// The maximum number of attempts for a task or a gang.
-    pub tries: u32,
+    pub max_attempts: u32,
     /// The latency objective as a multiple of the job's critical path.
     pub stretch: f64,
     /// The constant part of the latency objective, added to the multiple.
--- a/crates/cell/src/engine/end.rs
+++ b/crates/cell/src/engine/end.rs
@@ -143,7 +143,7 @@
         }
         let accepted = &job.accepted.queue;
         let queue = self.config.queues.get(&accepted.name);
-        let tries = queue.unwrap_or(accepted).tries;
+        let tries = queue.unwrap_or(accepted).max_attempts;
         let Some(step) = job.step(task.step) else {
             return;
         };
--- a/crates/cell/src/engine/place.rs
+++ b/crates/cell/src/engine/place.rs
@@ -147,7 +147,7 @@
         if stage.is_in_doubt(index) {
             return false;
         }
-        let tries = usize::try_from(self.queue_of(job).tries.max(1)).unwrap_or(usize::MAX);
+        let tries = usize::try_from(self.queue_of(job).max_attempts.max(1)).unwrap_or(usize::MAX);
         step.lasting || stage.tries_used(index, step.gang, now) < tries
     }
 
--- a/crates/cell/tests/cell/world/mod.rs
+++ b/crates/cell/tests/cell/world/mod.rs
@@ -302,7 +302,7 @@
         name: QueueName::from(name),
         pool: PoolName::from("pool"),
         priority,
-        tries: MAX_ATTEMPTS,
+        max_attempts: MAX_ATTEMPTS,
         stretch: 2.0,
         objective: Duration::from_secs(1),
         advice: advice.then_some(AdviceTiming {
--- a/crates/node/tests/node/support.rs
+++ b/crates/node/tests/node/support.rs
@@ -54,7 +54,7 @@
         name: QueueName::from("q"),
         pool: PoolName::from("p"),
         priority: 0,
-        tries: 2,
+        max_attempts: 2,
         stretch: 2.0,
         objective: Duration::from_secs(1),
         advice: None,
