--- a/crates/cell/examples/fleet.rs
+++ b/crates/cell/examples/fleet.rs
@@ -430,7 +430,7 @@
         priority: kind.priority,
         max_attempts: 3,
         stretch: 2.2,
-        objective: Duration::from_secs(1),
+        objective_offset: Duration::from_secs(1),
         advice: Some(AdviceTiming {
             call_overhead: Duration::from_millis(kind.advice.0),
             time_per_worker: Duration::ZERO,
--- a/crates/cell/src/config.rs
+++ b/crates/cell/src/config.rs
@@ -62,7 +62,7 @@
     /// The latency objective as a multiple of the job's critical path.
     pub stretch: f64,
     /// The constant part of the latency objective, added to the multiple.
-    pub objective: Duration,
+    pub objective_offset: Duration,
     /// The cost of asking for advice; `None` if any worker of the pool may run a step.
     pub advice: Option<AdviceTiming>,
 }
--- a/crates/cell/src/engine/job.rs
+++ b/crates/cell/src/engine/job.rs
@@ -233,7 +233,7 @@
         let chains = spec.chains();
         let chain = chains.iter().max().copied().unwrap_or_default();
         let queue = &accepted.queue;
-        let objective = chain.mul_f64(queue.stretch.max(0.0)) + queue.objective;
+        let objective = chain.mul_f64(queue.stretch.max(0.0)) + queue.objective_offset;
         let mut job = Self {
             account: None,
             is_cancelled: false,
--- a/crates/cell/tests/cell/world/mod.rs
+++ b/crates/cell/tests/cell/world/mod.rs
@@ -304,7 +304,7 @@
         priority,
         max_attempts: MAX_ATTEMPTS,
         stretch: 2.0,
-        objective: Duration::from_secs(1),
+        objective_offset: Duration::from_secs(1),
         advice: advice.then_some(AdviceTiming {
             call_overhead: Duration::from_millis(20),
             time_per_worker: Duration::from_millis(1),
--- a/crates/node/tests/node/support.rs
+++ b/crates/node/tests/node/support.rs
@@ -56,7 +56,7 @@
         priority: 0,
         max_attempts: 2,
         stretch: 2.0,
-        objective: Duration::from_secs(1),
+        objective_offset: Duration::from_secs(1),
         advice: None,
     }
 }
