--- a/crates/cell/src/effect.rs
+++ b/crates/cell/src/effect.rs
@@ -37,7 +37,7 @@
 
 /// A job whose acceptance record can be removed.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Forgotten {
+pub struct Removal {
     /// The job.
     pub job: JobId,
     /// The workspace of the acceptance.
@@ -291,7 +291,7 @@
     /// Store all of these records or none, then call [`crate::engine::Engine::recorded`].
     Record(Vec<Entry>),
     /// Remove acceptances from the store; the node may skip this.
-    Forget(Vec<Forgotten>),
+    Forget(Vec<Removal>),
     /// Write a log record.
     Note(Note),
     /// Another node owns the cell, since a worker has seen a higher epoch.
--- a/crates/cell/src/engine/forget.rs
+++ b/crates/cell/src/engine/forget.rs
@@ -14,7 +14,7 @@
 use crate::{
     effect::{
         Effect,
-        Forgotten, //
+        Removal, //
     },
     id::JobId,
     record::Cancellation, //
@@ -97,7 +97,7 @@
             noted.or_insert(Cancellation::Unseen)
         });
         let unseen = seen.filter(|noted| **noted == Cancellation::Unseen);
-        self.forgotten.push(Forgotten {
+        self.forgotten.push(Removal {
             job: id,
             workspace,
             partition,
--- a/crates/cell/src/engine/mod.rs
+++ b/crates/cell/src/engine/mod.rs
@@ -98,8 +98,8 @@
     config::Config,
     effect::{
         Effect,
-        Forgotten,
-        Note, //
+        Note,
+        Removal, //
     },
     id::{
         Epoch,
@@ -185,7 +185,7 @@
     /// Forgotten jobs whose memory is freed incrementally.
     dropped: Vec<Job>,
     /// Acceptances to be deleted from the record, with their partitions.
-    forgotten: Vec<Forgotten>,
+    forgotten: Vec<Removal>,
     /// When the jobs that are over are checked next.
     next_sweep: Timestamp,
     workers: BTreeMap<Slot, Worker>,
--- a/crates/cell/src/engine/submit.rs
+++ b/crates/cell/src/engine/submit.rs
@@ -10,7 +10,7 @@
     job::Job, //
 };
 use crate::{
-    effect::Forgotten,
+    effect::Removal,
     id::{
         JobId,
         StepId, //
@@ -42,7 +42,7 @@
 
     /// Schedules the deletion of a recorded acceptance whose job must not run.
     fn reject(&mut self, accepted: &Accepted) {
-        self.forgotten.push(Forgotten {
+        self.forgotten.push(Removal {
             job: accepted.job,
             workspace: accepted.workspace_name().cloned(),
             partition: accepted.partition,
--- a/crates/cell/tests/cell/forget.rs
+++ b/crates/cell/tests/cell/forget.rs
@@ -6,7 +6,7 @@
     bounds::Bounds,
     effect::{
         Effect,
-        Forgotten, //
+        Removal, //
     },
     engine::{
         Engine,
@@ -93,7 +93,7 @@
         Effect::Forget(jobs) => Some(jobs),
         _ => None,
     });
-    let expected = Forgotten {
+    let expected = Removal {
         job: id,
         workspace: None,
         partition: 0,
@@ -123,7 +123,7 @@
         }));
     }
     assert_eq!(engine.state(id), None, "the job was never accepted");
-    assert_eq!(forgotten, Vec::<Vec<Forgotten>>::new());
+    assert_eq!(forgotten, Vec::<Vec<Removal>>::new());
 }
 
 /// The next owner knows only from the cancellation whether the job was ever submitted.
--- a/crates/cell/tests/cell/world/mod.rs
+++ b/crates/cell/tests/cell/world/mod.rs
@@ -34,8 +34,8 @@
     },
     effect::{
         Effect,
-        Forgotten,
-        Note, //
+        Note,
+        Removal, //
     },
     engine::{
         Engine,
@@ -696,7 +696,7 @@
     }
 
     /// Removes an acceptance from the store.
-    fn remove_acceptance(&mut self, removal: Forgotten) {
+    fn remove_acceptance(&mut self, removal: Removal) {
         self.removed.insert(removal.job);
         if let Some(stored) = removal.cancellation
             && let Some((_, cancellation)) = self.cancelled.get_mut(&removal.job)
