--- a/crates/cell/src/effect.rs
+++ b/crates/cell/src/effect.rs
@@ -291,7 +291,7 @@
     /// Store all of these records or none, then call [`crate::engine::Engine::recorded`].
     Record(Vec<Entry>),
     /// Remove acceptances from the store; the node may skip this.
-    Forget(Vec<Removal>),
+    Remove(Vec<Removal>),
     /// Write a log record.
     Note(Note),
     /// Another node owns the cell, since a worker has seen a higher epoch.
--- a/crates/cell/src/engine/forget.rs
+++ b/crates/cell/src/engine/forget.rs
@@ -66,7 +66,7 @@
         self.forget_crashes();
         let forgotten = std::mem::take(&mut self.forgotten);
         if !forgotten.is_empty() {
-            self.outbox.push(Effect::Forget(forgotten));
+            self.outbox.push(Effect::Remove(forgotten));
         }
     }
 
--- a/crates/cell/tests/cell/forget.rs
+++ b/crates/cell/tests/cell/forget.rs
@@ -90,7 +90,7 @@
     engine.advance(now);
     let effects = engine.advance(now + Duration::from_secs(4));
     let forgotten = effects.into_iter().find_map(|effect| match effect {
-        Effect::Forget(jobs) => Some(jobs),
+        Effect::Remove(jobs) => Some(jobs),
         _ => None,
     });
     let expected = Removal {
@@ -118,7 +118,7 @@
     for step in 1..80 {
         let effects = engine.advance(now + Duration::from_millis(100) * step);
         forgotten.extend(effects.into_iter().filter_map(|effect| match effect {
-            Effect::Forget(jobs) => Some(jobs),
+            Effect::Remove(jobs) => Some(jobs),
             _ => None,
         }));
     }
@@ -198,7 +198,7 @@
     engine.advance(now);
     let effects = engine.advance(now + Duration::from_secs(4));
     let forgotten = effects.iter().filter_map(|effect| match effect {
-        Effect::Forget(jobs) => Some(jobs.len()),
+        Effect::Remove(jobs) => Some(jobs.len()),
         _ => None,
     });
     assert_eq!(forgotten.sum::<usize>(), all.len());
--- a/crates/cell/tests/cell/world/mod.rs
+++ b/crates/cell/tests/cell/world/mod.rs
@@ -839,7 +839,7 @@
                 let wait = self.now.until(self.outage_end) + self.append;
                 self.schedule(wait, Event::Recorded(entries));
             }
-            Effect::Forget(jobs) => jobs.into_iter().for_each(|job| self.remove_acceptance(job)),
+            Effect::Remove(jobs) => jobs.into_iter().for_each(|job| self.remove_acceptance(job)),
             Effect::Note(Note::Placed { task, worker, .. }) => self.check_placement(task, &worker),
             Effect::Note(Note::Waits { step, why, .. }) => self.waits.push((step.job, why)),
             Effect::Note(Note::Stopping {
--- a/crates/node/src/owner/control.rs
+++ b/crates/node/src/owner/control.rs
@@ -284,7 +284,7 @@
                     // The recorder runs until the actor ends, so the channel is open.
                     let _ = self.records.send(entries);
                 }
-                Effect::Forget(jobs) => forget::forget(&self.shared, jobs),
+                Effect::Remove(jobs) => forget::forget(&self.shared, jobs),
                 Effect::Note(note) => self.report_note(&note),
                 Effect::Deposed => {
                     slog::warn!(self.shared.log, "fenced"; "epoch" => %self.engine.epoch());
