--- a/crates/cell/examples/fleet.rs
+++ b/crates/cell/examples/fleet.rs
@@ -318,7 +318,7 @@
                 });
                 self.end(&worker, task, run, How::Stopped);
             }
-            Effect::Hold(order) => {
+            Effect::Heartbeat(order) => {
                 let worker = order.to.worker.clone();
                 let Some(simulated_worker) = self.simulated_workers.get_mut(&worker) else {
                     return;
--- a/crates/cell/src/effect.rs
+++ b/crates/cell/src/effect.rs
@@ -104,7 +104,7 @@
 
 /// A call that extends a worker's lease and asks for its inventory.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Hold {
+pub struct Heartbeat {
     /// The worker that the call is for.
     pub to: Destination,
     /// The end of the lease on everything that the worker holds, on its clock; `None` leaves the lease unchanged.
@@ -278,7 +278,7 @@
     /// Send an order to limit a task's share.
     Pace(Pace),
     /// Extend a lease and ask for an inventory.
-    Hold(Hold),
+    Heartbeat(Heartbeat),
     /// Have a node ask the advice service which workers may run a step.
     Advise {
         /// The node that makes the call.
--- a/crates/cell/src/engine/contact.rs
+++ b/crates/cell/src/engine/contact.rs
@@ -14,7 +14,7 @@
 use crate::{
     effect::{
         Effect,
-        Hold,
+        Heartbeat,
         Note, //
     },
     event::{
@@ -488,7 +488,7 @@
     wait: Duration,
     asked: Timestamp,
 ) -> Effect {
-    Effect::Hold(Hold {
+    Effect::Heartbeat(Heartbeat {
         to: worker.destination(),
         deadline,
         acknowledged: worker.acknowledged(),
--- a/crates/cell/tests/cell/incarnation.rs
+++ b/crates/cell/tests/cell/incarnation.rs
@@ -10,7 +10,7 @@
     bounds::Bounds,
     effect::{
         Effect,
-        Hold,
+        Heartbeat,
         Note,
         Start,
         Stop, //
@@ -86,7 +86,7 @@
     engine: Engine,
     now: Timestamp,
     worker: WorkerId,
-    heartbeats: Vec<Hold>,
+    heartbeats: Vec<Heartbeat>,
     starts: Vec<Start>,
     stops: Vec<Stop>,
     log_records: Vec<Note>,
@@ -158,7 +158,7 @@
                         self.records.extend(entries);
                         self.engine.recorded(self.now);
                     }
-                    Effect::Hold(heartbeat) => self.heartbeats.push(heartbeat),
+                    Effect::Heartbeat(heartbeat) => self.heartbeats.push(heartbeat),
                     Effect::Start(start) => self.starts.push(*start),
                     Effect::Stop(stop) => self.stops.push(stop),
                     Effect::Note(note) => self.log_records.push(note),
@@ -177,7 +177,7 @@
 
     fn send_inventory_to(
         &mut self,
-        heartbeat: &Hold,
+        heartbeat: &Heartbeat,
         incarnation: Incarnation,
         running: &[(TaskId, Run)],
     ) {
@@ -196,7 +196,7 @@
         self.answer_heartbeat(heartbeat, HoldAnswer::Listed(inventory));
     }
 
-    fn answer_heartbeat(&mut self, heartbeat: &Hold, answer: HoldAnswer) {
+    fn answer_heartbeat(&mut self, heartbeat: &Heartbeat, answer: HoldAnswer) {
         self.engine
             .held(&self.worker, heartbeat.asked, answer, self.now);
         self.advance(MILLISECOND);
--- a/crates/cell/tests/cell/overtaking.rs
+++ b/crates/cell/tests/cell/overtaking.rs
@@ -10,7 +10,7 @@
     bounds::Bounds,
     effect::{
         Effect,
-        Hold, //
+        Heartbeat, //
     },
     engine::{
         Engine,
@@ -61,9 +61,11 @@
 
 /// Returns the first heartbeat among some effects: a probe, which is answered at once, or one that waits for the end of
 /// a run.
-fn find_heartbeat(effects: &[Effect], is_probe: bool) -> Hold {
+fn find_heartbeat(effects: &[Effect], is_probe: bool) -> Heartbeat {
     let mut heartbeats = effects.iter().filter_map(|effect| match effect {
-        Effect::Hold(heartbeat) if heartbeat.wait.is_zero() == is_probe => Some(heartbeat.clone()),
+        Effect::Heartbeat(heartbeat) if heartbeat.wait.is_zero() == is_probe => {
+            Some(heartbeat.clone())
+        }
         _ => None,
     });
     heartbeats.next().expect("the engine sends a heartbeat")
--- a/crates/cell/tests/cell/pace.rs
+++ b/crates/cell/tests/cell/pace.rs
@@ -9,7 +9,7 @@
     bounds::Bounds,
     effect::{
         Effect,
-        Hold, //
+        Heartbeat, //
     },
     engine::{
         Engine,
@@ -53,7 +53,7 @@
     now: Timestamp,
     workers: Vec<WorkerId>,
     running: Vec<(WorkerId, TaskId, Run)>,
-    heartbeats: Vec<Hold>,
+    heartbeats: Vec<Heartbeat>,
     /// The tail of the response times that all running tasks report as their load, in milliseconds.
     tail_latency_ms: u32,
     /// The share of processor time in each answered order to throttle, in percent, in order.
@@ -124,8 +124,8 @@
 
     fn answer_heartbeats(&mut self) {
         let now = self.now;
-        let due = |heartbeat: &mut Hold| heartbeat.asked + heartbeat.wait <= now;
-        let due: Vec<Hold> = self.heartbeats.extract_if(.., due).collect();
+        let due = |heartbeat: &mut Heartbeat| heartbeat.asked + heartbeat.wait <= now;
+        let due: Vec<Heartbeat> = self.heartbeats.extract_if(.., due).collect();
         for heartbeat in due {
             let tasks = self.running.iter();
             let tasks = tasks.filter(|(worker, ..)| *worker == heartbeat.to.worker);
@@ -150,7 +150,7 @@
     fn handle(&mut self, effect: Effect) {
         let now = self.now;
         match effect {
-            Effect::Hold(heartbeat) => self.heartbeats.push(heartbeat),
+            Effect::Heartbeat(heartbeat) => self.heartbeats.push(heartbeat),
             Effect::Record(_) => self.engine.recorded(now),
             Effect::Start(start) => {
                 let worker = start.to.worker;
--- a/crates/cell/tests/cell/pending.rs
+++ b/crates/cell/tests/cell/pending.rs
@@ -131,7 +131,7 @@
     );
     let effects = engine.advance(now);
     let asked = effects.iter().find_map(|effect| match effect {
-        Effect::Hold(hold) => Some(hold.asked),
+        Effect::Heartbeat(hold) => Some(hold.asked),
         _ => None,
     });
     let asked = asked.expect("a new owner calls every worker");
--- a/crates/cell/tests/cell/takeover.rs
+++ b/crates/cell/tests/cell/takeover.rs
@@ -126,10 +126,10 @@
         }
         for effect in effects.drain(..) {
             match effect {
-                Effect::Hold(hold) if hold.to.worker == silent => {
+                Effect::Heartbeat(hold) if hold.to.worker == silent => {
                     engine.held(&silent, hold.asked, HoldAnswer::Silent, now);
                 }
-                Effect::Hold(hold) => {
+                Effect::Heartbeat(hold) => {
                     let empty = HoldAnswer::Listed(Inventory::default());
                     engine.held(&healthy, hold.asked, empty, now);
                 }
@@ -174,7 +174,7 @@
     engine.evacuate(Evacuation::default(), now, now);
     let effects = engine.advance(now);
     let asked = effects.iter().find_map(|effect| match effect {
-        Effect::Hold(hold) => Some(hold.asked),
+        Effect::Heartbeat(hold) => Some(hold.asked),
         _ => None,
     });
     let running = Running {
--- a/crates/cell/tests/cell/world/deliver.rs
+++ b/crates/cell/tests/cell/world/deliver.rs
@@ -108,7 +108,7 @@
 
     pub(super) fn deliver_heartbeat(
         &mut self,
-        order: fulmarpier_cell::effect::Hold,
+        order: fulmarpier_cell::effect::Heartbeat,
         is_current: bool,
     ) {
         let (now, id) = (self.now, order.to.worker.clone());
--- a/crates/cell/tests/cell/world/mod.rs
+++ b/crates/cell/tests/cell/world/mod.rs
@@ -142,7 +142,7 @@
 enum Event {
     Started(WorkerId, TaskId, Run, StartAnswer),
     Stopped(WorkerId, TaskId, Run, StopAnswer),
-    Heartbeat(Box<fulmarpier_cell::effect::Hold>),
+    Heartbeat(Box<fulmarpier_cell::effect::Heartbeat>),
     HeartbeatTimeout(WorkerId, Timestamp),
     /// An unanswered order, and the incarnation of the worker at the time that it was sent.
     LateStart(Box<fulmarpier_cell::effect::Start>, Option<Incarnation>),
@@ -809,7 +809,7 @@
                     self.schedule(NETWORK_DELAY, Event::Stop(order));
                 }
             }
-            Effect::Hold(order) => {
+            Effect::Heartbeat(order) => {
                 let (worker, asked) = (order.to.worker.clone(), order.asked);
                 let timeout = order.wait + Duration::from_millis(800);
                 self.schedule(timeout, Event::HeartbeatTimeout(worker.clone(), asked));
--- a/crates/cell/tests/cell/world/worker.rs
+++ b/crates/cell/tests/cell/world/worker.rs
@@ -9,7 +9,7 @@
 use fulmarpier_cell::{
     effect::{
         Destination,
-        Hold,
+        Heartbeat,
         Start,
         Stop, //
     },
@@ -279,7 +279,7 @@
     /// elsewhere, so they don't count against such a start.
     pub(crate) fn heartbeat(
         &mut self,
-        order: &Hold,
+        order: &Heartbeat,
         is_lost: bool,
         now: Timestamp,
     ) -> Vec<(TaskId, Run, bool)> {
--- a/crates/node/src/order.rs
+++ b/crates/node/src/order.rs
@@ -5,7 +5,7 @@
 use fulmarpier_cell::{
     effect::{
         Destination,
-        Hold,
+        Heartbeat,
         Pace,
         Start,
         Stop, //
@@ -47,7 +47,7 @@
     /// Run a best-effort task at a share of its processor.
     Pace(Pace),
     /// Extend the lease and return the inventory.
-    Hold(Hold),
+    Hold(Heartbeat),
 }
 
 /// The result of an order.
--- a/crates/node/src/owner/control.rs
+++ b/crates/node/src/owner/control.rs
@@ -274,7 +274,7 @@
                 Effect::Start(order) => orders.push(Order::Start(order)),
                 Effect::Stop(order) => orders.push(Order::Stop(order)),
                 Effect::Pace(order) => orders.push(Order::Pace(order)),
-                Effect::Hold(order) => orders.push(Order::Hold(order)),
+                Effect::Heartbeat(order) => orders.push(Order::Hold(order)),
                 Effect::Advise {
                     node,
                     step,
--- a/crates/node/src/port.rs
+++ b/crates/node/src/port.rs
@@ -10,7 +10,7 @@
 use fulmarpier_cell::{
     config::Config,
     effect::{
-        Hold,
+        Heartbeat,
         Pace,
         Start,
         Stop, //
@@ -280,7 +280,7 @@
     fn pace(&self, order: Pace) -> impl Future<Output = StopAnswer> + Send;
 
     /// Extends a worker's lease and asks for its inventory.
-    fn hold(&self, order: Hold) -> impl Future<Output = HoldAnswer> + Send;
+    fn hold(&self, order: Heartbeat) -> impl Future<Output = HoldAnswer> + Send;
 
     /// Asks the advice service which of the given workers may run a step; `None` if there was no answer.
     fn advise(
--- a/crates/node/tests/node/platform.rs
+++ b/crates/node/tests/node/platform.rs
@@ -22,7 +22,7 @@
         Queue, //
     },
     effect::{
-        Hold,
+        Heartbeat,
         Pace,
         Start,
         Stop, //
@@ -760,7 +760,7 @@
         StopAnswer::Confirmed
     }
 
-    async fn hold(&self, order: Hold) -> HoldAnswer {
+    async fn hold(&self, order: Heartbeat) -> HoldAnswer {
         let until = Instant::now() + order.wait;
         loop {
             sleep(CALL_LATENCY).await;
