--- a/crates/cell/src/effect.rs
+++ b/crates/cell/src/effect.rs
@@ -91,7 +91,7 @@
 
 /// An order to limit a best-effort task to a share of the processor time.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Pace {
+pub struct Throttle {
     /// The worker that the order is for.
     pub to: Destination,
     /// The task.
@@ -276,7 +276,7 @@
     /// Send an order to stop.
     Stop(Stop),
     /// Send an order to limit a task's share.
-    Pace(Pace),
+    Throttle(Throttle),
     /// Extend a lease and ask for an inventory.
     Heartbeat(Heartbeat),
     /// Have a node ask the advice service which workers may run a step.
--- a/crates/cell/src/engine/pace.rs
+++ b/crates/cell/src/engine/pace.rs
@@ -19,7 +19,7 @@
 use crate::{
     effect::{
         Effect,
-        Pace, //
+        Throttle, //
     },
     event::{
         Running,
@@ -139,7 +139,7 @@
         let to = worker.destination();
         self.outbox
             .extend(best_effort_runs.into_iter().map(|(task, run)| {
-                Effect::Pace(Pace {
+                Effect::Throttle(Throttle {
                     to: to.clone(),
                     task,
                     run,
--- a/crates/cell/tests/cell/pace.rs
+++ b/crates/cell/tests/cell/pace.rs
@@ -159,7 +159,7 @@
                     .started(&worker, task, run, StartAnswer::Started, now);
                 self.running.push((worker, task, run));
             }
-            Effect::Pace(order) => {
+            Effect::Throttle(order) => {
                 let (worker, task, run) = (order.to.worker, order.task, order.run);
                 let answer = match self.orders_to_lose {
                     0 => {
--- a/crates/cell/tests/cell/world/mod.rs
+++ b/crates/cell/tests/cell/world/mod.rs
@@ -854,7 +854,7 @@
                 self.check_given_up(task, verdict == "given-up");
             }
             // No history has best-effort tasks, so there is nothing to throttle.
-            Effect::Pace(_) | Effect::Note(_) => {}
+            Effect::Throttle(_) | Effect::Note(_) => {}
             Effect::Deposed => self.violations.push("the owner was deposed".to_owned()),
         }
     }
--- a/crates/node/src/order.rs
+++ b/crates/node/src/order.rs
@@ -6,9 +6,9 @@
     effect::{
         Destination,
         Heartbeat,
-        Pace,
         Start,
-        Stop, //
+        Stop,
+        Throttle, //
     },
     event::{
         HoldAnswer,
@@ -45,7 +45,7 @@
     /// Stop a task.
     Stop(Stop),
     /// Run a best-effort task at a share of its processor.
-    Pace(Pace),
+    Pace(Throttle),
     /// Extend the lease and return the inventory.
     Hold(Heartbeat),
 }
--- a/crates/node/src/owner/control.rs
+++ b/crates/node/src/owner/control.rs
@@ -273,7 +273,7 @@
             match effect {
                 Effect::Start(order) => orders.push(Order::Start(order)),
                 Effect::Stop(order) => orders.push(Order::Stop(order)),
-                Effect::Pace(order) => orders.push(Order::Pace(order)),
+                Effect::Throttle(order) => orders.push(Order::Pace(order)),
                 Effect::Heartbeat(order) => orders.push(Order::Hold(order)),
                 Effect::Advise {
                     node,
--- a/crates/node/tests/node/platform.rs
+++ b/crates/node/tests/node/platform.rs
@@ -23,9 +23,9 @@
     },
     effect::{
         Heartbeat,
-        Pace,
         Start,
-        Stop, //
+        Stop,
+        Throttle, //
     },
     evacuation::Change,
     event::{
@@ -756,7 +756,7 @@
         StopAnswer::Confirmed
     }
 
-    async fn pace(&self, _: Pace) -> StopAnswer {
+    async fn pace(&self, _: Throttle) -> StopAnswer {
         StopAnswer::Confirmed
     }
 
