--- a/crates/cell/src/effect.rs
+++ b/crates/cell/src/effect.rs
@@ -119,7 +119,7 @@
 
 /// A decision or a change in the engine's view, for the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Note {
+pub enum LogRecord {
     /// A run was placed on a worker.
     Placed {
         /// The task.
@@ -293,7 +293,7 @@
     /// Remove acceptances from the store; the node may skip this.
     Remove(Vec<Removal>),
     /// Write a log record.
-    Note(Note),
+    Note(LogRecord),
     /// Another node owns the cell, since a worker has seen a higher epoch.
     Deposed,
 }
--- a/crates/cell/src/engine/ask.rs
+++ b/crates/cell/src/engine/ask.rs
@@ -24,7 +24,7 @@
     },
     effect::{
         Effect,
-        Note, //
+        LogRecord, //
     },
     event::Advised,
     id::{
@@ -359,7 +359,7 @@
             return;
         };
         self.is_stirred = true;
-        self.note(Note::Advised {
+        self.note(LogRecord::Advised {
             step: id,
             node: node.clone(),
             named: call.named.len(),
--- a/crates/cell/src/engine/contact.rs
+++ b/crates/cell/src/engine/contact.rs
@@ -15,7 +15,7 @@
     effect::{
         Effect,
         Heartbeat,
-        Note, //
+        LogRecord, //
     },
     event::{
         HoldAnswer,
@@ -423,7 +423,7 @@
         }
         let worker = worker.registration.id.clone();
         self.index(slot);
-        self.note(Note::Adopted { task, run, worker });
+        self.note(LogRecord::Adopted { task, run, worker });
         match is_wanted {
             true => self.save_checkpoint(task, running.checkpoint.as_ref()),
             false => self.stop(slot, task, run, "unwanted", now),
@@ -471,7 +471,7 @@
         let Some(worker) = self.workers.get(&slot) else {
             return;
         };
-        let note = Note::Worker {
+        let note = LogRecord::Worker {
             worker: worker.registration.id.clone(),
             incarnation: worker.incarnation,
             belief,
--- a/crates/cell/src/engine/crash.rs
+++ b/crates/cell/src/engine/crash.rs
@@ -27,7 +27,7 @@
     reserve::Reserved, //
 };
 use crate::{
-    effect::Note,
+    effect::LogRecord,
     id::{
         JobId,
         Run,
@@ -293,7 +293,7 @@
         // The count is recorded before the next start, which waits until it is recorded itself.
         self.ledger.add_job(id);
         self.index_crash(&crash.worker, task);
-        self.note(Note::Crashed {
+        self.note(LogRecord::Crashed {
             task,
             run: crash.run,
             worker: crash.worker,
--- a/crates/cell/src/engine/end.rs
+++ b/crates/cell/src/engine/end.rs
@@ -12,7 +12,7 @@
     Slot, //
 };
 use crate::{
-    effect::Note,
+    effect::LogRecord,
     event::{
         Ended,
         How, //
@@ -35,7 +35,7 @@
         let Ended { task, run, how, .. } = ended;
         if let Some(worker) = self.workers.get(&slot) {
             let worker = worker.registration.id.clone();
-            self.note(Note::Ended {
+            self.note(LogRecord::Ended {
                 task,
                 run,
                 worker,
--- a/crates/cell/src/engine/keep.rs
+++ b/crates/cell/src/engine/keep.rs
@@ -17,7 +17,7 @@
 use crate::{
     effect::{
         Effect,
-        Note, //
+        LogRecord, //
     },
     id::{
         JobId,
@@ -241,7 +241,7 @@
         job.kept_outcome = job.kept_outcome.or(snapshot.outcome);
         if let Some(outcome) = snapshot.outcome.filter(|_| is_new) {
             let after = now.since(job.accepted.received);
-            self.note(Note::Finished {
+            self.note(LogRecord::Finished {
                 job: snapshot.job,
                 outcome: match outcome {
                     Outcome::Completed => "completed",
--- a/crates/cell/src/engine/loss.rs
+++ b/crates/cell/src/engine/loss.rs
@@ -9,7 +9,7 @@
     Slot, //
 };
 use crate::{
-    effect::Note,
+    effect::LogRecord,
     id::{
         Run,
         TaskId, //
@@ -83,8 +83,8 @@
         let sent = worker.claims.iter();
         let sent = sent.filter(|(_, claim)| claim.phase != Phase::Recording);
         let others = sent.clone().count().saturating_sub(1);
-        let notes: Vec<Note> = sent
-            .map(|((task, run), claim)| Note::Lost {
+        let notes: Vec<LogRecord> = sent
+            .map(|((task, run), claim)| LogRecord::Lost {
                 task: *task,
                 run: *run,
                 worker: worker.registration.id.clone(),
--- a/crates/cell/src/engine/mod.rs
+++ b/crates/cell/src/engine/mod.rs
@@ -98,7 +98,7 @@
     config::Config,
     effect::{
         Effect,
-        Note,
+        LogRecord,
         Removal, //
     },
     id::{
@@ -375,7 +375,7 @@
     }
 
     /// Emits a log record.
-    fn note(&mut self, note: Note) {
+    fn note(&mut self, note: LogRecord) {
         self.outbox.push(Effect::Note(note));
     }
 }
--- a/crates/cell/src/engine/order.rs
+++ b/crates/cell/src/engine/order.rs
@@ -17,7 +17,7 @@
 use crate::{
     effect::{
         Effect,
-        Note,
+        LogRecord,
         Start,
         Stop, //
     },
@@ -63,7 +63,7 @@
             return;
         };
         if answer != StartAnswer::Started {
-            self.note(Note::NotStarted {
+            self.note(LogRecord::NotStarted {
                 task,
                 run,
                 worker: worker.clone(),
@@ -341,7 +341,7 @@
         claim.phase = Phase::Stopping { confirmed: None };
         let worker = worker.registration.id.clone();
         self.stops.set((slot, task, run), Some(now));
-        self.note(Note::Stopping {
+        self.note(LogRecord::Stopping {
             task,
             run,
             worker,
--- a/crates/cell/src/engine/place.rs
+++ b/crates/cell/src/engine/place.rs
@@ -20,7 +20,7 @@
 };
 use crate::{
     config::Queue,
-    effect::Note,
+    effect::LogRecord,
     id::{
         Run,
         StepId, //
@@ -428,7 +428,7 @@
             task.apart_since = None;
             checkpoint = task.checkpoint.clone();
         }
-        self.note(Note::Placed {
+        self.note(LogRecord::Placed {
             task,
             run,
             worker,
--- a/crates/cell/src/engine/reserve.rs
+++ b/crates/cell/src/engine/reserve.rs
@@ -22,7 +22,7 @@
     schedule::Rank, //
 };
 use crate::{
-    effect::Note,
+    effect::LogRecord,
     id::{
         Run,
         StepId,
@@ -328,7 +328,7 @@
         };
         let stage = self.jobs.get(&id.job).and_then(|job| job.stage(id));
         let ticket = stage.and_then(|stage| stage.advice.ticket(offer.slot, worker, now));
-        let note = Note::Preempting {
+        let note = LogRecord::Preempting {
             step: id,
             worker: worker.registration.id.clone(),
             wanted,
--- a/crates/cell/src/engine/shrink.rs
+++ b/crates/cell/src/engine/shrink.rs
@@ -12,7 +12,7 @@
     Slot, //
 };
 use crate::{
-    effect::Note,
+    effect::LogRecord,
     id::{
         Run,
         TaskId, //
@@ -123,7 +123,7 @@
             return;
         };
         let worker = worker.registration.id.clone();
-        self.note(Note::NotStarted {
+        self.note(LogRecord::NotStarted {
             task,
             run,
             worker,
--- a/crates/cell/src/engine/wait.rs
+++ b/crates/cell/src/engine/wait.rs
@@ -19,7 +19,7 @@
 };
 use crate::{
     config::Queue,
-    effect::Note,
+    effect::LogRecord,
     id::StepId,
     job::{
         Spec,
@@ -293,7 +293,7 @@
         let waited = stage.opened.map(|opened| now.since(opened));
         let step = self.jobs.get(&id.job).and_then(|job| job.step(id));
         let label = step.and_then(|step| step.requires.clone());
-        self.note(Note::Waits {
+        self.note(LogRecord::Waits {
             step: id,
             why,
             label,
--- a/crates/cell/tests/cell/incarnation.rs
+++ b/crates/cell/tests/cell/incarnation.rs
@@ -11,7 +11,7 @@
     effect::{
         Effect,
         Heartbeat,
-        Note,
+        LogRecord,
         Start,
         Stop, //
     },
@@ -89,7 +89,7 @@
     heartbeats: Vec<Heartbeat>,
     starts: Vec<Start>,
     stops: Vec<Stop>,
-    log_records: Vec<Note>,
+    log_records: Vec<LogRecord>,
     records: Vec<Entry>,
     is_deposed: bool,
     /// Whether the store answers writes.
@@ -221,13 +221,14 @@
 
     fn has_logged_belief(&self, expected: &str) -> bool {
         let mut log_records = self.log_records.iter();
-        log_records.any(|note| matches!(note, Note::Worker { belief, .. } if *belief == expected))
+        log_records
+            .any(|note| matches!(note, LogRecord::Worker { belief, .. } if *belief == expected))
     }
 
     fn crash_count(&self) -> usize {
         let log_records = self.log_records.iter();
         log_records
-            .filter(|note| matches!(note, Note::Crashed { .. }))
+            .filter(|note| matches!(note, LogRecord::Crashed { .. }))
             .count()
     }
 
@@ -339,7 +340,7 @@
         harness.advance(3 * Duration::from_secs(1));
     }
     let counted = harness.log_records.iter().filter_map(|note| match note {
-        Note::Crashed { crashes, .. } => Some(*crashes),
+        LogRecord::Crashed { crashes, .. } => Some(*crashes),
         _ => None,
     });
     assert_eq!(counted.collect::<Vec<_>>(), [1, 2, 3]);
--- a/crates/cell/tests/cell/world/mod.rs
+++ b/crates/cell/tests/cell/world/mod.rs
@@ -34,7 +34,7 @@
     },
     effect::{
         Effect,
-        Note,
+        LogRecord,
         Removal, //
     },
     engine::{
@@ -840,17 +840,19 @@
                 self.schedule(wait, Event::Recorded(entries));
             }
             Effect::Remove(jobs) => jobs.into_iter().for_each(|job| self.remove_acceptance(job)),
-            Effect::Note(Note::Placed { task, worker, .. }) => self.check_placement(task, &worker),
-            Effect::Note(Note::Waits { step, why, .. }) => self.waits.push((step.job, why)),
-            Effect::Note(Note::Stopping {
+            Effect::Note(LogRecord::Placed { task, worker, .. }) => {
+                self.check_placement(task, &worker)
+            }
+            Effect::Note(LogRecord::Waits { step, why, .. }) => self.waits.push((step.job, why)),
+            Effect::Note(LogRecord::Stopping {
                 task,
                 why: "preempted",
                 ..
             }) => self.preempted.push((self.now, task)),
-            Effect::Note(Note::NotStarted {
+            Effect::Note(LogRecord::NotStarted {
                 why: "ticket-aged", ..
             }) => self.expired_ticket_starts += 1,
-            Effect::Note(Note::Crashed { task, verdict, .. }) => {
+            Effect::Note(LogRecord::Crashed { task, verdict, .. }) => {
                 self.check_given_up(task, verdict == "given-up");
             }
             // No history has best-effort tasks, so there is nothing to throttle.
--- a/crates/node/src/owner/control.rs
+++ b/crates/node/src/owner/control.rs
@@ -13,7 +13,7 @@
     },
     effect::{
         Effect,
-        Note, //
+        LogRecord, //
     },
     engine::{
         Engine,
@@ -312,7 +312,7 @@
         });
     }
 
-    fn report_note(&self, note: &Note) {
+    fn report_note(&self, note: &LogRecord) {
         self.shared.meter.note(&self.shared.log, note);
     }
 
--- a/crates/node/src/report.rs
+++ b/crates/node/src/report.rs
@@ -11,7 +11,7 @@
 };
 
 use fulmarpier_cell::{
-    effect::Note,
+    effect::LogRecord,
     engine::{
         Counts,
         WorkspaceUsage, //
@@ -296,14 +296,14 @@
     }
 
     /// Counts and logs a decision.
-    pub(crate) fn note(&self, log: &Logger, note: &Note) {
+    pub(crate) fn note(&self, log: &Logger, note: &LogRecord) {
         let (kind, reason) = kind_and_reason(note);
         let labels = [KeyValue::new("kind", kind), KeyValue::new("reason", reason)];
         self.0.decisions.add(1, &labels);
         match note {
-            Note::Placed { waited, .. } => self.0.wait.record(waited.as_secs_f64(), &[]),
-            Note::Finished { after, .. } => self.0.finish.record(after.as_secs_f64(), &[]),
-            Note::Advised { took, .. } => self.0.advice.record(took.as_secs_f64(), &[]),
+            LogRecord::Placed { waited, .. } => self.0.wait.record(waited.as_secs_f64(), &[]),
+            LogRecord::Finished { after, .. } => self.0.finish.record(after.as_secs_f64(), &[]),
+            LogRecord::Advised { took, .. } => self.0.advice.record(took.as_secs_f64(), &[]),
             _ => {}
         }
         if self.may_log(kind) {
@@ -338,20 +338,20 @@
 }
 
 /// Returns the kind and the reason of a decision, as metric labels.
-const fn kind_and_reason(note: &Note) -> (&'static str, &'static str) {
+const fn kind_and_reason(note: &LogRecord) -> (&'static str, &'static str) {
     match note {
-        Note::Placed { .. } => ("placed", ""),
-        Note::NotStarted { why, .. } => ("not-started", why),
-        Note::Ended { how, .. } => ("ended", how.word()),
-        Note::Stopping { why, .. } => ("stopping", why),
-        Note::Preempting { .. } => ("preempting", ""),
-        Note::Worker { belief, .. } => ("worker", belief),
-        Note::Lost { why, .. } => ("lost", why),
-        Note::Crashed { verdict, .. } => ("crashed", verdict),
-        Note::Adopted { .. } => ("adopted", ""),
-        Note::Finished { outcome, .. } => ("finished", outcome),
-        Note::Waits { why, .. } => ("waits", why.word()),
-        Note::Advised { .. } => ("advised", ""),
+        LogRecord::Placed { .. } => ("placed", ""),
+        LogRecord::NotStarted { why, .. } => ("not-started", why),
+        LogRecord::Ended { how, .. } => ("ended", how.word()),
+        LogRecord::Stopping { why, .. } => ("stopping", why),
+        LogRecord::Preempting { .. } => ("preempting", ""),
+        LogRecord::Worker { belief, .. } => ("worker", belief),
+        LogRecord::Lost { why, .. } => ("lost", why),
+        LogRecord::Crashed { verdict, .. } => ("crashed", verdict),
+        LogRecord::Adopted { .. } => ("adopted", ""),
+        LogRecord::Finished { outcome, .. } => ("finished", outcome),
+        LogRecord::Waits { why, .. } => ("waits", why.word()),
+        LogRecord::Advised { .. } => ("advised", ""),
     }
 }
 
@@ -366,9 +366,9 @@
     u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
 }
 
-fn write_line(log: &Logger, note: &Note) {
+fn write_line(log: &Logger, note: &LogRecord) {
     match note {
-        Note::Placed {
+        LogRecord::Placed {
             task,
             run,
             worker,
@@ -376,28 +376,28 @@
             waited,
         } => slog::info!(log, "placed"; "task" => %task, "run" => run.0,
             "worker" => worker.as_str(), "heard_ms" => millis(*heard), "waited_ms" => millis(*waited)),
-        Note::NotStarted {
+        LogRecord::NotStarted {
             task,
             run,
             worker,
             why,
         } => slog::info!(log, "not-started"; "task" => %task, "run" => run.0,
             "worker" => worker.as_str(), "why" => why),
-        Note::Ended {
+        LogRecord::Ended {
             task,
             run,
             worker,
             how,
         } => slog::info!(log, "ended"; "task" => %task, "run" => run.0,
             "worker" => worker.as_str(), "how" => how.word()),
-        Note::Stopping {
+        LogRecord::Stopping {
             task,
             run,
             worker,
             why,
         } => slog::info!(log, "stopping"; "task" => %task, "run" => run.0,
             "worker" => worker.as_str(), "why" => why),
-        Note::Preempting {
+        LogRecord::Preempting {
             step,
             worker,
             wanted,
@@ -407,7 +407,7 @@
         } => slog::info!(log, "preempting"; "step" => %step, "worker" => worker.as_str(),
             "wanted" => wanted, "fits" => fits, "victims" => victims,
             OptionalField("ticket_ms", ticket.map(millis))),
-        Note::Worker {
+        LogRecord::Worker {
             worker,
             incarnation,
             belief,
@@ -415,7 +415,7 @@
         } => slog::info!(log, "worker"; "worker" => worker.as_str(), "belief" => belief,
             OptionalField("incarnation", incarnation.map(|incarnation| incarnation.0)),
             "heard_ms" => heard.map_or(-1, |age| i64::try_from(age.as_millis()).unwrap_or(-1))),
-        Note::Lost {
+        LogRecord::Lost {
             task,
             run,
             worker,
@@ -424,7 +424,7 @@
             beside,
         } => slog::info!(log, "lost"; "task" => %task, "run" => run.0,
             "worker" => worker.as_str(), "why" => why, "age_ms" => millis(*age), "beside" => beside),
-        Note::Crashed {
+        LogRecord::Crashed {
             task,
             run,
             worker,
@@ -432,15 +432,15 @@
             verdict,
         } => slog::warn!(log, "crashed"; "task" => %task, "run" => run.0,
             "worker" => worker.as_str(), "crashes" => crashes, "verdict" => verdict),
-        Note::Adopted { task, run, worker } => slog::info!(log, "adopted"; "task" => %task,
+        LogRecord::Adopted { task, run, worker } => slog::info!(log, "adopted"; "task" => %task,
             "run" => run.0, "worker" => worker.as_str()),
-        Note::Finished {
+        LogRecord::Finished {
             job,
             outcome,
             after,
         } => slog::info!(log, "finished"; "job" => %job, "outcome" => outcome,
             "after_ms" => millis(*after)),
-        Note::Waits {
+        LogRecord::Waits {
             step,
             why,
             label,
@@ -453,7 +453,7 @@
             "room" => survey.room, "ticketed" => survey.ticketed,
             "heard_ms" => survey.heard.map_or(-1, |age| i64::try_from(age.as_millis()).unwrap_or(-1)),
             "waited_ms" => millis(*waited)),
-        Note::Advised {
+        LogRecord::Advised {
             step,
             node,
             named,
