--- a/crates/cell/src/effect.rs
+++ b/crates/cell/src/effect.rs
@@ -293,7 +293,7 @@
     /// Remove acceptances from the store; the node may skip this.
     Remove(Vec<Removal>),
     /// Write a log record.
-    Note(LogRecord),
+    Log(LogRecord),
     /// Another node owns the cell, since a worker has seen a higher epoch.
     Deposed,
 }
--- a/crates/cell/src/engine/mod.rs
+++ b/crates/cell/src/engine/mod.rs
@@ -376,6 +376,6 @@
 
     /// Emits a log record.
     fn note(&mut self, note: LogRecord) {
-        self.outbox.push(Effect::Note(note));
+        self.outbox.push(Effect::Log(note));
     }
 }
--- a/crates/cell/tests/cell/incarnation.rs
+++ b/crates/cell/tests/cell/incarnation.rs
@@ -161,7 +161,7 @@
                     Effect::Heartbeat(heartbeat) => self.heartbeats.push(heartbeat),
                     Effect::Start(start) => self.starts.push(*start),
                     Effect::Stop(stop) => self.stops.push(stop),
-                    Effect::Note(note) => self.log_records.push(note),
+                    Effect::Log(note) => self.log_records.push(note),
                     Effect::Deposed => self.is_deposed = true,
                     _ => {}
                 }
--- a/crates/cell/tests/cell/world/mod.rs
+++ b/crates/cell/tests/cell/world/mod.rs
@@ -840,23 +840,23 @@
                 self.schedule(wait, Event::Recorded(entries));
             }
             Effect::Remove(jobs) => jobs.into_iter().for_each(|job| self.remove_acceptance(job)),
-            Effect::Note(LogRecord::Placed { task, worker, .. }) => {
+            Effect::Log(LogRecord::Placed { task, worker, .. }) => {
                 self.check_placement(task, &worker)
             }
-            Effect::Note(LogRecord::Waits { step, why, .. }) => self.waits.push((step.job, why)),
-            Effect::Note(LogRecord::Stopping {
+            Effect::Log(LogRecord::Waits { step, why, .. }) => self.waits.push((step.job, why)),
+            Effect::Log(LogRecord::Stopping {
                 task,
                 why: "preempted",
                 ..
             }) => self.preempted.push((self.now, task)),
-            Effect::Note(LogRecord::NotStarted {
+            Effect::Log(LogRecord::NotStarted {
                 why: "ticket-aged", ..
             }) => self.expired_ticket_starts += 1,
-            Effect::Note(LogRecord::Crashed { task, verdict, .. }) => {
+            Effect::Log(LogRecord::Crashed { task, verdict, .. }) => {
                 self.check_given_up(task, verdict == "given-up");
             }
             // No history has best-effort tasks, so there is nothing to throttle.
-            Effect::Throttle(_) | Effect::Note(_) => {}
+            Effect::Throttle(_) | Effect::Log(_) => {}
             Effect::Deposed => self.violations.push("the owner was deposed".to_owned()),
         }
     }
--- a/crates/node/src/owner/control.rs
+++ b/crates/node/src/owner/control.rs
@@ -285,7 +285,7 @@
                     let _ = self.records.send(entries);
                 }
                 Effect::Remove(jobs) => forget::forget(&self.shared, jobs),
-                Effect::Note(note) => self.report_note(&note),
+                Effect::Log(note) => self.report_note(&note),
                 Effect::Deposed => {
                     slog::warn!(self.shared.log, "fenced"; "epoch" => %self.engine.epoch());
                     self.is_deposed = true;
