--- a/crates/cell/examples/fleet.rs
+++ b/crates/cell/examples/fleet.rs
@@ -405,7 +405,7 @@
             job: JobId(self.serial * 3 + kind as u64),
             queue: Arc::new(queue(&KINDS[kind])),
             spec: Arc::new(Spec {
-                text: "text".into(),
+                payload: "text".into(),
                 steps: vec![step],
                 schedule: None,
             }),
--- a/crates/cell/src/effect.rs
+++ b/crates/cell/src/effect.rs
@@ -69,7 +69,7 @@
     /// The run of the task.
     pub run: Run,
     /// The payload that the task receives.
-    pub text: Arc<str>,
+    pub payload: Arc<str>,
     /// The end of the lease to run it, on the worker's clock, in milliseconds.
     pub deadline: u64,
     /// The checkpoint that it resumes from.
--- a/crates/cell/src/engine/order.rs
+++ b/crates/cell/src/engine/order.rs
@@ -225,7 +225,7 @@
             to,
             task,
             run,
-            text: order.text,
+            payload: order.text,
             deadline,
             checkpoint: order.checkpoint,
             ticket: order.ticket.map(|ticket| ticket.text),
--- a/crates/cell/src/engine/place.rs
+++ b/crates/cell/src/engine/place.rs
@@ -436,7 +436,7 @@
             waited: waited.unwrap_or_default(),
         });
         let order = Order {
-            text: spec.text.clone(),
+            text: spec.payload.clone(),
             checkpoint,
             ticket,
         };
--- a/crates/cell/src/job.rs
+++ b/crates/cell/src/job.rs
@@ -71,7 +71,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Spec {
     /// The payload that the tasks receive; opaque to the engine.
-    pub text: Arc<str>,
+    pub payload: Arc<str>,
     /// Its steps.
     pub steps: Vec<Step>,
     /// The schedule of the steps; `None` runs them once, at once.
--- a/crates/cell/tests/cell/forget.rs
+++ b/crates/cell/tests/cell/forget.rs
@@ -165,7 +165,7 @@
         job: JobId(job << 32),
         queue: queue("urgent", 0, true).into(),
         spec: Spec {
-            text: "x".repeat(250).into(),
+            payload: "x".repeat(250).into(),
             steps: vec![quick_step()],
             schedule: None,
         }
--- a/crates/cell/tests/cell/incarnation.rs
+++ b/crates/cell/tests/cell/incarnation.rs
@@ -67,7 +67,7 @@
         ..Step::default()
     };
     let spec = Spec {
-        text: "text".into(),
+        payload: "text".into(),
         steps: vec![step],
         schedule: None,
     };
--- a/crates/cell/tests/cell/limit.rs
+++ b/crates/cell/tests/cell/limit.rs
@@ -122,7 +122,7 @@
     #[case] expected: Result<(), Invalid>,
 ) {
     let spec = Spec {
-        text: "text".into(),
+        payload: "text".into(),
         steps: vec![step],
         schedule: None,
     };
--- a/crates/cell/tests/cell/overtaking.rs
+++ b/crates/cell/tests/cell/overtaking.rs
@@ -81,7 +81,7 @@
         job,
         queue: queue("batch", 2, false).into(),
         spec: Spec {
-            text: "text".into(),
+            payload: "text".into(),
             steps: vec![step(2)],
             schedule: None,
         }
--- a/crates/cell/tests/cell/pace.rs
+++ b/crates/cell/tests/cell/pace.rs
@@ -98,7 +98,7 @@
             job: JobId(job),
             queue: queue("batch", 2, false).into(),
             spec: Spec {
-                text: "text".into(),
+                payload: "text".into(),
                 steps: vec![step],
                 schedule: None,
             }
--- a/crates/cell/tests/cell/pending.rs
+++ b/crates/cell/tests/cell/pending.rs
@@ -84,7 +84,7 @@
         job: JobId(job),
         queue: queue("batch", 2, false).into(),
         spec: Spec {
-            text: "text".into(),
+            payload: "text".into(),
             steps: vec![quick_step()],
             schedule: None,
         }
--- a/crates/cell/tests/cell/takeover.rs
+++ b/crates/cell/tests/cell/takeover.rs
@@ -58,7 +58,7 @@
         job: JOB,
         queue: queue("batch", 2, false).into(),
         spec: Spec {
-            text: "text".into(),
+            payload: "text".into(),
             steps: vec![step],
             schedule: Some(Schedule {
                 times: 2,
--- a/crates/cell/tests/cell/wait.rs
+++ b/crates/cell/tests/cell/wait.rs
@@ -161,7 +161,7 @@
     let world = world();
     let lack = |steps: Vec<Step>| {
         let spec = Spec {
-            text: "text".into(),
+            payload: "text".into(),
             steps,
             schedule: None,
         };
@@ -184,7 +184,7 @@
         ..queue("batch", 2, false)
     };
     let spec = Spec {
-        text: "text".into(),
+        payload: "text".into(),
         steps: vec![labelled(UNKNOWN_LABEL)],
         schedule: None,
     };
--- a/crates/cell/tests/cell/world/mod.rs
+++ b/crates/cell/tests/cell/world/mod.rs
@@ -551,7 +551,7 @@
             job: JobId(self.last_id),
             queue: self.config.queues[&QueueName::from(queue)].clone(),
             spec: Arc::new(Spec {
-                text: "text".into(),
+                payload: "text".into(),
                 steps,
                 schedule,
             }),
--- a/crates/node/tests/node/support.rs
+++ b/crates/node/tests/node/support.rs
@@ -141,7 +141,7 @@
 /// Returns a job of the given steps.
 pub(crate) fn job(steps: Vec<Step>, schedule: Option<Schedule>) -> Spec {
     Spec {
-        text: "text".into(),
+        payload: "text".into(),
         steps,
         schedule,
     }
