--- a/crates/cell/src/effect.rs
+++ b/crates/cell/src/effect.rs
@@ -239,7 +239,7 @@
         after: Duration,
     },
     /// Tasks of a step wait, for another reason than last reported.
-    Waits {
+    Waiting {
         /// The step.
         step: StepId,
         /// The reason.
--- a/crates/cell/src/engine/wait.rs
+++ b/crates/cell/src/engine/wait.rs
@@ -293,7 +293,7 @@
         let waited = stage.opened.map(|opened| now.since(opened));
         let step = self.jobs.get(&id.job).and_then(|job| job.step(id));
         let label = step.and_then(|step| step.requires.clone());
-        self.note(LogRecord::Waits {
+        self.note(LogRecord::Waiting {
             step: id,
             why,
             label,
--- a/crates/cell/tests/cell/world/mod.rs
+++ b/crates/cell/tests/cell/world/mod.rs
@@ -843,7 +843,7 @@
             Effect::Log(LogRecord::Placed { task, worker, .. }) => {
                 self.check_placement(task, &worker)
             }
-            Effect::Log(LogRecord::Waits { step, why, .. }) => self.waits.push((step.job, why)),
+            Effect::Log(LogRecord::Waiting { step, why, .. }) => self.waits.push((step.job, why)),
             Effect::Log(LogRecord::Stopping {
                 task,
                 why: "preempted",
--- a/crates/node/src/report.rs
+++ b/crates/node/src/report.rs
@@ -350,7 +350,7 @@
         LogRecord::Crashed { verdict, .. } => ("crashed", verdict),
         LogRecord::Adopted { .. } => ("adopted", ""),
         LogRecord::Finished { outcome, .. } => ("finished", outcome),
-        LogRecord::Waits { why, .. } => ("waits", why.word()),
+        LogRecord::Waiting { why, .. } => ("waits", why.word()),
         LogRecord::Advised { .. } => ("advised", ""),
     }
 }
@@ -440,7 +440,7 @@
             after,
         } => slog::info!(log, "finished"; "job" => %job, "outcome" => outcome,
             "after_ms" => millis(*after)),
-        LogRecord::Waits {
+        LogRecord::Waiting {
             step,
             why,
             label,
