--- a/crates/cell/src/effect.rs
+++ b/crates/cell/src/effect.rs
@@ -203,7 +203,7 @@
         /// The state of the worker, as one word.
         why: &'static str,
         /// How long before the worker stopped answering the run was placed or adopted.
-        age: Duration,
+        run_age: Duration,
         /// The number of other runs that the worker may have held.
         beside: usize,
     },
--- a/crates/cell/src/engine/loss.rs
+++ b/crates/cell/src/engine/loss.rs
@@ -89,7 +89,7 @@
                 run: *run,
                 worker: worker.registration.id.clone(),
                 why,
-                age: silent.since(claim.since),
+                run_age: silent.since(claim.since),
                 beside: others,
             })
             .collect();
--- a/crates/node/src/report.rs
+++ b/crates/node/src/report.rs
@@ -420,7 +420,7 @@
             run,
             worker,
             why,
-            age,
+            run_age: age,
             beside,
         } => slog::info!(log, "lost"; "task" => %task, "run" => run.0,
             "worker" => worker.as_str(), "why" => why, "age_ms" => millis(*age), "beside" => beside),
