--- a/crates/cell/src/effect.rs
+++ b/crates/cell/src/effect.rs
@@ -205,7 +205,7 @@
         /// How long before the worker stopped answering the run was placed or adopted.
         run_age: Duration,
         /// The number of other runs that the worker may have held.
-        beside: usize,
+        other_runs: usize,
     },
     /// A worker crashed shortly after it started a task.
     Crashed {
--- a/crates/cell/src/engine/loss.rs
+++ b/crates/cell/src/engine/loss.rs
@@ -90,7 +90,7 @@
                 worker: worker.registration.id.clone(),
                 why,
                 run_age: silent.since(claim.since),
-                beside: others,
+                other_runs: others,
             })
             .collect();
         notes.into_iter().for_each(|note| self.note(note));
--- a/crates/node/src/report.rs
+++ b/crates/node/src/report.rs
@@ -421,7 +421,7 @@
             worker,
             why,
             run_age: age,
-            beside,
+            other_runs: beside,
         } => slog::info!(log, "lost"; "task" => %task, "run" => run.0,
             "worker" => worker.as_str(), "why" => why, "age_ms" => millis(*age), "beside" => beside),
         LogRecord::Crashed {
