--- a/crates/cell/examples/fleet.rs
+++ b/crates/cell/examples/fleet.rs
@@ -32,8 +32,8 @@
     event::{
         Advised,
         Ended,
+        ExitReason,
         HoldAnswer,
-        How,
         Inventory,
         Registration,
         Running,
@@ -187,7 +187,7 @@
 }
 
 impl SimulatedWorker {
-    fn end(&mut self, task: TaskId, run: Run, how: How) {
+    fn end(&mut self, task: TaskId, run: Run, how: ExitReason) {
         if self.running.get(&task) != Some(&run) {
             return;
         }
@@ -316,7 +316,7 @@
                 self.call_engine(|engine, now| {
                     engine.stopped(&worker, task, run, StopAnswer::Confirmed, now);
                 });
-                self.end(&worker, task, run, How::Stopped);
+                self.end(&worker, task, run, ExitReason::Stopped);
             }
             Effect::Heartbeat(order) => {
                 let worker = order.to.worker.clone();
@@ -350,7 +350,7 @@
         }
     }
 
-    fn end(&mut self, worker: &WorkerId, task: TaskId, run: Run, how: How) {
+    fn end(&mut self, worker: &WorkerId, task: TaskId, run: Run, how: ExitReason) {
         let now = self.now;
         let Some(simulated_worker) = self.simulated_workers.get_mut(worker) else {
             return;
@@ -365,7 +365,7 @@
 
     fn handle(&mut self, event: Event) {
         match event {
-            Event::End(worker, task, run) => self.end(&worker, task, run, How::Done),
+            Event::End(worker, task, run) => self.end(&worker, task, run, ExitReason::Done),
             Event::Recorded => self.call_engine(|engine, now| engine.recorded(now)),
             Event::Advised(node, step, workers) => {
                 let share = kind_of(step.job).advice.1;
--- a/crates/cell/src/effect.rs
+++ b/crates/cell/src/effect.rs
@@ -17,7 +17,7 @@
         Survey,
         Wait, //
     },
-    event::How,
+    event::ExitReason,
     id::{
         Fence,
         Incarnation,
@@ -153,7 +153,7 @@
         /// The worker.
         worker: WorkerId,
         /// How it ended.
-        how: How,
+        how: ExitReason,
     },
     /// A run is to be stopped.
     Stopping {
--- a/crates/cell/src/engine/end.rs
+++ b/crates/cell/src/engine/end.rs
@@ -15,7 +15,7 @@
     effect::LogRecord,
     event::{
         Ended,
-        How, //
+        ExitReason, //
     },
     id::{
         Run,
@@ -45,16 +45,16 @@
         self.mark_begun(task.step.job);
         self.save_checkpoint(task, ended.checkpoint.as_ref());
         match how {
-            How::Done => self.handle_success(slot, task, run, now),
-            How::Failed => {
+            ExitReason::Done => self.handle_success(slot, task, run, now),
+            ExitReason::Failed => {
                 self.clear_crashes(task);
                 self.handle_failure(slot, task, run, now);
             }
-            How::Lapsed | How::Alone => self.clear_crashes(task),
-            How::Stopped | How::Broken => {}
+            ExitReason::Lapsed | ExitReason::Alone => self.clear_crashes(task),
+            ExitReason::Stopped | ExitReason::Broken => {}
         }
         self.release(slot, task, run, now);
-        if how != How::Done {
+        if how != ExitReason::Done {
             self.stop_gang(task, run, now);
         }
     }
--- a/crates/cell/src/event.rs
+++ b/crates/cell/src/event.rs
@@ -44,7 +44,7 @@
 
 /// How a run ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum How {
+pub enum ExitReason {
     /// It succeeded.
     Done,
     /// It failed, through its own fault or the worker's.
@@ -59,7 +59,7 @@
     Alone,
 }
 
-impl How {
+impl ExitReason {
     /// Returns the value that is written to logs.
     pub const fn word(self) -> &'static str {
         match self {
@@ -97,7 +97,7 @@
     /// The run of the task.
     pub run: Run,
     /// How it ended.
-    pub how: How,
+    pub how: ExitReason,
     /// The last checkpoint, if there is one.
     pub checkpoint: Option<Arc<str>>,
 }
--- a/crates/cell/tests/cell/overtaking.rs
+++ b/crates/cell/tests/cell/overtaking.rs
@@ -19,8 +19,8 @@
     evacuation::Evacuation,
     event::{
         Ended,
+        ExitReason,
         HoldAnswer,
-        How,
         Inventory,
         Registration,
         Running,
@@ -142,7 +142,7 @@
         serial: 1,
         task,
         run: Run(1),
-        how: How::Done,
+        how: ExitReason::Done,
         checkpoint: None,
     };
     let newer = Inventory {
--- a/crates/cell/tests/cell/pending.rs
+++ b/crates/cell/tests/cell/pending.rs
@@ -13,8 +13,8 @@
     evacuation::Evacuation,
     event::{
         Ended,
+        ExitReason,
         HoldAnswer,
-        How,
         Inventory,
         Registration,
         Running,
@@ -160,7 +160,7 @@
             serial: job,
             task,
             run,
-            how: How::Done,
+            how: ExitReason::Done,
             checkpoint: None,
         }
     });
--- a/crates/cell/tests/cell/world/deliver.rs
+++ b/crates/cell/tests/cell/world/deliver.rs
@@ -5,8 +5,8 @@
 use fulmarpier_cell::{
     bounds::Bounds,
     event::{
+        ExitReason,
         HoldAnswer,
-        How,
         StartAnswer,
         StopAnswer, //
     },
@@ -48,10 +48,10 @@
         let fails = self.chance(self.faults.failures);
         let duration = Duration::from_millis(self.rng.random_range(200..3_000));
         let (how, duration) = match (self.can_never_assemble(order.task.step), fails) {
-            (true, _) => (How::Alone, Bounds::default().gang_wait),
-            _ if self.is_long_running(order.task.step) => (How::Failed, LONG_RUN_DURATION),
-            (false, true) => (How::Failed, duration),
-            (false, false) => (How::Done, duration),
+            (true, _) => (ExitReason::Alone, Bounds::default().gang_wait),
+            _ if self.is_long_running(order.task.step) => (ExitReason::Failed, LONG_RUN_DURATION),
+            (false, true) => (ExitReason::Failed, duration),
+            (false, false) => (ExitReason::Done, duration),
         };
         if !self.workers.contains_key(&id) && !self.is_down(&id) {
             if is_current && is_answered {
--- a/crates/cell/tests/cell/world/worker.rs
+++ b/crates/cell/tests/cell/world/worker.rs
@@ -15,7 +15,7 @@
     },
     event::{
         Ended,
-        How,
+        ExitReason,
         Inventory,
         Registration,
         Running,
@@ -55,7 +55,7 @@
 struct Task {
     run: Run,
     ends_at: Timestamp,
-    how: How,
+    how: ExitReason,
 }
 
 /// One incarnation of a worker.
@@ -216,7 +216,7 @@
         &mut self,
         order: &Start,
         duration: Duration,
-        how: How,
+        how: ExitReason,
         now: Timestamp,
     ) -> StartAnswer {
         if self.rejects_fence(&order.to) {
@@ -263,7 +263,7 @@
             && task.ends_at > now + STOP_DURATION
         {
             task.ends_at = now + STOP_DURATION;
-            task.how = How::Stopped;
+            task.how = ExitReason::Stopped;
         }
         StopAnswer::Confirmed
     }
@@ -300,10 +300,11 @@
         }
         let acknowledged: Vec<Ended> = acknowledged;
         let counted = acknowledged.into_iter().filter(|end| {
-            matches!(end.how, How::Done | How::Failed) && end.serial > self.last_end_at_expiry
+            matches!(end.how, ExitReason::Done | ExitReason::Failed)
+                && end.serial > self.last_end_at_expiry
         });
         counted
-            .map(|end| (end.task, end.run, end.how == How::Done))
+            .map(|end| (end.task, end.run, end.how == ExitReason::Done))
             .collect()
     }
 
@@ -316,7 +317,7 @@
         let mut ended = Vec::new();
         self.tasks.retain(|id, task| {
             let how = match (is_expired, task.ends_at <= now) {
-                (true, _) => How::Lapsed,
+                (true, _) => ExitReason::Lapsed,
                 (false, true) => task.how,
                 (false, false) => return true,
             };
@@ -341,7 +342,7 @@
     pub(crate) fn inventory(&self, now: Timestamp) -> Inventory {
         // A task that is being stopped is not listed until it has ended.
         let running = self.tasks.iter();
-        let running = running.filter(|(_, task)| task.how != How::Stopped);
+        let running = running.filter(|(_, task)| task.how != ExitReason::Stopped);
         let running = running.map(|(id, task)| Running {
             task: *id,
             run: task.run,
@@ -366,7 +367,7 @@
 
     pub(crate) fn has_done(&self, task: TaskId) -> bool {
         let mut ended = self.ended.iter();
-        ended.any(|end| end.task == task && end.how == How::Done)
+        ended.any(|end| end.task == task && end.how == ExitReason::Done)
     }
 
     /// Returns whether the running tasks exceed each capacity that the worker has had within `grace`.
--- a/crates/node/tests/node/platform.rs
+++ b/crates/node/tests/node/platform.rs
@@ -31,8 +31,8 @@
     event::{
         Advised,
         Ended,
+        ExitReason,
         HoldAnswer,
-        How,
         Inventory,
         Registration,
         Running,
@@ -779,7 +779,7 @@
                     serial,
                     task,
                     run,
-                    how: How::Done,
+                    how: ExitReason::Done,
                     checkpoint: None,
                 });
             }
