--- a/crates/cell/src/engine/order.rs
+++ b/crates/cell/src/engine/order.rs
@@ -67,7 +67,7 @@
                 task,
                 run,
                 worker: worker.clone(),
-                why: answer.word(),
+                why: answer.as_str(),
             });
         }
         match answer {
--- a/crates/cell/src/engine/wait.rs
+++ b/crates/cell/src/engine/wait.rs
@@ -66,7 +66,7 @@
 
 impl Wait {
     /// Returns the reason as one word, for logs and metrics.
-    pub const fn word(self) -> &'static str {
+    pub const fn as_str(self) -> &'static str {
         match self {
             Self::Label => "label",
             Self::Size => "size",
--- a/crates/cell/src/event.rs
+++ b/crates/cell/src/event.rs
@@ -61,7 +61,7 @@
 
 impl ExitReason {
     /// Returns the value that is written to logs.
-    pub const fn word(self) -> &'static str {
+    pub const fn as_str(self) -> &'static str {
         match self {
             Self::Done => "done",
             Self::Failed => "failed",
@@ -161,7 +161,7 @@
 
 impl HoldAnswer {
     /// Returns the value that is written to logs.
-    pub const fn word(&self) -> &'static str {
+    pub const fn as_str(&self) -> &'static str {
         match self {
             Self::Listed(_) => "listed",
             Self::Fenced => "fenced",
@@ -175,7 +175,7 @@
 
 impl StopAnswer {
     /// Returns the value that is written to logs.
-    pub const fn word(self) -> &'static str {
+    pub const fn as_str(self) -> &'static str {
         match self {
             Self::Confirmed => "confirmed",
             Self::Fenced => "fenced",
@@ -187,7 +187,7 @@
 
 impl StartAnswer {
     /// Returns the value that is written to logs.
-    pub const fn word(self) -> &'static str {
+    pub const fn as_str(self) -> &'static str {
         match self {
             Self::Started => "started",
             Self::Fenced => "fenced",
--- a/crates/node/src/order.rs
+++ b/crates/node/src/order.rs
@@ -117,25 +117,25 @@
                 let (worker, task, run) = (order.to.worker.clone(), order.task, order.run);
                 let answer = platform.start(*order).await;
                 let report = Report::Started(worker, task, run, answer);
-                ("start", report, answer.word())
+                ("start", report, answer.as_str())
             }
             Self::Stop(order) => {
                 let (worker, task, run) = (order.to.worker.clone(), order.task, order.run);
                 let answer = platform.stop(order).await;
                 let report = Report::Stopped(worker, task, run, answer);
-                ("stop", report, answer.word())
+                ("stop", report, answer.as_str())
             }
             Self::Pace(order) => {
                 let worker = order.to.worker.clone();
                 let (task, run, percent) = (order.task, order.run, order.percent);
                 let answer = platform.pace(order).await;
                 let report = Report::Paced(worker, task, run, percent, answer);
-                ("pace", report, answer.word())
+                ("pace", report, answer.as_str())
             }
             Self::Hold(order) => {
                 let (worker, asked) = (order.to.worker.clone(), order.asked);
                 let answer = platform.hold(order).await;
-                let outcome = answer.word();
+                let outcome = answer.as_str();
                 ("hold", Report::Held(worker, asked, answer), outcome)
             }
         };
--- a/crates/node/src/report.rs
+++ b/crates/node/src/report.rs
@@ -342,7 +342,7 @@
     match note {
         LogRecord::Placed { .. } => ("placed", ""),
         LogRecord::NotStarted { why, .. } => ("not-started", why),
-        LogRecord::Ended { how, .. } => ("ended", how.word()),
+        LogRecord::Ended { how, .. } => ("ended", how.as_str()),
         LogRecord::Stopping { why, .. } => ("stopping", why),
         LogRecord::Preempting { .. } => ("preempting", ""),
         LogRecord::Worker { belief, .. } => ("worker", belief),
@@ -350,7 +350,7 @@
         LogRecord::Crashed { verdict, .. } => ("crashed", verdict),
         LogRecord::Adopted { .. } => ("adopted", ""),
         LogRecord::Finished { outcome, .. } => ("finished", outcome),
-        LogRecord::Waiting { why, .. } => ("waits", why.word()),
+        LogRecord::Waiting { why, .. } => ("waits", why.as_str()),
         LogRecord::Advised { .. } => ("advised", ""),
     }
 }
@@ -389,7 +389,7 @@
             worker,
             how,
         } => slog::info!(log, "ended"; "task" => %task, "run" => run.0,
-            "worker" => worker.as_str(), "how" => how.word()),
+            "worker" => worker.as_str(), "how" => how.as_str()),
         LogRecord::Stopping {
             task,
             run,
@@ -447,7 +447,7 @@
             tasks,
             survey,
             waited,
-        } => slog::info!(log, "waits"; "step" => %step, "why" => why.word(),
+        } => slog::info!(log, "waits"; "step" => %step, "why" => why.as_str(),
             "label" => label.as_deref().unwrap_or_default(), "tasks" => tasks,
             "named" => survey.named, "allowed" => survey.allowed, "open" => survey.open,
             "room" => survey.room, "ticketed" => survey.ticketed,
