--- a/crates/cell/src/engine/end.rs
+++ b/crates/cell/src/engine/end.rs
@@ -51,7 +51,7 @@
                 self.handle_failure(slot, task, run, now);
             }
             ExitReason::Lapsed | ExitReason::Alone => self.clear_crashes(task),
-            ExitReason::Stopped | ExitReason::Broken => {}
+            ExitReason::Stopped | ExitReason::GangBroken => {}
         }
         self.release(slot, task, run, now);
         if how != ExitReason::Done {
--- a/crates/cell/src/event.rs
+++ b/crates/cell/src/event.rs
@@ -54,7 +54,7 @@
     /// Its lease expired.
     Lapsed,
     /// Another member of its gang ended.
-    Broken,
+    GangBroken,
     /// The other members of its gang did not arrive in time.
     Alone,
 }
@@ -67,7 +67,7 @@
             Self::Failed => "failed",
             Self::Stopped => "stopped",
             Self::Lapsed => "lapsed",
-            Self::Broken => "broken",
+            Self::GangBroken => "broken",
             Self::Alone => "alone",
         }
     }
