--- a/crates/cell/src/engine/end.rs
+++ b/crates/cell/src/engine/end.rs
@@ -50,7 +50,7 @@
                 self.clear_crashes(task);
                 self.handle_failure(slot, task, run, now);
             }
-            ExitReason::Lapsed | ExitReason::Alone => self.clear_crashes(task),
+            ExitReason::Lapsed | ExitReason::GangTimeout => self.clear_crashes(task),
             ExitReason::Stopped | ExitReason::GangBroken => {}
         }
         self.release(slot, task, run, now);
--- a/crates/cell/src/event.rs
+++ b/crates/cell/src/event.rs
@@ -56,7 +56,7 @@
     /// Another member of its gang ended.
     GangBroken,
     /// The other members of its gang did not arrive in time.
-    Alone,
+    GangTimeout,
 }
 
 impl ExitReason {
@@ -68,7 +68,7 @@
             Self::Stopped => "stopped",
             Self::Lapsed => "lapsed",
             Self::GangBroken => "broken",
-            Self::Alone => "alone",
+            Self::GangTimeout => "alone",
         }
     }
 }
--- a/crates/cell/tests/cell/world/deliver.rs
+++ b/crates/cell/tests/cell/world/deliver.rs
@@ -48,7 +48,7 @@
         let fails = self.chance(self.faults.failures);
         let duration = Duration::from_millis(self.rng.random_range(200..3_000));
         let (how, duration) = match (self.can_never_assemble(order.task.step), fails) {
-            (true, _) => (ExitReason::Alone, Bounds::default().gang_wait),
+            (true, _) => (ExitReason::GangTimeout, Bounds::default().gang_wait),
             _ if self.is_long_running(order.task.step) => (ExitReason::Failed, LONG_RUN_DURATION),
             (false, true) => (ExitReason::Failed, duration),
             (false, false) => (ExitReason::Done, duration),
