--- a/crates/cell/examples/fleet.rs
+++ b/crates/cell/examples/fleet.rs
@@ -197,7 +197,7 @@
             serial: self.serial,
             task,
             run,
-            how,
+            reason: how,
             checkpoint: None,
         });
     }
--- a/crates/cell/src/effect.rs
+++ b/crates/cell/src/effect.rs
@@ -153,7 +153,7 @@
         /// The worker.
         worker: WorkerId,
         /// How it ended.
-        how: ExitReason,
+        reason: ExitReason,
     },
     /// A run is to be stopped.
     Stopping {
--- a/crates/cell/src/engine/end.rs
+++ b/crates/cell/src/engine/end.rs
@@ -32,14 +32,19 @@
 impl Engine {
     /// Handles an end that a worker lists for the first time.
     pub(super) fn handle_end(&mut self, slot: Slot, ended: Ended, now: Timestamp) {
-        let Ended { task, run, how, .. } = ended;
+        let Ended {
+            task,
+            run,
+            reason: how,
+            ..
+        } = ended;
         if let Some(worker) = self.workers.get(&slot) {
             let worker = worker.registration.id.clone();
             self.note(LogRecord::Ended {
                 task,
                 run,
                 worker,
-                how,
+                reason: how,
             });
         }
         self.mark_begun(task.step.job);
--- a/crates/cell/src/event.rs
+++ b/crates/cell/src/event.rs
@@ -97,7 +97,7 @@
     /// The run of the task.
     pub run: Run,
     /// How it ended.
-    pub how: ExitReason,
+    pub reason: ExitReason,
     /// The last checkpoint, if there is one.
     pub checkpoint: Option<Arc<str>>,
 }
--- a/crates/cell/tests/cell/overtaking.rs
+++ b/crates/cell/tests/cell/overtaking.rs
@@ -142,7 +142,7 @@
         serial: 1,
         task,
         run: Run(1),
-        how: ExitReason::Done,
+        reason: ExitReason::Done,
         checkpoint: None,
     };
     let newer = Inventory {
--- a/crates/cell/tests/cell/pending.rs
+++ b/crates/cell/tests/cell/pending.rs
@@ -160,7 +160,7 @@
             serial: job,
             task,
             run,
-            how: ExitReason::Done,
+            reason: ExitReason::Done,
             checkpoint: None,
         }
     });
--- a/crates/cell/tests/cell/world/worker.rs
+++ b/crates/cell/tests/cell/world/worker.rs
@@ -300,11 +300,11 @@
         }
         let acknowledged: Vec<Ended> = acknowledged;
         let counted = acknowledged.into_iter().filter(|end| {
-            matches!(end.how, ExitReason::Done | ExitReason::Failed)
+            matches!(end.reason, ExitReason::Done | ExitReason::Failed)
                 && end.serial > self.last_end_at_expiry
         });
         counted
-            .map(|end| (end.task, end.run, end.how == ExitReason::Done))
+            .map(|end| (end.task, end.run, end.reason == ExitReason::Done))
             .collect()
     }
 
@@ -331,7 +331,7 @@
                 serial: self.last_end,
                 task,
                 run,
-                how,
+                reason: how,
                 checkpoint: None,
             });
         }
@@ -367,7 +367,7 @@
 
     pub(crate) fn has_done(&self, task: TaskId) -> bool {
         let mut ended = self.ended.iter();
-        ended.any(|end| end.task == task && end.how == ExitReason::Done)
+        ended.any(|end| end.task == task && end.reason == ExitReason::Done)
     }
 
     /// Returns whether the running tasks exceed each capacity that the worker has had within `grace`.
--- a/crates/node/src/report.rs
+++ b/crates/node/src/report.rs
@@ -342,7 +342,7 @@
     match note {
         LogRecord::Placed { .. } => ("placed", ""),
         LogRecord::NotStarted { why, .. } => ("not-started", why),
-        LogRecord::Ended { how, .. } => ("ended", how.as_str()),
+        LogRecord::Ended { reason: how, .. } => ("ended", how.as_str()),
         LogRecord::Stopping { why, .. } => ("stopping", why),
         LogRecord::Preempting { .. } => ("preempting", ""),
         LogRecord::Worker { belief, .. } => ("worker", belief),
@@ -387,7 +387,7 @@
             task,
             run,
             worker,
-            how,
+            reason: how,
         } => slog::info!(log, "ended"; "task" => %task, "run" => run.0,
             "worker" => worker.as_str(), "how" => how.as_str()),
         LogRecord::Stopping {
--- a/crates/node/tests/node/platform.rs
+++ b/crates/node/tests/node/platform.rs
@@ -779,7 +779,7 @@
                     serial,
                     task,
                     run,
-                    how: ExitReason::Done,
+                    reason: ExitReason::Done,
                     checkpoint: None,
                 });
             }
