--- a/crates/cell/examples/fleet.rs
+++ b/crates/cell/examples/fleet.rs
@@ -33,7 +33,7 @@
         Advised,
         Ended,
         ExitReason,
-        HoldAnswer,
+        HeartbeatAnswer,
         Inventory,
         Registration,
         Running,
@@ -202,14 +202,14 @@
         });
     }
 
-    fn inventory(&self, now: Timestamp) -> HoldAnswer {
+    fn inventory(&self, now: Timestamp) -> HeartbeatAnswer {
         let running = self.running.iter().map(|(task, run)| Running {
             task: *task,
             run: *run,
             checkpoint: None,
             load: 0,
         });
-        HoldAnswer::Listed(Inventory {
+        HeartbeatAnswer::Listed(Inventory {
             incarnation: None,
             clock: u64::try_from(now.since(Timestamp::ZERO).as_millis()).unwrap_or(0),
             running: running.collect(),
--- a/crates/cell/src/engine/contact.rs
+++ b/crates/cell/src/engine/contact.rs
@@ -18,7 +18,7 @@
         LogRecord, //
     },
     event::{
-        HoldAnswer,
+        HeartbeatAnswer,
         Inventory,
         Registration,
         Running, //
@@ -226,7 +226,13 @@
     /// Handles the answer to a call for an inventory.
     ///
     /// `asked` is when the call was made.
-    pub fn held(&mut self, id: &WorkerId, asked: Timestamp, answer: HoldAnswer, now: Timestamp) {
+    pub fn held(
+        &mut self,
+        id: &WorkerId,
+        asked: Timestamp,
+        answer: HeartbeatAnswer,
+        now: Timestamp,
+    ) {
         let Some(slot) = self.slots.get(id).copied() else {
             return;
         };
@@ -240,24 +246,28 @@
             return;
         }
         match answer {
-            HoldAnswer::Listed(inventory) => self.handle_inventory(slot, inventory, asked, now),
+            HeartbeatAnswer::Listed(inventory) => {
+                self.handle_inventory(slot, inventory, asked, now)
+            }
             // The call predates the current fence, so the refusal doesn't mean that another node owns the cell.
-            HoldAnswer::Fenced if worker.raised.is_some_and(|raised| asked < raised) => {
+            HeartbeatAnswer::Fenced if worker.raised.is_some_and(|raised| asked < raised) => {
                 worker.call_again(is_peek, now);
                 self.index(slot);
             }
-            HoldAnswer::Fenced => self.outbox.push(Effect::Deposed),
-            HoldAnswer::Gone => self.lose_worker(slot, "replaced", now),
-            HoldAnswer::Silent | HoldAnswer::Broken | HoldAnswer::Refused if is_peek => {
+            HeartbeatAnswer::Fenced => self.outbox.push(Effect::Deposed),
+            HeartbeatAnswer::Gone => self.lose_worker(slot, "replaced", now),
+            HeartbeatAnswer::Silent | HeartbeatAnswer::Broken | HeartbeatAnswer::Refused
+                if is_peek =>
+            {
                 worker.peek = Some(Contact::Due(now + SILENT_WORKER_RETRY_DELAY));
                 self.index(slot);
             }
-            HoldAnswer::Silent | HoldAnswer::Broken | HoldAnswer::Refused => {
+            HeartbeatAnswer::Silent | HeartbeatAnswer::Broken | HeartbeatAnswer::Refused => {
                 worker.contact = Contact::Due(now + SILENT_WORKER_RETRY_DELAY);
                 let was_responsive = worker.silent.is_none();
                 worker.silent.get_or_insert(now);
                 worker.silence.get_or_insert(match answer {
-                    HoldAnswer::Broken => Silence::Broken(now),
+                    HeartbeatAnswer::Broken => Silence::Broken(now),
                     _ => Silence::Missed,
                 });
                 self.index(slot);
--- a/crates/cell/src/event.rs
+++ b/crates/cell/src/event.rs
@@ -117,7 +117,7 @@
 
 /// The result of a call for a worker's inventory.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum HoldAnswer {
+pub enum HeartbeatAnswer {
     /// The worker answered with its inventory.
     Listed(Inventory),
     /// The worker has seen a higher epoch.
@@ -159,7 +159,7 @@
     Silent,
 }
 
-impl HoldAnswer {
+impl HeartbeatAnswer {
     /// Returns the value that is written to logs.
     pub const fn as_str(&self) -> &'static str {
         match self {
--- a/crates/cell/tests/cell/incarnation.rs
+++ b/crates/cell/tests/cell/incarnation.rs
@@ -21,7 +21,7 @@
     },
     evacuation::Evacuation,
     event::{
-        HoldAnswer,
+        HeartbeatAnswer,
         Inventory,
         Registration,
         Running,
@@ -193,10 +193,10 @@
             running: running.collect(),
             ended: Vec::new(),
         };
-        self.answer_heartbeat(heartbeat, HoldAnswer::Listed(inventory));
+        self.answer_heartbeat(heartbeat, HeartbeatAnswer::Listed(inventory));
     }
 
-    fn answer_heartbeat(&mut self, heartbeat: &Heartbeat, answer: HoldAnswer) {
+    fn answer_heartbeat(&mut self, heartbeat: &Heartbeat, answer: HeartbeatAnswer) {
         self.engine
             .held(&self.worker, heartbeat.asked, answer, self.now);
         self.advance(MILLISECOND);
@@ -236,7 +236,7 @@
     /// fence.
     fn restart(&mut self, running: &[(TaskId, Run)]) {
         let heartbeat = self.heartbeats.pop().expect("a heartbeat is in flight");
-        self.answer_heartbeat(&heartbeat, HoldAnswer::Broken);
+        self.answer_heartbeat(&heartbeat, HeartbeatAnswer::Broken);
         self.advance(300 * MILLISECOND);
         self.send_inventory(SECOND, running);
         self.send_inventory(SECOND, running);
@@ -248,7 +248,7 @@
     let mut harness = Harness::new();
     let tasks = harness.submit(JobId(1), 1);
     let heartbeat = harness.heartbeats.pop().unwrap();
-    harness.answer_heartbeat(&heartbeat, HoldAnswer::Broken);
+    harness.answer_heartbeat(&heartbeat, HeartbeatAnswer::Broken);
     harness.advance(300 * MILLISECOND);
     harness.send_inventory(SECOND, &[]);
     let fence = harness.heartbeats.last().unwrap().to.fence;
@@ -274,7 +274,7 @@
     assert!(!harness.is_deposed);
     // The fence of a later owner shows in the answer to the next heartbeat.
     let heartbeat = harness.heartbeats.pop().unwrap();
-    harness.answer_heartbeat(&heartbeat, HoldAnswer::Fenced);
+    harness.answer_heartbeat(&heartbeat, HeartbeatAnswer::Fenced);
     assert!(harness.is_deposed);
 }
 
@@ -288,7 +288,7 @@
     harness.register(SECOND);
     harness.send_inventory(SECOND, &[]);
     let heartbeats = harness.heartbeats.len();
-    harness.answer_heartbeat(&first, HoldAnswer::Fenced);
+    harness.answer_heartbeat(&first, HeartbeatAnswer::Fenced);
     assert!(!harness.is_deposed);
     assert_eq!(harness.heartbeats.len(), heartbeats + 1);
 }
@@ -331,7 +331,7 @@
         let run = harness.starts.last().unwrap().run;
         harness.started(tasks[0], run, StartAnswer::Started);
         let heartbeat = harness.heartbeats.pop().unwrap();
-        harness.answer_heartbeat(&heartbeat, HoldAnswer::Broken);
+        harness.answer_heartbeat(&heartbeat, HeartbeatAnswer::Broken);
         harness.advance(300 * MILLISECOND);
         let next = Incarnation(1_000 + restart);
         harness.send_inventory(next, &[]);
@@ -371,7 +371,7 @@
 fn a_worker_that_is_lost_and_comes_back_under_its_id_gets_a_higher_fence() {
     let mut harness = Harness::new();
     let first = harness.heartbeats.pop().unwrap();
-    harness.answer_heartbeat(&first, HoldAnswer::Gone);
+    harness.answer_heartbeat(&first, HeartbeatAnswer::Gone);
     harness.register(SECOND);
     assert!(harness.heartbeats.last().unwrap().to.fence > first.to.fence);
 }
@@ -382,7 +382,7 @@
     harness.has_store = false;
     assert_eq!(harness.submit(JobId(1), 1), []);
     let heartbeat = harness.heartbeats.pop().unwrap();
-    harness.answer_heartbeat(&heartbeat, HoldAnswer::Broken);
+    harness.answer_heartbeat(&heartbeat, HeartbeatAnswer::Broken);
     harness.has_store = true;
     harness.engine.recorded(harness.now);
     harness.advance(50 * MILLISECOND);
@@ -428,10 +428,10 @@
     harness.report(FIRST, Some(Duration::from_secs(2)));
     harness.started(tasks[0], Run(1), StartAnswer::Started);
     let heartbeat = harness.heartbeats.pop().unwrap();
-    harness.answer_heartbeat(&heartbeat, HoldAnswer::Broken);
+    harness.answer_heartbeat(&heartbeat, HeartbeatAnswer::Broken);
     harness.advance(300 * MILLISECOND);
     let heartbeat = harness.heartbeats.pop().unwrap();
-    harness.answer_heartbeat(&heartbeat, HoldAnswer::Gone);
+    harness.answer_heartbeat(&heartbeat, HeartbeatAnswer::Gone);
     assert_eq!(harness.crash_count(), 1);
 }
 
@@ -441,7 +441,7 @@
     let mut harness = Harness::new();
     let tasks = harness.submit(JobId(1), 1);
     let heartbeat = harness.heartbeats.pop().unwrap();
-    harness.answer_heartbeat(&heartbeat, HoldAnswer::Broken);
+    harness.answer_heartbeat(&heartbeat, HeartbeatAnswer::Broken);
     harness.started(tasks[0], Run(1), StartAnswer::Silent);
     assert_eq!(harness.starts.len(), 1);
     harness.advance(200 * MILLISECOND);
--- a/crates/cell/tests/cell/overtaking.rs
+++ b/crates/cell/tests/cell/overtaking.rs
@@ -20,7 +20,7 @@
     event::{
         Ended,
         ExitReason,
-        HoldAnswer,
+        HeartbeatAnswer,
         Inventory,
         Registration,
         Running,
@@ -116,7 +116,7 @@
         now,
     );
     let first = find_heartbeat(&drain_effects(&mut engine, now), true);
-    let empty = HoldAnswer::Listed(Inventory::default());
+    let empty = HeartbeatAnswer::Listed(Inventory::default());
     engine.held(&worker, first.asked, empty, now);
     let heartbeat = find_heartbeat(&drain_effects(&mut engine, now), false);
     let job = JobId(1);
@@ -151,7 +151,7 @@
         running: Vec::new(),
         ended: vec![end],
     };
-    engine.held(&worker, probe.asked, HoldAnswer::Listed(newer), now);
+    engine.held(&worker, probe.asked, HeartbeatAnswer::Listed(newer), now);
     drain_effects(&mut engine, now);
     let running = Running {
         task,
@@ -165,7 +165,12 @@
         running: vec![running],
         ended: Vec::new(),
     };
-    engine.held(&worker, heartbeat.asked, HoldAnswer::Listed(older), now);
+    engine.held(
+        &worker,
+        heartbeat.asked,
+        HeartbeatAnswer::Listed(older),
+        now,
+    );
     let stops = drain_effects(&mut engine, now);
     let stops = stops
         .iter()
--- a/crates/cell/tests/cell/pace.rs
+++ b/crates/cell/tests/cell/pace.rs
@@ -17,7 +17,7 @@
     },
     evacuation::Evacuation,
     event::{
-        HoldAnswer,
+        HeartbeatAnswer,
         Inventory,
         Registration,
         Running,
@@ -141,7 +141,7 @@
                 running: running.collect(),
                 ended: Vec::new(),
             };
-            let answer = HoldAnswer::Listed(inventory);
+            let answer = HeartbeatAnswer::Listed(inventory);
             self.engine
                 .held(&heartbeat.to.worker, heartbeat.asked, answer, now);
         }
--- a/crates/cell/tests/cell/pending.rs
+++ b/crates/cell/tests/cell/pending.rs
@@ -14,7 +14,7 @@
     event::{
         Ended,
         ExitReason,
-        HoldAnswer,
+        HeartbeatAnswer,
         Inventory,
         Registration,
         Running,
@@ -135,7 +135,7 @@
         _ => None,
     });
     let asked = asked.expect("a new owner calls every worker");
-    engine.held(&worker, asked, HoldAnswer::Listed(listed), now);
+    engine.held(&worker, asked, HeartbeatAnswer::Listed(listed), now);
     engine
 }
 
--- a/crates/cell/tests/cell/takeover.rs
+++ b/crates/cell/tests/cell/takeover.rs
@@ -15,7 +15,7 @@
     },
     evacuation::Evacuation,
     event::{
-        HoldAnswer,
+        HeartbeatAnswer,
         Inventory,
         Registration,
         Running, //
@@ -127,10 +127,10 @@
         for effect in effects.drain(..) {
             match effect {
                 Effect::Heartbeat(hold) if hold.to.worker == silent => {
-                    engine.held(&silent, hold.asked, HoldAnswer::Silent, now);
+                    engine.held(&silent, hold.asked, HeartbeatAnswer::Silent, now);
                 }
                 Effect::Heartbeat(hold) => {
-                    let empty = HoldAnswer::Listed(Inventory::default());
+                    let empty = HeartbeatAnswer::Listed(Inventory::default());
                     engine.held(&healthy, hold.asked, empty, now);
                 }
                 Effect::Record(_) => engine.recorded(now),
@@ -190,7 +190,7 @@
         ended: Vec::new(),
     };
     let asked = asked.expect("the worker is called");
-    engine.held(&worker, asked, HoldAnswer::Listed(inventory), now);
+    engine.held(&worker, asked, HeartbeatAnswer::Listed(inventory), now);
     let effects = [effects, engine.advance(now)].concat();
     let stops = effects
         .iter()
--- a/crates/cell/tests/cell/world/deliver.rs
+++ b/crates/cell/tests/cell/world/deliver.rs
@@ -6,7 +6,7 @@
     bounds::Bounds,
     event::{
         ExitReason,
-        HoldAnswer,
+        HeartbeatAnswer,
         StartAnswer,
         StopAnswer, //
     },
@@ -120,13 +120,13 @@
         if self.is_down(&id) {
             return self.schedule(
                 NETWORK_DELAY,
-                Event::HeartbeatAnswered(id, asked, HoldAnswer::Broken),
+                Event::HeartbeatAnswered(id, asked, HeartbeatAnswer::Broken),
             );
         }
         if !self.workers.contains_key(&id) {
             return self.schedule(
                 NETWORK_DELAY,
-                Event::HeartbeatAnswered(id, asked, HoldAnswer::Gone),
+                Event::HeartbeatAnswered(id, asked, HeartbeatAnswer::Gone),
             );
         }
         let Some(worker) = self.reachable_worker(&id) else {
@@ -135,7 +135,7 @@
         if worker.rejects_fence(&order.to) {
             return self.schedule(
                 NETWORK_DELAY,
-                Event::HeartbeatAnswered(id, asked, HoldAnswer::Fenced),
+                Event::HeartbeatAnswered(id, asked, HeartbeatAnswer::Fenced),
             );
         }
         let acknowledged = worker.heartbeat(&order, is_lost, now);
@@ -155,7 +155,12 @@
     }
 
     /// Passes the answer to a heartbeat to the engine, unless the heartbeat has been answered or has timed out.
-    pub(super) fn end_heartbeat(&mut self, id: &WorkerId, asked: Timestamp, answer: HoldAnswer) {
+    pub(super) fn end_heartbeat(
+        &mut self,
+        id: &WorkerId,
+        asked: Timestamp,
+        answer: HeartbeatAnswer,
+    ) {
         if self.heartbeats.remove(&(id.clone(), asked)) {
             self.engine.held(id, asked, answer, self.now);
         }
@@ -176,7 +181,7 @@
         let Some(worker) = self.reachable_worker(id) else {
             return;
         };
-        let answer = HoldAnswer::Listed(worker.inventory(now));
+        let answer = HeartbeatAnswer::Listed(worker.inventory(now));
         self.schedule(
             NETWORK_DELAY,
             Event::HeartbeatAnswered(id.clone(), asked, answer),
--- a/crates/cell/tests/cell/world/fault.rs
+++ b/crates/cell/tests/cell/world/fault.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use fulmarpier_cell::{
-    event::HoldAnswer,
+    event::HeartbeatAnswer,
     id::{
         JobId,
         StepId,
@@ -105,7 +105,7 @@
         for (id, asked) in calls.cloned().collect::<Vec<_>>() {
             self.schedule(
                 NETWORK_DELAY,
-                Event::HeartbeatAnswered(id, asked, HoldAnswer::Broken),
+                Event::HeartbeatAnswered(id, asked, HeartbeatAnswer::Broken),
             );
         }
     }
--- a/crates/cell/tests/cell/world/mod.rs
+++ b/crates/cell/tests/cell/world/mod.rs
@@ -46,7 +46,7 @@
     evacuation::Evacuation,
     event::{
         Advised,
-        HoldAnswer,
+        HeartbeatAnswer,
         Registration,
         StartAnswer,
         StopAnswer, //
@@ -148,7 +148,7 @@
     LateStart(Box<fulmarpier_cell::effect::Start>, Option<Incarnation>),
     Start(Box<fulmarpier_cell::effect::Start>),
     Stop(fulmarpier_cell::effect::Stop),
-    HeartbeatAnswered(WorkerId, Timestamp, HoldAnswer),
+    HeartbeatAnswered(WorkerId, Timestamp, HeartbeatAnswer),
     Recorded(Vec<Entry>),
     AcceptanceStored(Box<Accepted>),
     Withdrawn(JobId),
@@ -896,7 +896,7 @@
                 self.end_heartbeat(&worker, asked, answer)
             }
             Event::HeartbeatTimeout(worker, asked) => {
-                self.end_heartbeat(&worker, asked, HoldAnswer::Silent)
+                self.end_heartbeat(&worker, asked, HeartbeatAnswer::Silent)
             }
             Event::Withdrawn(job) => self.engine.withdraw(job, self.now),
             Event::AdviceFailed(node, step) => self.engine.advised(&node, step, None, self.now),
--- a/crates/node/src/order.rs
+++ b/crates/node/src/order.rs
@@ -11,7 +11,7 @@
         Throttle, //
     },
     event::{
-        HoldAnswer,
+        HeartbeatAnswer,
         StartAnswer,
         StopAnswer, //
     },
@@ -60,7 +60,7 @@
     /// The result of an order to run at a share, with the share in percent.
     Paced(WorkerId, TaskId, Run, u8, StopAnswer),
     /// The result of a request for an inventory that was made at this time.
-    Held(WorkerId, Timestamp, HoldAnswer),
+    Held(WorkerId, Timestamp, HeartbeatAnswer),
 }
 
 impl Order {
@@ -94,7 +94,7 @@
                 let (task, run, percent) = (order.task, order.run, order.percent);
                 Report::Paced(worker, task, run, percent, StopAnswer::Silent)
             }
-            Self::Hold(order) => Report::Held(worker, order.asked, HoldAnswer::Silent),
+            Self::Hold(order) => Report::Held(worker, order.asked, HeartbeatAnswer::Silent),
         }
     }
 
--- a/crates/node/src/port.rs
+++ b/crates/node/src/port.rs
@@ -18,7 +18,7 @@
     evacuation,
     event::{
         Advised,
-        HoldAnswer,
+        HeartbeatAnswer,
         Registration,
         StartAnswer,
         StopAnswer, //
@@ -280,7 +280,7 @@
     fn pace(&self, order: Throttle) -> impl Future<Output = StopAnswer> + Send;
 
     /// Extends a worker's lease and asks for its inventory.
-    fn hold(&self, order: Heartbeat) -> impl Future<Output = HoldAnswer> + Send;
+    fn hold(&self, order: Heartbeat) -> impl Future<Output = HeartbeatAnswer> + Send;
 
     /// Asks the advice service which of the given workers may run a step; `None` if there was no answer.
     fn advise(
--- a/crates/node/tests/node/platform.rs
+++ b/crates/node/tests/node/platform.rs
@@ -32,7 +32,7 @@
         Advised,
         Ended,
         ExitReason,
-        HoldAnswer,
+        HeartbeatAnswer,
         Inventory,
         Registration,
         Running,
@@ -760,7 +760,7 @@
         StopAnswer::Confirmed
     }
 
-    async fn hold(&self, order: Heartbeat) -> HoldAnswer {
+    async fn hold(&self, order: Heartbeat) -> HeartbeatAnswer {
         let until = Instant::now() + order.wait;
         loop {
             sleep(CALL_LATENCY).await;
@@ -790,7 +790,7 @@
                     checkpoint: None,
                     load: 0,
                 });
-                return HoldAnswer::Listed(Inventory {
+                return HeartbeatAnswer::Listed(Inventory {
                     incarnation: None,
                     clock: 1,
                     running: running.collect(),
