--- a/crates/cell/src/engine/contact.rs
+++ b/crates/cell/src/engine/contact.rs
@@ -255,7 +255,7 @@
                 self.index(slot);
             }
             HeartbeatAnswer::Fenced => self.outbox.push(Effect::Deposed),
-            HeartbeatAnswer::Gone => self.lose_worker(slot, "replaced", now),
+            HeartbeatAnswer::Replaced => self.lose_worker(slot, "replaced", now),
             HeartbeatAnswer::Silent | HeartbeatAnswer::Broken | HeartbeatAnswer::Refused
                 if is_peek =>
             {
--- a/crates/cell/src/engine/pace.rs
+++ b/crates/cell/src/engine/pace.rs
@@ -170,7 +170,7 @@
             StopAnswer::Silent => {}
             StopAnswer::Fenced if self.may_have_stale_orders(slot) => {}
             StopAnswer::Fenced => self.outbox.push(Effect::Deposed),
-            StopAnswer::Gone => self.lose_worker(slot, "replaced", now),
+            StopAnswer::Replaced => self.lose_worker(slot, "replaced", now),
         }
     }
 
--- a/crates/cell/src/event.rs
+++ b/crates/cell/src/event.rs
@@ -123,7 +123,7 @@
     /// The worker has seen a higher epoch.
     Fenced,
     /// Another incarnation answers at the address: this one is gone, together with all of its runs.
-    Gone,
+    Replaced,
     /// No answer came in time; the lease may have been extended.
     Silent,
     /// The connection broke or was refused before the timeout; the lease may have been extended.
@@ -152,7 +152,7 @@
     /// The worker could not parse the order and did nothing.
     Malformed,
     /// Another incarnation answers at the address.
-    Gone,
+    Replaced,
     /// The connection was refused, so nothing was sent.
     Unsent,
     /// No answer came; the task may have started, or may still start later.
@@ -165,7 +165,7 @@
         match self {
             Self::Listed(_) => "listed",
             Self::Fenced => "fenced",
-            Self::Gone => "gone",
+            Self::Replaced => "gone",
             Self::Silent => "silent",
             Self::Broken => "broken",
             Self::Refused => "refused",
@@ -179,7 +179,7 @@
         match self {
             Self::Confirmed => "confirmed",
             Self::Fenced => "fenced",
-            Self::Gone => "gone",
+            Self::Replaced => "gone",
             Self::Silent => "silent",
         }
     }
@@ -197,7 +197,7 @@
             Self::Ticket => "ticket",
             Self::Unhealthy => "unhealthy",
             Self::Malformed => "malformed",
-            Self::Gone => "gone",
+            Self::Replaced => "gone",
             Self::Unsent => "unsent",
             Self::Silent => "silent",
         }
@@ -212,7 +212,7 @@
     /// The worker has seen a higher epoch.
     Fenced,
     /// Another incarnation answers at the address.
-    Gone,
+    Replaced,
     /// No answer came, or one that leaves the result open.
     Silent,
 }
--- a/crates/cell/tests/cell/incarnation.rs
+++ b/crates/cell/tests/cell/incarnation.rs
@@ -371,7 +371,7 @@
 fn a_worker_that_is_lost_and_comes_back_under_its_id_gets_a_higher_fence() {
     let mut harness = Harness::new();
     let first = harness.heartbeats.pop().unwrap();
-    harness.answer_heartbeat(&first, HeartbeatAnswer::Gone);
+    harness.answer_heartbeat(&first, HeartbeatAnswer::Replaced);
     harness.register(SECOND);
     assert!(harness.heartbeats.last().unwrap().to.fence > first.to.fence);
 }
@@ -431,7 +431,7 @@
     harness.answer_heartbeat(&heartbeat, HeartbeatAnswer::Broken);
     harness.advance(300 * MILLISECOND);
     let heartbeat = harness.heartbeats.pop().unwrap();
-    harness.answer_heartbeat(&heartbeat, HeartbeatAnswer::Gone);
+    harness.answer_heartbeat(&heartbeat, HeartbeatAnswer::Replaced);
     assert_eq!(harness.crash_count(), 1);
 }
 
--- a/crates/cell/tests/cell/world/deliver.rs
+++ b/crates/cell/tests/cell/world/deliver.rs
@@ -55,7 +55,7 @@
         };
         if !self.workers.contains_key(&id) && !self.is_down(&id) {
             if is_current && is_answered {
-                let gone = Event::Started(id, order.task, order.run, StartAnswer::Gone);
+                let gone = Event::Started(id, order.task, order.run, StartAnswer::Replaced);
                 self.schedule(NETWORK_DELAY, gone);
             }
             return;
@@ -96,7 +96,7 @@
         let (now, id) = (self.now, order.to.worker.clone());
         let is_known = self.workers.contains_key(&id) || self.is_down(&id);
         let answer = match (is_known, self.reachable_worker(&id)) {
-            (false, _) => StopAnswer::Gone,
+            (false, _) => StopAnswer::Replaced,
             (true, None) => StopAnswer::Silent,
             (true, Some(worker)) => worker.stop(order, now),
         };
@@ -126,7 +126,7 @@
         if !self.workers.contains_key(&id) {
             return self.schedule(
                 NETWORK_DELAY,
-                Event::HeartbeatAnswered(id, asked, HeartbeatAnswer::Gone),
+                Event::HeartbeatAnswered(id, asked, HeartbeatAnswer::Replaced),
             );
         }
         let Some(worker) = self.reachable_worker(&id) else {
