--- a/crates/cell/src/engine/contact.rs
+++ b/crates/cell/src/engine/contact.rs
@@ -256,13 +256,13 @@
             }
             HeartbeatAnswer::Fenced => self.outbox.push(Effect::Deposed),
             HeartbeatAnswer::Replaced => self.lose_worker(slot, "replaced", now),
-            HeartbeatAnswer::Silent | HeartbeatAnswer::Broken | HeartbeatAnswer::Refused
+            HeartbeatAnswer::NoAnswer | HeartbeatAnswer::Broken | HeartbeatAnswer::Refused
                 if is_peek =>
             {
                 worker.peek = Some(Contact::Due(now + SILENT_WORKER_RETRY_DELAY));
                 self.index(slot);
             }
-            HeartbeatAnswer::Silent | HeartbeatAnswer::Broken | HeartbeatAnswer::Refused => {
+            HeartbeatAnswer::NoAnswer | HeartbeatAnswer::Broken | HeartbeatAnswer::Refused => {
                 worker.contact = Contact::Due(now + SILENT_WORKER_RETRY_DELAY);
                 let was_responsive = worker.silent.is_none();
                 worker.silent.get_or_insert(now);
--- a/crates/cell/src/engine/order.rs
+++ b/crates/cell/src/engine/order.rs
@@ -79,7 +79,7 @@
                 self.outbox.push(Effect::Deposed)
             }
             StartAnswer::Replaced => self.lose_worker(slot, "replaced", now),
-            StartAnswer::Silent => self.retry_start(slot, task, run, now),
+            StartAnswer::NoAnswer => self.retry_start(slot, task, run, now),
             // The run has ended there already, or its stop order arrived first. The inventory shows which.
             StartAnswer::Old => self.confirm(slot, task, run, now),
             StartAnswer::Ticket => {
@@ -106,7 +106,7 @@
                 }
             }
         }
-        if answer != StartAnswer::Silent {
+        if answer != StartAnswer::NoAnswer {
             self.orders.remove(&(slot, task, run));
         }
     }
@@ -395,7 +395,7 @@
             StopAnswer::Fenced if !self.may_have_stale_orders(slot) => {
                 self.outbox.push(Effect::Deposed);
             }
-            StopAnswer::Silent | StopAnswer::Fenced => {
+            StopAnswer::NoAnswer | StopAnswer::Fenced => {
                 self.stops
                     .set((slot, task, run), Some(now + STOP_RETRY_DELAY));
             }
--- a/crates/cell/src/engine/pace.rs
+++ b/crates/cell/src/engine/pace.rs
@@ -167,7 +167,7 @@
                     worker.pacing.confirmed_shares.insert((task, run), percent);
                 }
             }
-            StopAnswer::Silent => {}
+            StopAnswer::NoAnswer => {}
             StopAnswer::Fenced if self.may_have_stale_orders(slot) => {}
             StopAnswer::Fenced => self.outbox.push(Effect::Deposed),
             StopAnswer::Replaced => self.lose_worker(slot, "replaced", now),
--- a/crates/cell/src/event.rs
+++ b/crates/cell/src/event.rs
@@ -125,7 +125,7 @@
     /// Another incarnation answers at the address: this one is gone, together with all of its runs.
     Replaced,
     /// No answer came in time; the lease may have been extended.
-    Silent,
+    NoAnswer,
     /// The connection broke or was refused before the timeout; the lease may have been extended.
     Broken,
     /// The worker refused the call and did nothing.
@@ -156,7 +156,7 @@
     /// The connection was refused, so nothing was sent.
     Unsent,
     /// No answer came; the task may have started, or may still start later.
-    Silent,
+    NoAnswer,
 }
 
 impl HeartbeatAnswer {
@@ -166,7 +166,7 @@
             Self::Listed(_) => "listed",
             Self::Fenced => "fenced",
             Self::Replaced => "gone",
-            Self::Silent => "silent",
+            Self::NoAnswer => "silent",
             Self::Broken => "broken",
             Self::Refused => "refused",
         }
@@ -180,7 +180,7 @@
             Self::Confirmed => "confirmed",
             Self::Fenced => "fenced",
             Self::Replaced => "gone",
-            Self::Silent => "silent",
+            Self::NoAnswer => "silent",
         }
     }
 }
@@ -199,7 +199,7 @@
             Self::Malformed => "malformed",
             Self::Replaced => "gone",
             Self::Unsent => "unsent",
-            Self::Silent => "silent",
+            Self::NoAnswer => "silent",
         }
     }
 }
@@ -214,7 +214,7 @@
     /// Another incarnation answers at the address.
     Replaced,
     /// No answer came, or one that leaves the result open.
-    Silent,
+    NoAnswer,
 }
 
 /// A worker that may run a step, with its ticket.
--- a/crates/cell/tests/cell/incarnation.rs
+++ b/crates/cell/tests/cell/incarnation.rs
@@ -351,7 +351,7 @@
     let mut harness = Harness::new();
     let tasks = harness.submit(JobId(1), 1);
     for _ in 0..3 {
-        harness.started(tasks[0], Run(1), StartAnswer::Silent);
+        harness.started(tasks[0], Run(1), StartAnswer::NoAnswer);
     }
     assert_eq!(harness.stops.len(), 1);
     harness.engine.stopped(
@@ -415,7 +415,7 @@
     let mut harness = Harness::new();
     let tasks = harness.submit(JobId(1), 1);
     harness.report(FIRST, Some(Duration::from_secs(2)));
-    harness.started(tasks[0], Run(1), StartAnswer::Silent);
+    harness.started(tasks[0], Run(1), StartAnswer::NoAnswer);
     assert_eq!((harness.starts.len(), harness.stops.len()), (1, 1));
 }
 
@@ -442,7 +442,7 @@
     let tasks = harness.submit(JobId(1), 1);
     let heartbeat = harness.heartbeats.pop().unwrap();
     harness.answer_heartbeat(&heartbeat, HeartbeatAnswer::Broken);
-    harness.started(tasks[0], Run(1), StartAnswer::Silent);
+    harness.started(tasks[0], Run(1), StartAnswer::NoAnswer);
     assert_eq!(harness.starts.len(), 1);
     harness.advance(200 * MILLISECOND);
     harness.send_inventory(FIRST, &[]);
--- a/crates/cell/tests/cell/overtaking.rs
+++ b/crates/cell/tests/cell/overtaking.rs
@@ -132,7 +132,7 @@
     engine.started(&worker, task, Run(1), StartAnswer::Started, now);
     // A start that stays unanswered after several attempts causes a second heartbeat, whose answer overtakes the first.
     for _ in 0..3 {
-        engine.started(&worker, unanswered, Run(1), StartAnswer::Silent, now);
+        engine.started(&worker, unanswered, Run(1), StartAnswer::NoAnswer, now);
         drain_effects(&mut engine, now);
     }
     engine.stopped(&worker, unanswered, Run(1), StopAnswer::Confirmed, now);
--- a/crates/cell/tests/cell/pace.rs
+++ b/crates/cell/tests/cell/pace.rs
@@ -168,7 +168,7 @@
                     }
                     _ => {
                         self.orders_to_lose -= 1;
-                        StopAnswer::Silent
+                        StopAnswer::NoAnswer
                     }
                 };
                 self.engine
--- a/crates/cell/tests/cell/takeover.rs
+++ b/crates/cell/tests/cell/takeover.rs
@@ -127,7 +127,7 @@
         for effect in effects.drain(..) {
             match effect {
                 Effect::Heartbeat(hold) if hold.to.worker == silent => {
-                    engine.held(&silent, hold.asked, HeartbeatAnswer::Silent, now);
+                    engine.held(&silent, hold.asked, HeartbeatAnswer::NoAnswer, now);
                 }
                 Effect::Heartbeat(hold) => {
                     let empty = HeartbeatAnswer::Listed(Inventory::default());
--- a/crates/cell/tests/cell/world/deliver.rs
+++ b/crates/cell/tests/cell/world/deliver.rs
@@ -62,7 +62,7 @@
         }
         let Some(worker) = self.reachable_worker(&id) else {
             if is_current && is_answered {
-                let silent = Event::Started(id, order.task, order.run, StartAnswer::Silent);
+                let silent = Event::Started(id, order.task, order.run, StartAnswer::NoAnswer);
                 self.schedule(ORDER_TIMEOUT, silent);
             }
             return;
@@ -97,7 +97,7 @@
         let is_known = self.workers.contains_key(&id) || self.is_down(&id);
         let answer = match (is_known, self.reachable_worker(&id)) {
             (false, _) => StopAnswer::Replaced,
-            (true, None) => StopAnswer::Silent,
+            (true, None) => StopAnswer::NoAnswer,
             (true, Some(worker)) => worker.stop(order, now),
         };
         if is_current {
--- a/crates/cell/tests/cell/world/mod.rs
+++ b/crates/cell/tests/cell/world/mod.rs
@@ -783,7 +783,7 @@
                         order.to.worker.clone(),
                         order.task,
                         order.run,
-                        StartAnswer::Silent,
+                        StartAnswer::NoAnswer,
                     );
                     if self.chance(500) {
                         let delay = Duration::from_millis(self.rng.random_range(2_000..12_000));
@@ -802,7 +802,7 @@
                         order.to.worker.clone(),
                         order.task,
                         order.run,
-                        StopAnswer::Silent,
+                        StopAnswer::NoAnswer,
                     );
                     self.schedule(ORDER_TIMEOUT, answer);
                 } else {
@@ -896,7 +896,7 @@
                 self.end_heartbeat(&worker, asked, answer)
             }
             Event::HeartbeatTimeout(worker, asked) => {
-                self.end_heartbeat(&worker, asked, HeartbeatAnswer::Silent)
+                self.end_heartbeat(&worker, asked, HeartbeatAnswer::NoAnswer)
             }
             Event::Withdrawn(job) => self.engine.withdraw(job, self.now),
             Event::AdviceFailed(node, step) => self.engine.advised(&node, step, None, self.now),
--- a/crates/node/src/order.rs
+++ b/crates/node/src/order.rs
@@ -87,14 +87,16 @@
         let worker = self.to().worker.clone();
         match self {
             Self::Start(order) => {
-                Report::Started(worker, order.task, order.run, StartAnswer::Silent)
+                Report::Started(worker, order.task, order.run, StartAnswer::NoAnswer)
+            }
+            Self::Stop(order) => {
+                Report::Stopped(worker, order.task, order.run, StopAnswer::NoAnswer)
             }
-            Self::Stop(order) => Report::Stopped(worker, order.task, order.run, StopAnswer::Silent),
             Self::Pace(order) => {
                 let (task, run, percent) = (order.task, order.run, order.percent);
-                Report::Paced(worker, task, run, percent, StopAnswer::Silent)
+                Report::Paced(worker, task, run, percent, StopAnswer::NoAnswer)
             }
-            Self::Hold(order) => Report::Held(worker, order.asked, HeartbeatAnswer::Silent),
+            Self::Hold(order) => Report::Held(worker, order.asked, HeartbeatAnswer::NoAnswer),
         }
     }
 
