--- a/crates/cell/src/engine/contact.rs
+++ b/crates/cell/src/engine/contact.rs
@@ -256,18 +256,22 @@
             }
             HeartbeatAnswer::Fenced => self.outbox.push(Effect::Deposed),
             HeartbeatAnswer::Replaced => self.lose_worker(slot, "replaced", now),
-            HeartbeatAnswer::NoAnswer | HeartbeatAnswer::Broken | HeartbeatAnswer::Refused
+            HeartbeatAnswer::NoAnswer
+            | HeartbeatAnswer::ConnectionLost
+            | HeartbeatAnswer::Refused
                 if is_peek =>
             {
                 worker.peek = Some(Contact::Due(now + SILENT_WORKER_RETRY_DELAY));
                 self.index(slot);
             }
-            HeartbeatAnswer::NoAnswer | HeartbeatAnswer::Broken | HeartbeatAnswer::Refused => {
+            HeartbeatAnswer::NoAnswer
+            | HeartbeatAnswer::ConnectionLost
+            | HeartbeatAnswer::Refused => {
                 worker.contact = Contact::Due(now + SILENT_WORKER_RETRY_DELAY);
                 let was_responsive = worker.silent.is_none();
                 worker.silent.get_or_insert(now);
                 worker.silence.get_or_insert(match answer {
-                    HeartbeatAnswer::Broken => Silence::Broken(now),
+                    HeartbeatAnswer::ConnectionLost => Silence::Broken(now),
                     _ => Silence::Missed,
                 });
                 self.index(slot);
--- a/crates/cell/src/event.rs
+++ b/crates/cell/src/event.rs
@@ -127,7 +127,7 @@
     /// No answer came in time; the lease may have been extended.
     NoAnswer,
     /// The connection broke or was refused before the timeout; the lease may have been extended.
-    Broken,
+    ConnectionLost,
     /// The worker refused the call and did nothing.
     Refused,
 }
@@ -167,7 +167,7 @@
             Self::Fenced => "fenced",
             Self::Replaced => "gone",
             Self::NoAnswer => "silent",
-            Self::Broken => "broken",
+            Self::ConnectionLost => "broken",
             Self::Refused => "refused",
         }
     }
--- a/crates/cell/tests/cell/incarnation.rs
+++ b/crates/cell/tests/cell/incarnation.rs
@@ -236,7 +236,7 @@
     /// fence.
     fn restart(&mut self, running: &[(TaskId, Run)]) {
         let heartbeat = self.heartbeats.pop().expect("a heartbeat is in flight");
-        self.answer_heartbeat(&heartbeat, HeartbeatAnswer::Broken);
+        self.answer_heartbeat(&heartbeat, HeartbeatAnswer::ConnectionLost);
         self.advance(300 * MILLISECOND);
         self.send_inventory(SECOND, running);
         self.send_inventory(SECOND, running);
@@ -248,7 +248,7 @@
     let mut harness = Harness::new();
     let tasks = harness.submit(JobId(1), 1);
     let heartbeat = harness.heartbeats.pop().unwrap();
-    harness.answer_heartbeat(&heartbeat, HeartbeatAnswer::Broken);
+    harness.answer_heartbeat(&heartbeat, HeartbeatAnswer::ConnectionLost);
     harness.advance(300 * MILLISECOND);
     harness.send_inventory(SECOND, &[]);
     let fence = harness.heartbeats.last().unwrap().to.fence;
@@ -331,7 +331,7 @@
         let run = harness.starts.last().unwrap().run;
         harness.started(tasks[0], run, StartAnswer::Started);
         let heartbeat = harness.heartbeats.pop().unwrap();
-        harness.answer_heartbeat(&heartbeat, HeartbeatAnswer::Broken);
+        harness.answer_heartbeat(&heartbeat, HeartbeatAnswer::ConnectionLost);
         harness.advance(300 * MILLISECOND);
         let next = Incarnation(1_000 + restart);
         harness.send_inventory(next, &[]);
@@ -382,7 +382,7 @@
     harness.has_store = false;
     assert_eq!(harness.submit(JobId(1), 1), []);
     let heartbeat = harness.heartbeats.pop().unwrap();
-    harness.answer_heartbeat(&heartbeat, HeartbeatAnswer::Broken);
+    harness.answer_heartbeat(&heartbeat, HeartbeatAnswer::ConnectionLost);
     harness.has_store = true;
     harness.engine.recorded(harness.now);
     harness.advance(50 * MILLISECOND);
@@ -428,7 +428,7 @@
     harness.report(FIRST, Some(Duration::from_secs(2)));
     harness.started(tasks[0], Run(1), StartAnswer::Started);
     let heartbeat = harness.heartbeats.pop().unwrap();
-    harness.answer_heartbeat(&heartbeat, HeartbeatAnswer::Broken);
+    harness.answer_heartbeat(&heartbeat, HeartbeatAnswer::ConnectionLost);
     harness.advance(300 * MILLISECOND);
     let heartbeat = harness.heartbeats.pop().unwrap();
     harness.answer_heartbeat(&heartbeat, HeartbeatAnswer::Replaced);
@@ -441,7 +441,7 @@
     let mut harness = Harness::new();
     let tasks = harness.submit(JobId(1), 1);
     let heartbeat = harness.heartbeats.pop().unwrap();
-    harness.answer_heartbeat(&heartbeat, HeartbeatAnswer::Broken);
+    harness.answer_heartbeat(&heartbeat, HeartbeatAnswer::ConnectionLost);
     harness.started(tasks[0], Run(1), StartAnswer::NoAnswer);
     assert_eq!(harness.starts.len(), 1);
     harness.advance(200 * MILLISECOND);
--- a/crates/cell/tests/cell/world/deliver.rs
+++ b/crates/cell/tests/cell/world/deliver.rs
@@ -120,7 +120,7 @@
         if self.is_down(&id) {
             return self.schedule(
                 NETWORK_DELAY,
-                Event::HeartbeatAnswered(id, asked, HeartbeatAnswer::Broken),
+                Event::HeartbeatAnswered(id, asked, HeartbeatAnswer::ConnectionLost),
             );
         }
         if !self.workers.contains_key(&id) {
--- a/crates/cell/tests/cell/world/fault.rs
+++ b/crates/cell/tests/cell/world/fault.rs
@@ -105,7 +105,7 @@
         for (id, asked) in calls.cloned().collect::<Vec<_>>() {
             self.schedule(
                 NETWORK_DELAY,
-                Event::HeartbeatAnswered(id, asked, HeartbeatAnswer::Broken),
+                Event::HeartbeatAnswered(id, asked, HeartbeatAnswer::ConnectionLost),
             );
         }
     }
