--- a/crates/cell/src/engine/order.rs
+++ b/crates/cell/src/engine/order.rs
@@ -81,7 +81,7 @@
             StartAnswer::Replaced => self.lose_worker(slot, "replaced", now),
             StartAnswer::NoAnswer => self.retry_start(slot, task, run, now),
             // The run has ended there already, or its stop order arrived first. The inventory shows which.
-            StartAnswer::Old => self.confirm(slot, task, run, now),
+            StartAnswer::Stale => self.confirm(slot, task, run, now),
             StartAnswer::Ticket => {
                 let stage = self.jobs.get_mut(&task.step.job);
                 let stage = stage.and_then(|job| job.stage_mut(task.step));
--- a/crates/cell/src/event.rs
+++ b/crates/cell/src/event.rs
@@ -140,7 +140,7 @@
     /// The worker has seen a higher epoch.
     Fenced,
     /// This run or a later one of the task has already ended or been stopped there.
-    Old,
+    Stale,
     /// The requested lease had already expired.
     Late,
     /// The worker has no room for the task.
@@ -191,7 +191,7 @@
         match self {
             Self::Started => "started",
             Self::Fenced => "fenced",
-            Self::Old => "old",
+            Self::Stale => "old",
             Self::Late => "late",
             Self::Full => "full",
             Self::Ticket => "ticket",
--- a/crates/cell/tests/cell/world/worker.rs
+++ b/crates/cell/tests/cell/world/worker.rs
@@ -236,7 +236,7 @@
             .get(&order.task)
             .is_some_and(|run| *run >= order.run)
         {
-            return StartAnswer::Old;
+            return StartAnswer::Stale;
         }
         if order.deadline <= self.clock(now) {
             return StartAnswer::Late;
