--- a/crates/cell/src/engine/order.rs
+++ b/crates/cell/src/engine/order.rs
@@ -91,7 +91,7 @@
                 self.release(slot, task, run, now);
             }
             StartAnswer::Fenced
-            | StartAnswer::Late
+            | StartAnswer::LeaseExpired
             | StartAnswer::Full
             | StartAnswer::Unhealthy
             | StartAnswer::Malformed
--- a/crates/cell/src/event.rs
+++ b/crates/cell/src/event.rs
@@ -142,7 +142,7 @@
     /// This run or a later one of the task has already ended or been stopped there.
     Stale,
     /// The requested lease had already expired.
-    Late,
+    LeaseExpired,
     /// The worker has no room for the task.
     Full,
     /// The ticket is not valid.
@@ -192,7 +192,7 @@
             Self::Started => "started",
             Self::Fenced => "fenced",
             Self::Stale => "old",
-            Self::Late => "late",
+            Self::LeaseExpired => "late",
             Self::Full => "full",
             Self::Ticket => "ticket",
             Self::Unhealthy => "unhealthy",
--- a/crates/cell/tests/cell/world/worker.rs
+++ b/crates/cell/tests/cell/world/worker.rs
@@ -239,7 +239,7 @@
             return StartAnswer::Stale;
         }
         if order.deadline <= self.clock(now) {
-            return StartAnswer::Late;
+            return StartAnswer::LeaseExpired;
         }
         let task = Task {
             run: order.run,
