--- a/crates/cell/src/engine/order.rs
+++ b/crates/cell/src/engine/order.rs
@@ -82,7 +82,7 @@
             StartAnswer::NoAnswer => self.retry_start(slot, task, run, now),
             // The run has ended there already, or its stop order arrived first. The inventory shows which.
             StartAnswer::Stale => self.confirm(slot, task, run, now),
-            StartAnswer::Ticket => {
+            StartAnswer::InvalidTicket => {
                 let stage = self.jobs.get_mut(&task.step.job);
                 let stage = stage.and_then(|job| job.stage_mut(task.step));
                 if let Some(stage) = stage {
--- a/crates/cell/src/event.rs
+++ b/crates/cell/src/event.rs
@@ -146,7 +146,7 @@
     /// The worker has no room for the task.
     Full,
     /// The ticket is not valid.
-    Ticket,
+    InvalidTicket,
     /// The worker does not accept new tasks at present and did nothing.
     Unhealthy,
     /// The worker could not parse the order and did nothing.
@@ -194,7 +194,7 @@
             Self::Stale => "old",
             Self::LeaseExpired => "late",
             Self::Full => "full",
-            Self::Ticket => "ticket",
+            Self::InvalidTicket => "ticket",
             Self::Unhealthy => "unhealthy",
             Self::Malformed => "malformed",
             Self::Replaced => "gone",
--- a/crates/cell/tests/cell/world/deliver.rs
+++ b/crates/cell/tests/cell/world/deliver.rs
@@ -72,7 +72,7 @@
         if ticket.is_some_and(|ticket| has_expired(ticket, now) || issued_at(ticket) < started_at) {
             self.turned_away += 1;
             if is_current && is_answered {
-                let answer = Event::Started(id, order.task, order.run, StartAnswer::Ticket);
+                let answer = Event::Started(id, order.task, order.run, StartAnswer::InvalidTicket);
                 self.schedule(NETWORK_DELAY, answer);
             }
             return;
