--- a/crates/cell/examples/fleet.rs
+++ b/crates/cell/examples/fleet.rs
@@ -30,9 +30,9 @@
     },
     evacuation::Evacuation,
     event::{
-        Advised,
         Ended,
         ExitReason,
+        Grant,
         HeartbeatAnswer,
         Inventory,
         Registration,
@@ -371,8 +371,8 @@
                 let share = kind_of(step.job).advice.1;
                 let rng = &mut self.rng;
                 let allowed = workers.into_iter().filter(|_| rng.random_bool(share));
-                let allowed: Vec<Advised> = allowed
-                    .map(|worker| Advised {
+                let allowed: Vec<Grant> = allowed
+                    .map(|worker| Grant {
                         worker,
                         ticket: "ticket".into(),
                     })
--- a/crates/cell/src/engine/ask.rs
+++ b/crates/cell/src/engine/ask.rs
@@ -26,7 +26,7 @@
         Effect,
         LogRecord, //
     },
-    event::Advised,
+    event::Grant,
     id::{
         NodeName,
         StepId, //
@@ -352,7 +352,7 @@
         &mut self,
         node: &NodeName,
         id: StepId,
-        answer: Option<Vec<Advised>>,
+        answer: Option<Vec<Grant>>,
         now: Timestamp,
     ) {
         let Some(call) = self.desk.finish(node, id, answer.is_some(), now) else {
--- a/crates/cell/src/event.rs
+++ b/crates/cell/src/event.rs
@@ -219,7 +219,7 @@
 
 /// A worker that may run a step, with its ticket.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Advised {
+pub struct Grant {
     /// The worker.
     pub worker: WorkerId,
     /// The ticket that orders to start the step on this worker carry.
--- a/crates/cell/tests/cell/world/mod.rs
+++ b/crates/cell/tests/cell/world/mod.rs
@@ -45,7 +45,7 @@
     },
     evacuation::Evacuation,
     event::{
-        Advised,
+        Grant,
         HeartbeatAnswer,
         Registration,
         StartAnswer,
@@ -916,7 +916,7 @@
                     !(u64::from(slot) + step.job.0).is_multiple_of(3)
                 });
                 let advised = advised
-                    .map(|worker| Advised {
+                    .map(|worker| Grant {
                         ticket: self.now.as_micros().to_string().into(),
                         worker,
                     })
--- a/crates/node/src/message.rs
+++ b/crates/node/src/message.rs
@@ -7,7 +7,7 @@
 
 use fulmarpier_cell::{
     engine::State,
-    event::Advised,
+    event::Grant,
     id::{
         Epoch,
         JobId,
@@ -131,7 +131,7 @@
     /// The number of jobs that have not started any task.
     Pending(u32),
     /// The workers that may run a step; `None` if the advice service did not answer.
-    Advised(Option<Vec<Advised>>),
+    Advised(Option<Vec<Grant>>),
     /// The latency of the store as just measured by this node; `None` if the store did not answer.
     Store(Option<Duration>),
     /// The configuration as this node knows it.
--- a/crates/node/src/owner/control.rs
+++ b/crates/node/src/owner/control.rs
@@ -19,7 +19,7 @@
         Engine,
         State, //
     },
-    event::Advised,
+    event::Grant,
     id::{
         Epoch,
         JobId,
@@ -132,7 +132,7 @@
     /// A node did not accept a batch of orders; carries the numbers of the orders.
     DelegationFailed(SocketAddr, Failure, Vec<u64>),
     /// A call to the advice service ended; `None` if there was no answer.
-    Advised(NodeName, StepId, Option<Vec<Advised>>),
+    Advised(NodeName, StepId, Option<Vec<Grant>>),
     /// The entries of an [`Effect::Record`] are stored.
     Recorded,
     /// The list of workers was read; carries what changed.
@@ -341,7 +341,7 @@
     step: StepId,
     workers: Vec<WorkerId>,
     time_limit: Duration,
-) -> Option<Vec<Advised>> {
+) -> Option<Vec<Grant>> {
     if *node == shared.name {
         return shared.platform.advise(step, workers, time_limit).await;
     }
--- a/crates/node/src/port.rs
+++ b/crates/node/src/port.rs
@@ -17,7 +17,7 @@
     },
     evacuation,
     event::{
-        Advised,
+        Grant,
         HeartbeatAnswer,
         Registration,
         StartAnswer,
@@ -288,7 +288,7 @@
         step: StepId,
         workers: Vec<WorkerId>,
         patience: Duration,
-    ) -> impl Future<Output = Option<Vec<Advised>>> + Send;
+    ) -> impl Future<Output = Option<Vec<Grant>>> + Send;
 
     /// Returns the total time for which the machine was suspended since the process started.
     fn suspended(&self) -> Duration;
--- a/crates/node/tests/node/platform.rs
+++ b/crates/node/tests/node/platform.rs
@@ -29,9 +29,9 @@
     },
     evacuation::Change,
     event::{
-        Advised,
         Ended,
         ExitReason,
+        Grant,
         HeartbeatAnswer,
         Inventory,
         Registration,
@@ -800,7 +800,7 @@
         }
     }
 
-    async fn advise(&self, _: StepId, _: Vec<WorkerId>, _: Duration) -> Option<Vec<Advised>> {
+    async fn advise(&self, _: StepId, _: Vec<WorkerId>, _: Duration) -> Option<Vec<Grant>> {
         None
     }
 
