--- a/crates/cell/src/engine/loss.rs
+++ b/crates/cell/src/engine/loss.rs
@@ -66,7 +66,7 @@
         self.count_crashes(slot, now);
         self.release_all(slot, now);
         // The worker may come back under the same id while orders to the former incarnation are still in flight.
-        self.fence = self.fence.raised();
+        self.fence = self.fence.next();
         if let Some(worker) = self.workers.remove(&slot) {
             self.slots.remove(&worker.registration.id);
             self.ledger.remove_worker(worker.registration.id);
--- a/crates/cell/src/engine/restart.rs
+++ b/crates/cell/src/engine/restart.rs
@@ -68,7 +68,7 @@
         self.exclude_restarted_runs(slot, inventory, asked);
         self.note_losses(slot, "reborn", now);
         self.count_crashes(slot, now);
-        self.fence = self.fence.raised();
+        self.fence = self.fence.next();
         let Some(worker) = self.workers.get_mut(&slot) else {
             return;
         };
--- a/crates/cell/src/id.rs
+++ b/crates/cell/src/id.rs
@@ -199,7 +199,7 @@
 
     /// Returns the next higher fence; the last fence of an epoch returns itself.
     #[must_use]
-    pub const fn raised(self) -> Self {
+    pub const fn next(self) -> Self {
         let is_last = self.0 % Self::FENCES_PER_EPOCH == Self::FENCES_PER_EPOCH - 1;
         Self(self.0 + if is_last { 0 } else { 1 })
     }
