--- a/crates/cell/src/engine/end.rs
+++ b/crates/cell/src/engine/end.rs
@@ -96,7 +96,7 @@
         let Some(step) = job.step(task.step) else {
             return;
         };
-        let (is_gang, is_lasting) = (step.gang, step.lasting);
+        let (is_gang, is_lasting) = (step.gang, step.long_running);
         if job.is_over() || is_lasting {
             return;
         }
@@ -152,7 +152,7 @@
         let Some(step) = job.step(task.step) else {
             return;
         };
-        let (is_gang, is_lasting) = (step.gang, step.lasting);
+        let (is_gang, is_lasting) = (step.gang, step.long_running);
         let Some(stage) = job.stage_mut(task.step) else {
             return;
         };
--- a/crates/cell/src/engine/place.rs
+++ b/crates/cell/src/engine/place.rs
@@ -148,7 +148,7 @@
             return false;
         }
         let tries = usize::try_from(self.queue_of(job).max_attempts.max(1)).unwrap_or(usize::MAX);
-        step.lasting || stage.tries_used(index, step.gang, now) < tries
+        step.long_running || stage.tries_used(index, step.gang, now) < tries
     }
 
     /// Returns the first waiting task that has an attempt left and doesn't have to run alone.
--- a/crates/cell/src/engine/reserve.rs
+++ b/crates/cell/src/engine/reserve.rs
@@ -259,7 +259,7 @@
     pub(super) fn ends(&self, task: TaskId, with_gangs: bool) -> bool {
         let job = self.jobs.get(&task.step.job);
         let step = job.and_then(|job| job.step(task.step));
-        step.is_some_and(|step| (with_gangs || !step.gang) && !step.lasting)
+        step.is_some_and(|step| (with_gangs || !step.gang) && !step.long_running)
     }
 
     /// Returns whether a running task may be preempted for a step.
@@ -279,7 +279,7 @@
         let step = job.step(task.step);
         let own = self.rank(task.step, now);
         self.queue_of(job).priority > demand.queue.priority
-            && step.is_some_and(|step| step.checkpointing && !step.gang && !step.lasting)
+            && step.is_some_and(|step| step.checkpointing && !step.gang && !step.long_running)
             && own.is_some_and(|(own, _)| own > rank)
     }
 
--- a/crates/cell/src/engine/schedule.rs
+++ b/crates/cell/src/engine/schedule.rs
@@ -208,7 +208,7 @@
         let worthless = job.worthless(id.occurrence);
         let (lateness, until) = match () {
             // A long-running service has a value for as long as it runs, whenever it starts.
-            () if job.step(id).is_some_and(|step| step.lasting) => (Lateness::InTime, None),
+            () if job.step(id).is_some_and(|step| step.long_running) => (Lateness::InTime, None),
             () if now <= latest_start => (Lateness::InTime, Some(latest_start)),
             () if now <= worthless => (Lateness::Late, Some(worthless)),
             () => (Lateness::Worthless, None),
--- a/crates/cell/src/job.rs
+++ b/crates/cell/src/job.rs
@@ -45,7 +45,7 @@
     /// Whether copies of a task may run in parallel.
     pub speculative: bool,
     /// Whether the tasks run until the job is cancelled.
-    pub lasting: bool,
+    pub long_running: bool,
     /// The image that the tasks run; tasks with the same image behave alike.
     pub image: Option<Arc<str>>,
     /// The limit that the tail latency of its tasks must stay below.
--- a/crates/cell/tests/cell/crash.rs
+++ b/crates/cell/tests/cell/crash.rs
@@ -54,7 +54,7 @@
 
 fn long_running() -> Step {
     Step {
-        lasting: true,
+        long_running: true,
         ..single_task()
     }
 }
--- a/crates/cell/tests/cell/limit.rs
+++ b/crates/cell/tests/cell/limit.rs
@@ -155,7 +155,7 @@
 ) {
     let mut world = world(&[("hot", 12)]);
     let long_running = Step {
-        lasting: true,
+        long_running: true,
         ..step(12)
     };
     world.submit_for("hot", "batch", vec![long_running]);
@@ -191,7 +191,7 @@
 fn no_task_is_preempted_for_a_step_that_its_limit_holds_back() {
     let mut world = world(&[("hot", 4), ("calm", 32)]);
     let long_running = Step {
-        lasting: true,
+        long_running: true,
         ..step(4)
     };
     world.submit_for("hot", "batch", vec![long_running]);
@@ -215,7 +215,7 @@
 fn runs_on_workers_that_are_cut_off_count_until_their_leases_have_expired() {
     let mut world = world(&[("hot", 4)]);
     let long_running = Step {
-        lasting: true,
+        long_running: true,
         ..step(4)
     };
     world.submit_for("hot", "batch", vec![long_running]);
--- a/crates/cell/tests/cell/order.rs
+++ b/crates/cell/tests/cell/order.rs
@@ -167,7 +167,7 @@
     let mut world = World::new(5, Faults::default());
     world.run(Duration::from_secs(1));
     let long_running = Step {
-        lasting: true,
+        long_running: true,
         ..whole_worker_step(1, 100)
     };
     let service = world.submit_late("batch", vec![long_running], Duration::from_secs(600));
--- a/crates/cell/tests/cell/pace.rs
+++ b/crates/cell/tests/cell/pace.rs
@@ -189,7 +189,7 @@
     Step {
         count,
         size: size(1_000, 512),
-        lasting: true,
+        long_running: true,
         target: Some(TARGET),
         ..Step::default()
     }
--- a/crates/cell/tests/cell/world/fault.rs
+++ b/crates/cell/tests/cell/world/fault.rs
@@ -84,7 +84,7 @@
     }
 
     pub(super) fn is_long_running(&self, id: StepId) -> bool {
-        self.step(id).is_some_and(|step| step.lasting)
+        self.step(id).is_some_and(|step| step.long_running)
     }
 
     /// Returns whether the members of a gang can never all run at once, since one of them crashes its workers.
