--- a/crates/cell/src/engine/pace.rs
+++ b/crates/cell/src/engine/pace.rs
@@ -107,7 +107,7 @@
             let Some(step) = job.and_then(|job| job.step(run.task.step)) else {
                 continue;
             };
-            if step.fills {
+            if step.is_best_effort {
                 best_effort_runs.push((run.task, run.run));
             }
             if let Some(target) = step.target.filter(|target| !target.is_zero()) {
@@ -178,7 +178,7 @@
     /// step is best-effort itself, latency-sensitive ones.
     pub(super) fn interference_count(&self, demand: &Demand<'_>, worker: &Worker) -> usize {
         let (is_best_effort, is_latency_sensitive) =
-            (demand.step.fills, demand.step.target.is_some());
+            (demand.step.is_best_effort, demand.step.target.is_some());
         if !is_best_effort && !is_latency_sensitive {
             return 0;
         }
@@ -187,7 +187,7 @@
             job.step(task.step)
         });
         steps
-            .filter(|step| step.fills || (is_best_effort && step.target.is_some()))
+            .filter(|step| step.is_best_effort || (is_best_effort && step.target.is_some()))
             .count()
     }
 }
--- a/crates/cell/src/engine/place.rs
+++ b/crates/cell/src/engine/place.rs
@@ -450,7 +450,7 @@
 /// Returns the resources that a task of a step takes on a worker. Best-effort tasks take no CPU.
 pub(super) fn worker_share(step: &Step) -> Resources {
     let mut size = step.size;
-    if step.fills {
+    if step.is_best_effort {
         size.cpu = Millicores(0);
     }
     size
@@ -466,7 +466,7 @@
 /// for best-effort tasks, which use only CPU that others leave.
 fn cpu_left_key(demand: &Demand<'_>, worker: &Worker) -> u32 {
     let left = worker.free.cpu.get().saturating_sub(demand.size.cpu.get());
-    match demand.step.fills {
+    match demand.step.is_best_effort {
         true => u32::MAX - left,
         false => left,
     }
--- a/crates/cell/src/job.rs
+++ b/crates/cell/src/job.rs
@@ -51,7 +51,7 @@
     /// The limit that the tail latency of its tasks must stay below.
     pub target: Option<Duration>,
     /// Whether the tasks are best-effort: they use only the processor time that other tasks leave idle.
-    pub fills: bool,
+    pub is_best_effort: bool,
     /// The maximum number of its tasks that the system may interrupt at the same time.
     pub may_miss: u16,
 }
--- a/crates/cell/tests/cell/pace.rs
+++ b/crates/cell/tests/cell/pace.rs
@@ -199,7 +199,7 @@
     Step {
         count,
         size: size(4_000, 512),
-        fills: true,
+        is_best_effort: true,
         ..Step::default()
     }
 }
