--- a/crates/cell/src/job.rs
+++ b/crates/cell/src/job.rs
@@ -53,7 +53,7 @@
     /// Whether the tasks are best-effort: they use only the processor time that other tasks leave idle.
     pub is_best_effort: bool,
     /// The maximum number of its tasks that the system may interrupt at the same time.
-    pub may_miss: u16,
+    pub max_unavailable: u16,
 }
 
 /// The times at which the steps are repeated.
