--- a/crates/cell/src/engine/job.rs
+++ b/crates/cell/src/engine/job.rs
@@ -230,7 +230,7 @@
 impl Job {
     pub(super) fn new(accepted: Accepted, progress: &Progress) -> Self {
         let spec = accepted.spec.clone();
-        let chains = spec.chains();
+        let chains = spec.critical_paths();
         let chain = chains.iter().max().copied().unwrap_or_default();
         let queue = &accepted.queue;
         let objective = chain.mul_f64(queue.stretch.max(0.0)) + queue.objective_offset;
--- a/crates/cell/src/job.rs
+++ b/crates/cell/src/job.rs
@@ -161,7 +161,7 @@
     }
 
     /// Returns for each step the estimated length of the longest chain of steps that begins with it.
-    pub fn chains(&self) -> Vec<Duration> {
+    pub fn critical_paths(&self) -> Vec<Duration> {
         let mut longest = vec![Duration::ZERO; self.steps.len()];
         for (index, step) in self.steps.iter().enumerate().rev() {
             longest[index] += step.estimate;
