--- a/crates/cell/src/engine/forget.rs
+++ b/crates/cell/src/engine/forget.rs
@@ -94,9 +94,9 @@
         self.dropped.push(job);
         let seen = is_cancelled.then(|| {
             let noted = self.cancelled.entry((id, workspace.clone()));
-            noted.or_insert(Cancellation::Unseen)
+            noted.or_insert(Cancellation::UnknownJob)
         });
-        let unseen = seen.filter(|noted| **noted == Cancellation::Unseen);
+        let unseen = seen.filter(|noted| **noted == Cancellation::UnknownJob);
         self.forgotten.push(Removal {
             job: id,
             workspace,
--- a/crates/cell/src/record.rs
+++ b/crates/cell/src/record.rs
@@ -65,7 +65,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Cancellation {
     /// No node knew the job. It may never have been submitted, so callers are not shown a job because of this alone.
-    Unseen,
+    UnknownJob,
     /// The job is or was recorded.
     Seen,
 }
--- a/crates/cell/tests/cell/forget.rs
+++ b/crates/cell/tests/cell/forget.rs
@@ -77,7 +77,7 @@
     let now = Timestamp::from_millis(2_000);
     let id = accepted(7).job;
     let mut engine = Engine::new(Epoch(1), Bounds::default(), Inheritance::default(), now);
-    engine.cancel(&cancelled(id, Cancellation::Unseen), now);
+    engine.cancel(&cancelled(id, Cancellation::UnknownJob), now);
     assert_eq!(
         engine.state(id),
         None,
@@ -113,7 +113,7 @@
     engine.advance(start);
     let now = start + Duration::from_millis(500);
     engine.announce(accepted(7), now);
-    engine.cancel(&cancelled(id, Cancellation::Unseen), now);
+    engine.cancel(&cancelled(id, Cancellation::UnknownJob), now);
     let mut forgotten = Vec::new();
     for step in 1..80 {
         let effects = engine.advance(now + Duration::from_millis(100) * step);
@@ -128,7 +128,7 @@
 
 /// The next owner knows only from the cancellation whether the job was ever submitted.
 #[rstest]
-#[case::unseen(Cancellation::Unseen, None)]
+#[case::unseen(Cancellation::UnknownJob, None)]
 #[case::seen(Cancellation::Seen, Some(State::Cancelled))]
 fn a_cancelled_job_without_an_acceptance_on_record_is_shown_if_it_was_submitted(
     #[case] cancellation: Cancellation,
@@ -139,7 +139,7 @@
     let inheritance = Inheritance {
         cancelled: vec![
             cancelled(id, cancellation),
-            cancelled(id, Cancellation::Unseen),
+            cancelled(id, Cancellation::UnknownJob),
         ],
         ..Inheritance::default()
     };
--- a/crates/cell/tests/cell/limit.rs
+++ b/crates/cell/tests/cell/limit.rs
@@ -279,7 +279,7 @@
     let cancelled = Cancelled {
         job,
         workspace: Some(name("calm")),
-        cancellation: Cancellation::Unseen,
+        cancellation: Cancellation::UnknownJob,
     };
     if is_early {
         world.engine.cancel(&cancelled, world.now);
--- a/crates/cell/tests/cell/world/mod.rs
+++ b/crates/cell/tests/cell/world/mod.rs
@@ -586,7 +586,7 @@
     pub(crate) fn cancel(&mut self, job: JobId) {
         // Half of the cancellations come from callers whose node couldn't ask the owner.
         let cancellation = match job.0.is_multiple_of(2) {
-            true => Cancellation::Unseen,
+            true => Cancellation::UnknownJob,
             false => Cancellation::Seen,
         };
         let entry = self.cancelled.entry(job);
--- a/crates/node/src/front/kept.rs
+++ b/crates/node/src/front/kept.rs
@@ -60,7 +60,7 @@
         let cancellation = match kind {
             "" => None,
             SEEN_SUFFIX => Some(Cancellation::Seen),
-            UNSEEN_SUFFIX => Some(Cancellation::Unseen),
+            UNSEEN_SUFFIX => Some(Cancellation::UnknownJob),
             _ => return None,
         };
         Some(Self {
@@ -82,7 +82,7 @@
         let kind = match self.cancellation {
             None => "",
             Some(Cancellation::Seen) => SEEN_SUFFIX,
-            Some(Cancellation::Unseen) => UNSEEN_SUFFIX,
+            Some(Cancellation::UnknownJob) => UNSEEN_SUFFIX,
         };
         write!(f, "{}{kind}", self.job)?;
         match &self.workspace {
--- a/crates/node/src/front/mod.rs
+++ b/crates/node/src/front/mod.rs
@@ -377,7 +377,7 @@
         let cancellation = match &found {
             Some(Reply::State(state)) if state.is_final() => return Ok(()),
             Some(Reply::State(_)) => Cancellation::Seen,
-            _ => Cancellation::Unseen,
+            _ => Cancellation::UnknownJob,
         };
         let cancelled = Cancelled {
             job,
