--- a/crates/cell/src/engine/forget.rs
+++ b/crates/cell/src/engine/forget.rs
@@ -103,7 +103,7 @@
             partition,
             // Once the acceptance is removed, only this records that the job was submitted.
             cancellation: unseen.map(|noted| {
-                *noted = Cancellation::Seen;
+                *noted = Cancellation::KnownJob;
                 *noted
             }),
         });
--- a/crates/cell/src/engine/view.rs
+++ b/crates/cell/src/engine/view.rs
@@ -103,7 +103,7 @@
             let ended = ended.filter(|ended| is_seen(ended.workspace.as_ref()));
             let mut cancelled = self.cancellations(id);
             let is_cancelled =
-                cancelled.any(|(by, noted)| noted == Cancellation::Seen && is_seen(by));
+                cancelled.any(|(by, noted)| noted == Cancellation::KnownJob && is_seen(by));
             let ended = ended.map(|ended| State::from(ended.outcome));
             return ended.or(is_cancelled.then_some(State::Cancelled));
         };
--- a/crates/cell/src/record.rs
+++ b/crates/cell/src/record.rs
@@ -67,7 +67,7 @@
     /// No node knew the job. It may never have been submitted, so callers are not shown a job because of this alone.
     UnknownJob,
     /// The job is or was recorded.
-    Seen,
+    KnownJob,
 }
 
 /// A cancellation as recorded.
--- a/crates/cell/tests/cell/forget.rs
+++ b/crates/cell/tests/cell/forget.rs
@@ -97,7 +97,7 @@
         job: id,
         workspace: None,
         partition: 0,
-        cancellation: Some(Cancellation::Seen),
+        cancellation: Some(Cancellation::KnownJob),
     };
     assert_eq!(forgotten, Some(vec![expected]));
     assert_eq!(engine.state(id), Some(State::Cancelled));
@@ -129,7 +129,7 @@
 /// The next owner knows only from the cancellation whether the job was ever submitted.
 #[rstest]
 #[case::unseen(Cancellation::UnknownJob, None)]
-#[case::seen(Cancellation::Seen, Some(State::Cancelled))]
+#[case::seen(Cancellation::KnownJob, Some(State::Cancelled))]
 fn a_cancelled_job_without_an_acceptance_on_record_is_shown_if_it_was_submitted(
     #[case] cancellation: Cancellation,
     #[case] shown: Option<State>,
--- a/crates/cell/tests/cell/pending.rs
+++ b/crates/cell/tests/cell/pending.rs
@@ -185,7 +185,7 @@
             .map(|job| Cancelled {
                 job: JobId(job),
                 workspace: None,
-                cancellation: Cancellation::Seen,
+                cancellation: Cancellation::KnownJob,
             })
             .collect(),
         ..Inheritance::default()
--- a/crates/cell/tests/cell/world/mod.rs
+++ b/crates/cell/tests/cell/world/mod.rs
@@ -587,7 +587,7 @@
         // Half of the cancellations come from callers whose node couldn't ask the owner.
         let cancellation = match job.0.is_multiple_of(2) {
             true => Cancellation::UnknownJob,
-            false => Cancellation::Seen,
+            false => Cancellation::KnownJob,
         };
         let entry = self.cancelled.entry(job);
         entry.or_insert((self.now, cancellation));
--- a/crates/node/src/front/kept.rs
+++ b/crates/node/src/front/kept.rs
@@ -59,7 +59,7 @@
         };
         let cancellation = match kind {
             "" => None,
-            SEEN_SUFFIX => Some(Cancellation::Seen),
+            SEEN_SUFFIX => Some(Cancellation::KnownJob),
             UNSEEN_SUFFIX => Some(Cancellation::UnknownJob),
             _ => return None,
         };
@@ -81,7 +81,7 @@
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         let kind = match self.cancellation {
             None => "",
-            Some(Cancellation::Seen) => SEEN_SUFFIX,
+            Some(Cancellation::KnownJob) => SEEN_SUFFIX,
             Some(Cancellation::UnknownJob) => UNSEEN_SUFFIX,
         };
         write!(f, "{}{kind}", self.job)?;
--- a/crates/node/src/front/mod.rs
+++ b/crates/node/src/front/mod.rs
@@ -376,7 +376,7 @@
             .await;
         let cancellation = match &found {
             Some(Reply::State(state)) if state.is_final() => return Ok(()),
-            Some(Reply::State(_)) => Cancellation::Seen,
+            Some(Reply::State(_)) => Cancellation::KnownJob,
             _ => Cancellation::UnknownJob,
         };
         let cancelled = Cancelled {
