--- a/crates/cell/src/engine/crash.rs
+++ b/crates/cell/src/engine/crash.rs
@@ -135,7 +135,7 @@
                 worker: self.registration.id.clone(),
                 incarnation: self.incarnation,
                 is_certain: is_known(claim) && !may_have_left,
-                is_doubted,
+                may_be_cut_off: is_doubted,
             };
             (*task, crash)
         });
@@ -152,7 +152,7 @@
 impl Task {
     /// Returns the crashes that count against the task: those that are not doubted.
     fn counted_crashes(&self) -> impl Iterator<Item = &Crash> {
-        self.crashes.iter().filter(|crash| !crash.is_doubted)
+        self.crashes.iter().filter(|crash| !crash.may_be_cut_off)
     }
 
     /// Returns whether the task has to run alone.
@@ -184,8 +184,8 @@
         let known = self.crashes.iter_mut().find(|known| known.is_same(crash));
         match known {
             Some(known) => {
-                let is_settled = known.is_doubted && !crash.is_doubted;
-                known.is_doubted &= crash.is_doubted;
+                let is_settled = known.may_be_cut_off && !crash.may_be_cut_off;
+                known.may_be_cut_off &= crash.may_be_cut_off;
                 is_settled
             }
             None => {
@@ -236,7 +236,7 @@
             self.count_crash(task, crash, is_alone, now);
         }
         for (task, mut crash) in self.doubted_crashes(&id) {
-            crash.is_doubted = false;
+            crash.may_be_cut_off = false;
             self.count_crash(task, crash, false, now);
         }
     }
@@ -258,7 +258,7 @@
         let doubts = tasks.flat_map(|task| {
             let crashes = self.task(*task).map(|state| state.crashes.iter());
             let crashes = crashes.into_iter().flatten();
-            let crashes = crashes.filter(|crash| crash.is_doubted && crash.worker == *worker);
+            let crashes = crashes.filter(|crash| crash.may_be_cut_off && crash.worker == *worker);
             crashes.map(|crash| (*task, crash.clone()))
         });
         doubts.collect()
@@ -282,7 +282,7 @@
         let crashes = state.counted_crashes().count();
         let is_given_up = state.is_given_up(is_alone);
         let verdict = match state.is_suspect() {
-            _ if crash.is_doubted => "doubted",
+            _ if crash.may_be_cut_off => "doubted",
             _ if is_given_up => "given-up",
             true => "alone",
             false => "counted",
--- a/crates/cell/src/record.rs
+++ b/crates/cell/src/record.rs
@@ -121,7 +121,7 @@
     /// Whether the task certainly ran there: the worker had confirmed it, and its connections broke at once.
     pub is_certain: bool,
     /// Whether the worker may only be cut off from the network: it is silent, but the store lists it.
-    pub is_doubted: bool,
+    pub may_be_cut_off: bool,
 }
 
 impl Crash {
--- a/crates/cell/tests/cell/incarnation.rs
+++ b/crates/cell/tests/cell/incarnation.rs
@@ -463,7 +463,7 @@
         worker: WorkerId::from("w1"),
         incarnation: Some(FIRST),
         is_certain: true,
-        is_doubted,
+        may_be_cut_off: is_doubted,
     };
     let step = StepProgress {
         crashes: vec![Crashes {
