--- a/crates/cell/src/engine/crash.rs
+++ b/crates/cell/src/engine/crash.rs
@@ -181,7 +181,10 @@
 
     /// Adds a crash, or settles a doubted one; returns whether that changed anything.
     fn note_crash(&mut self, crash: &Crash) -> bool {
-        let known = self.crashes.iter_mut().find(|known| known.is_same(crash));
+        let known = self
+            .crashes
+            .iter_mut()
+            .find(|known| known.is_same_start(crash));
         match known {
             Some(known) => {
                 let is_settled = known.may_be_cut_off && !crash.may_be_cut_off;
--- a/crates/cell/src/record.rs
+++ b/crates/cell/src/record.rs
@@ -126,7 +126,7 @@
 
 impl Crash {
     /// Returns whether another crash is of the same start.
-    pub fn is_same(&self, other: &Self) -> bool {
+    pub fn is_same_start(&self, other: &Self) -> bool {
         (self.run, &self.worker, self.incarnation) == (other.run, &other.worker, other.incarnation)
     }
 }
