--- a/crates/cell/src/engine/keep.rs
+++ b/crates/cell/src/engine/keep.rs
@@ -153,7 +153,7 @@
         // Removals come before the usage of a worker that has returned under the same id: the last entry of a key wins,
         // and a new owner would start runs elsewhere that it doesn't find on record.
         let gone = std::mem::take(&mut self.ledger.gone);
-        let mut entries: Vec<Entry> = gone.into_iter().map(Entry::Gone).collect();
+        let mut entries: Vec<Entry> = gone.into_iter().map(Entry::RemovedWorker).collect();
         let mut snapshots = Vec::new();
         for id in jobs {
             let Some(job) = self.jobs.get(&id) else {
--- a/crates/cell/src/record.rs
+++ b/crates/cell/src/record.rs
@@ -199,7 +199,7 @@
     /// worker's leases have expired.
     Worker(WorkerId, Usage),
     /// A worker that is permanently gone; its key is removed.
-    Gone(WorkerId),
+    RemovedWorker(WorkerId),
 }
 
 /// The runs that a worker may hold.
@@ -218,13 +218,13 @@
     pub fn key(&self) -> String {
         match self {
             Self::Job(job, _) => job.to_string(),
-            Self::Worker(worker, _) | Self::Gone(worker) => format!("w/{worker}"),
+            Self::Worker(worker, _) | Self::RemovedWorker(worker) => format!("w/{worker}"),
         }
     }
 
     /// Returns whether the record removes its key.
     pub const fn is_removal(&self) -> bool {
-        matches!(self, Self::Gone(_))
+        matches!(self, Self::RemovedWorker(_))
     }
 }
 
--- a/crates/cell/tests/cell/world/check.rs
+++ b/crates/cell/tests/cell/world/check.rs
@@ -144,7 +144,7 @@
                 .occurrences
                 .iter()
                 .any(|(_, steps)| steps[usize::from(task.step.step)].is_done(task.index)),
-            Entry::Worker(..) | Entry::Gone(_) => false,
+            Entry::Worker(..) | Entry::RemovedWorker(_) => false,
         });
         is_listed || is_recorded || self.done.contains(&task)
     }
--- a/crates/cell/tests/cell/world/mod.rs
+++ b/crates/cell/tests/cell/world/mod.rs
@@ -728,7 +728,7 @@
             match entry {
                 Entry::Job(job, progress) => inheritance.progress.push((*job, progress.clone())),
                 Entry::Worker(id, usage) => inheritance.workers.push((id.clone(), usage.clone())),
-                Entry::Gone(_) => {}
+                Entry::RemovedWorker(_) => {}
             }
         }
         self.heartbeats.clear();
--- a/crates/node/src/owner/takeover.rs
+++ b/crates/node/src/owner/takeover.rs
@@ -122,7 +122,7 @@
         match entry {
             Entry::Job(job, progress) => inheritance.progress.push((job, progress)),
             Entry::Worker(id, usage) => inheritance.workers.push((id, usage)),
-            Entry::Gone(_) => {}
+            Entry::RemovedWorker(_) => {}
         }
     }
     let view = jobs::new_view(&partitions);
