--- a/crates/cell/src/engine/contact.rs
+++ b/crates/cell/src/engine/contact.rs
@@ -29,7 +29,7 @@
         TaskId,
         WorkerId, //
     },
-    record::Usage,
+    record::WorkerRuns,
     worker::{
         Claim,
         Contact,
@@ -133,7 +133,7 @@
     pub(super) fn expect_worker(
         &mut self,
         id: WorkerId,
-        usage: Usage,
+        usage: WorkerRuns,
         lapses: Timestamp,
         now: Timestamp,
     ) {
--- a/crates/cell/src/engine/keep.rs
+++ b/crates/cell/src/engine/keep.rs
@@ -29,7 +29,7 @@
     record::{
         Entry,
         Outcome,
-        Usage, //
+        WorkerRuns, //
     },
     worker::{
         Contact,
@@ -167,7 +167,7 @@
             let Some(worker) = self.workers.get(&slot) else {
                 continue;
             };
-            let usage = Usage {
+            let usage = WorkerRuns {
                 address: worker.registration.address,
                 incarnation: worker.incarnation,
                 runs: worker.claims.keys().copied().collect(),
--- a/crates/cell/src/engine/mod.rs
+++ b/crates/cell/src/engine/mod.rs
@@ -118,7 +118,7 @@
         Cancelled,
         Outcome,
         Progress,
-        Usage, //
+        WorkerRuns, //
     },
     worker::Worker,
     workspace::WorkspaceName,
@@ -155,7 +155,7 @@
     /// The recorded progress of jobs.
     pub progress: Vec<(JobId, Progress)>,
     /// What workers may be running on orders of former owners.
-    pub workers: Vec<(WorkerId, Usage)>,
+    pub workers: Vec<(WorkerId, WorkerRuns)>,
 }
 
 /// What remains in memory of a job that is over.
--- a/crates/cell/src/record.rs
+++ b/crates/cell/src/record.rs
@@ -197,14 +197,14 @@
     ///
     /// Before a new owner starts one of these elsewhere, it has to receive the worker's inventory or wait until the
     /// worker's leases have expired.
-    Worker(WorkerId, Usage),
+    Worker(WorkerId, WorkerRuns),
     /// A worker that is permanently gone; its key is removed.
     RemovedWorker(WorkerId),
 }
 
 /// The runs that a worker may hold.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Usage {
+pub struct WorkerRuns {
     /// The address where the worker takes orders.
     pub address: SocketAddr,
     /// The incarnation of the worker that answered last.
--- a/crates/cell/tests/cell/incarnation.rs
+++ b/crates/cell/tests/cell/incarnation.rs
@@ -49,7 +49,7 @@
         Entry,
         Progress,
         StepProgress,
-        Usage, //
+        WorkerRuns, //
     },
 };
 use fulmarpier_state::clock::Timestamp;
@@ -477,7 +477,7 @@
         occurrences: vec![(0, vec![step])],
         outcome: None,
     };
-    let usage = Usage {
+    let usage = WorkerRuns {
         address: "127.0.0.1:1".parse().unwrap(),
         incarnation: Some(FIRST),
         runs: Vec::new(),
--- a/crates/cell/tests/cell/takeover.rs
+++ b/crates/cell/tests/cell/takeover.rs
@@ -35,7 +35,7 @@
     },
     record::{
         Accepted,
-        Usage, //
+        WorkerRuns, //
     },
 };
 use fulmarpier_state::clock::Timestamp;
@@ -99,7 +99,7 @@
     let mut spec = (*accepted.spec).clone();
     spec.schedule = None;
     accepted.spec = spec.into();
-    let usage = Usage {
+    let usage = WorkerRuns {
         incarnation: None,
         address: "127.0.0.1:1".parse().unwrap(),
         runs: vec![(step.task(0), Run(1))],
@@ -160,7 +160,7 @@
         step: 0,
     }
     .task(0);
-    let usage = Usage {
+    let usage = WorkerRuns {
         incarnation: None,
         address: "127.0.0.1:1".parse().unwrap(),
         runs: vec![(task, Run(1))],
