--- a/crates/cell/src/record.rs
+++ b/crates/cell/src/record.rs
@@ -250,7 +250,7 @@
     /// The number of nodes that the owner knew, itself included.
     pub nodes: u32,
     /// The number of consecutive owners that released the cell because they were slow.
-    pub slow_owners: u8,
+    pub consecutive_slow_owners: u8,
 }
 
 /// Encodes a record.
--- a/crates/node/src/member/follow.rs
+++ b/crates/node/src/member/follow.rs
@@ -279,7 +279,10 @@
             .map(|claim| claim.spread)
             .unwrap_or_default(),
         nodes: seen.claim.as_ref().map_or(1, |claim| claim.nodes),
-        slow_owners: seen.claim.as_ref().map_or(0, |claim| claim.slow_owners),
+        consecutive_slow_owners: seen
+            .claim
+            .as_ref()
+            .map_or(0, |claim| claim.consecutive_slow_owners),
     };
     let result = append(shared, &claim, seen.end).await;
     let outcome = result.as_ref().err().map_or("won", Error::word);
--- a/crates/node/src/member/own.rs
+++ b/crates/node/src/member/own.rs
@@ -99,7 +99,7 @@
         async move { take_over(&shared, &claim).await.is_ok() }
     });
     shared.pulse.forget_events();
-    let (began, slow_owners) = (Instant::now(), claim.slow_owners);
+    let (began, slow_owners) = (Instant::now(), claim.consecutive_slow_owners);
     let ending = tokio::select! {
         ending = wait_for_dismissal(shared) => ending,
         reason = wait_for_better_owner(shared, slow_owners) => Ending::HandOver(reason),
@@ -111,7 +111,7 @@
         "lag_ms" => millis(shared.pulse.owner()));
     let peers = shared.peers.lock().await.clone();
     if began.elapsed() >= succession::CALM {
-        claim.slow_owners = 0;
+        claim.consecutive_slow_owners = 0;
     }
     // This node goes on scheduling while the successor's claim is being written, unless the
     // scheduling itself delays the write.
@@ -197,8 +197,8 @@
         strength: next.strength,
         spread: claim.spread,
         nodes: claim.nodes,
-        slow_owners: match reason {
-            Reason::Slow => claim.slow_owners.saturating_add(1),
+        consecutive_slow_owners: match reason {
+            Reason::Slow => claim.consecutive_slow_owners.saturating_add(1),
             Reason::Outranked | Reason::Leaving => 0,
         },
     };
--- a/crates/node/tests/node/record.rs
+++ b/crates/node/tests/node/record.rs
@@ -217,7 +217,7 @@
     platform.write_claim(&Claim {
         spread: Spread::default(),
         nodes: 1,
-        slow_owners: 0,
+        consecutive_slow_owners: 0,
         epoch: newest.epoch.next(),
         node: NodeName::from("another"),
         renewal: 0,
--- a/crates/node/tests/node/service.rs
+++ b/crates/node/tests/node/service.rs
@@ -299,7 +299,7 @@
         strength: Millicores(500),
         spread: Spread::default().renew(38),
         nodes: 1,
-        slow_owners: 0,
+        consecutive_slow_owners: 0,
     });
     let one = start_node("one", &platform);
     wait_until_ready(&one).await;
