--- a/crates/cell/src/spread.rs
+++ b/crates/cell/src/spread.rs
@@ -32,7 +32,7 @@
     }
 
     /// Returns whether nodes write to all partitions.
-    pub const fn is_wide(self) -> bool {
+    pub const fn uses_all_partitions(self) -> bool {
         self.0 > READ_ALL_RENEWALS
     }
 
--- a/crates/cell/tests/cell/spread.rs
+++ b/crates/cell/tests/cell/spread.rs
@@ -11,7 +11,7 @@
     let mut spread = Spread::default();
     for nodes in [1, 7, 16] {
         spread = spread.renew(nodes);
-        assert!(!spread.is_wide() && !spread.may_be_wide());
+        assert!(!spread.uses_all_partitions() && !spread.may_be_wide());
     }
 }
 
@@ -20,13 +20,13 @@
 #[test]
 fn a_shrunk_cell_stops_writing_to_all_partitions_long_before_its_owner_stops_reading_them() {
     let mut spread = Spread::default().renew(17);
-    assert!(spread.is_wide() && spread.may_be_wide());
+    assert!(spread.uses_all_partitions() && spread.may_be_wide());
     // All nodes restart at once and connect to the next owner one by one.
     for _ in 0..2 * RENEWALS_IN_10_S {
         spread = spread.renew(1);
     }
-    assert!(spread.is_wide());
-    while spread.is_wide() {
+    assert!(spread.uses_all_partitions());
+    while spread.uses_all_partitions() {
         spread = spread.renew(16);
     }
     for _ in 0..2 * RENEWALS_IN_10_S {
--- a/crates/node/src/intake.rs
+++ b/crates/node/src/intake.rs
@@ -113,7 +113,7 @@
 ///
 /// A job that is submitted twice may have records in two partitions. Its id identifies it as one job.
 pub(crate) fn partition(node: &NodeName, spread: Spread) -> u16 {
-    let count = match spread.is_wide() {
+    let count = match spread.uses_all_partitions() {
         true => JOB_PARTITIONS,
         false => FIRST_PARTITIONS,
     };
