--- a/crates/cell/src/spread.rs
+++ b/crates/cell/src/spread.rs
@@ -37,7 +37,7 @@
     }
 
     /// Returns whether a node may write to other partitions than the first ones.
-    pub const fn may_be_wide(self) -> bool {
+    pub const fn may_use_all_partitions(self) -> bool {
         self.0 > 0
     }
 }
--- a/crates/cell/tests/cell/spread.rs
+++ b/crates/cell/tests/cell/spread.rs
@@ -11,7 +11,7 @@
     let mut spread = Spread::default();
     for nodes in [1, 7, 16] {
         spread = spread.renew(nodes);
-        assert!(!spread.uses_all_partitions() && !spread.may_be_wide());
+        assert!(!spread.uses_all_partitions() && !spread.may_use_all_partitions());
     }
 }
 
@@ -20,7 +20,7 @@
 #[test]
 fn a_shrunk_cell_stops_writing_to_all_partitions_long_before_its_owner_stops_reading_them() {
     let mut spread = Spread::default().renew(17);
-    assert!(spread.uses_all_partitions() && spread.may_be_wide());
+    assert!(spread.uses_all_partitions() && spread.may_use_all_partitions());
     // All nodes restart at once and connect to the next owner one by one.
     for _ in 0..2 * RENEWALS_IN_10_S {
         spread = spread.renew(1);
@@ -33,11 +33,11 @@
         spread = spread.renew(16);
     }
     assert!(
-        spread.may_be_wide(),
+        spread.may_use_all_partitions(),
         "a node may not know of the change yet"
     );
     for _ in 0..2 * RENEWALS_IN_10_S {
         spread = spread.renew(16);
     }
-    assert!(!spread.may_be_wide());
+    assert!(!spread.may_use_all_partitions());
 }
--- a/crates/node/src/owner/jobs.rs
+++ b/crates/node/src/owner/jobs.rs
@@ -217,7 +217,7 @@
     control: WeakActorRef<Control<P>>,
 ) {
     loop {
-        let may_be_wide = shared.spread().may_be_wide();
+        let may_be_wide = shared.spread().may_use_all_partitions();
         let gap = if may_be_wide {
             MIN_REQUESTED_READ_GAP_LARGE_CELL
         } else {
