--- a/crates/cell/src/engine/contact.rs
+++ b/crates/cell/src/engine/contact.rs
@@ -31,7 +31,7 @@
     },
     record::WorkerRuns,
     worker::{
-        Claim,
+        Allocation,
         Contact,
         Phase,
         Silence,
@@ -419,7 +419,7 @@
             return;
         };
         let is_listed = proven_from <= now;
-        let claim = Claim {
+        let claim = Allocation {
             size,
             charge,
             phase: Phase::Running { since: proven_from },
--- a/crates/cell/src/engine/crash.rs
+++ b/crates/cell/src/engine/crash.rs
@@ -41,7 +41,7 @@
         Progress, //
     },
     worker::{
-        Claim,
+        Allocation,
         Silence,
         Worker, //
     },
@@ -76,7 +76,7 @@
 /// A rack that crashes twice may leave dozens of suspects, and emptied workers are withheld from all other steps.
 const WORKERS_PER_EMPTIED_WORKER: usize = 8;
 
-impl Claim {
+impl Allocation {
     /// Notes whether the run has outlasted its start, given that its worker lists it in answer to a call made at
     /// `asked`.
     ///
@@ -124,7 +124,7 @@
             Some(Silence::Missed) | None => (self.heard.unwrap_or(Timestamp::ZERO), false),
         };
         let may_have_left = self.may_have_left();
-        let is_known = |claim: &Claim| is_timed && claim.begun.is_some();
+        let is_known = |claim: &Allocation| is_timed && claim.begun.is_some();
         let claims = self.claims.iter();
         let begun = claims.filter(|(_, claim)| {
             claim.may_have_just_begun(fell) && (is_known(claim) || !may_have_left)
--- a/crates/cell/src/engine/loss.rs
+++ b/crates/cell/src/engine/loss.rs
@@ -15,7 +15,7 @@
         TaskId, //
     },
     worker::{
-        Claim,
+        Allocation,
         Phase, //
     },
 };
@@ -100,7 +100,7 @@
     pub(super) fn runs_on(
         &self,
         slot: Slot,
-        condition: impl Fn(&Claim) -> bool,
+        condition: impl Fn(&Allocation) -> bool,
     ) -> Vec<(TaskId, Run)> {
         let claims = self.workers.get(&slot).map(|worker| &worker.claims);
         let claims = claims.into_iter().flatten();
--- a/crates/cell/src/engine/place.rs
+++ b/crates/cell/src/engine/place.rs
@@ -27,7 +27,7 @@
     },
     job::Step,
     worker::{
-        Claim,
+        Allocation,
         Phase,
         Worker, //
     },
@@ -396,7 +396,7 @@
         let Some(stage) = job.stage_mut(id) else {
             return false;
         };
-        let claim = Claim {
+        let claim = Allocation {
             size: worker_share(step),
             charge,
             phase: Phase::Recording,
--- a/crates/cell/src/engine/shrink.rs
+++ b/crates/cell/src/engine/shrink.rs
@@ -18,7 +18,7 @@
         TaskId, //
     },
     worker::{
-        Claim,
+        Allocation,
         Phase,
         Worker, //
     },
@@ -79,7 +79,8 @@
             self.revoke(slot, task, run, "shrunk", now);
         }
         // An unanswered order may still be carried out, so the run has to be stopped.
-        let is_unanswered = |claim: &Claim| claim.phase == Phase::Starting && claim.unanswered > 0;
+        let is_unanswered =
+            |claim: &Allocation| claim.phase == Phase::Starting && claim.unanswered > 0;
         for (task, run) in self.runs_on(slot, is_unanswered) {
             if self.workers.get(&slot).is_some_and(Worker::is_overfull) {
                 self.stop(slot, task, run, "shrunk", now);
--- a/crates/cell/src/worker.rs
+++ b/crates/cell/src/worker.rs
@@ -65,7 +65,7 @@
 
 /// A run that may use a worker's capacity, from its placement to the proof that it is gone.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Claim {
+pub struct Allocation {
     /// The resources that it takes.
     pub size: Resources,
     /// What it counts against a limit, if its job belongs to a workspace.
@@ -88,7 +88,7 @@
     pub outlasted: bool,
 }
 
-impl Claim {
+impl Allocation {
     /// Records that the worker has the run.
     pub fn confirm(&mut self, now: Timestamp) {
         self.begun.get_or_insert(now);
@@ -168,7 +168,7 @@
     /// The capacity that is not allocated.
     pub free: Resources,
     /// The runs that may use its capacity.
-    pub claims: BTreeMap<(TaskId, Run), Claim>,
+    pub claims: BTreeMap<(TaskId, Run), Allocation>,
     /// The call for its inventory.
     pub contact: Contact,
     /// A second call, which doesn't wait for an end. It shows at once whether a start without an answer has succeeded;
@@ -315,7 +315,7 @@
 
     /// Returns whether an inventory requested at `asked` proves that no order to start a run can be carried out any
     /// more, because all of these orders were for a former incarnation.
-    pub fn is_void(&self, claim: &Claim, asked: Timestamp) -> bool {
+    pub fn is_void(&self, claim: &Allocation, asked: Timestamp) -> bool {
         claim.fence < self.fence && self.raised.is_some_and(|raised| raised <= asked)
     }
 
@@ -350,7 +350,7 @@
     }
 
     /// Reserves capacity for a run; returns `false` if there is not enough.
-    pub fn claim(&mut self, task: TaskId, run: Run, claim: Claim) -> bool {
+    pub fn claim(&mut self, task: TaskId, run: Run, claim: Allocation) -> bool {
         let room = match claim.alone {
             true => self.room_alone(task.step),
             false => self.free,
@@ -382,13 +382,13 @@
     }
 
     /// Adds a run that is already there, even if it exceeds the capacity.
-    pub fn adopt(&mut self, task: TaskId, run: Run, claim: Claim) {
+    pub fn adopt(&mut self, task: TaskId, run: Run, claim: Allocation) {
         self.claims.insert((task, run), claim);
         self.update_free();
     }
 
     /// Frees the capacity of a run that is certainly gone.
-    pub fn release(&mut self, task: TaskId, run: Run) -> Option<Claim> {
+    pub fn release(&mut self, task: TaskId, run: Run) -> Option<Allocation> {
         let claim = self.claims.remove(&(task, run))?;
         self.update_free();
         Some(claim)
