--- a/crates/cell/src/engine/announce.rs
+++ b/crates/cell/src/engine/announce.rs
@@ -124,7 +124,7 @@
     fn runs_of(&self, id: JobId) -> Vec<(Slot, TaskId, Run)> {
         let workers = self.workers.iter();
         let runs = workers.flat_map(|(slot, worker)| {
-            let keys = worker.claims.keys();
+            let keys = worker.allocations.keys();
             let runs = keys.filter(|(task, _)| task.step.job == id);
             runs.map(move |(task, run)| (*slot, *task, *run))
         });
--- a/crates/cell/src/engine/contact.rs
+++ b/crates/cell/src/engine/contact.rs
@@ -373,7 +373,7 @@
         if worker.is_over(task, running.run) {
             return;
         }
-        let claim = worker.claims.get_mut(&(task, running.run));
+        let claim = worker.allocations.get_mut(&(task, running.run));
         let Some(claim) = claim else {
             self.adopt(slot, running, now, now);
             return;
@@ -458,7 +458,7 @@
             return;
         };
         let absent: Vec<(TaskId, Run)> = worker
-            .claims
+            .allocations
             .iter()
             .filter(|(key, claim)| {
                 let is_void = worker.is_void(claim, asked);
--- a/crates/cell/src/engine/crash.rs
+++ b/crates/cell/src/engine/crash.rs
@@ -108,7 +108,7 @@
 
     /// Returns whether the worker holds tasks of only one step.
     fn holds_one_step(&self) -> bool {
-        let mut steps = self.claims.keys().map(|(task, _)| task.step);
+        let mut steps = self.allocations.keys().map(|(task, _)| task.step);
         let first = steps.next();
         first.is_some_and(|first| steps.all(|step| step == first))
     }
@@ -125,7 +125,7 @@
         };
         let may_have_left = self.may_have_left();
         let is_known = |claim: &Allocation| is_timed && claim.begun.is_some();
-        let claims = self.claims.iter();
+        let claims = self.allocations.iter();
         let begun = claims.filter(|(_, claim)| {
             claim.may_have_just_begun(fell) && (is_known(claim) || !may_have_left)
         });
@@ -144,7 +144,7 @@
 
     /// Returns the tasks that the worker has worked on for longer than a crash at their start takes.
     fn outlasted_tasks(&self) -> Vec<TaskId> {
-        let claims = self.claims.iter().filter(|(_, claim)| claim.outlasted);
+        let claims = self.allocations.iter().filter(|(_, claim)| claim.outlasted);
         claims.map(|((task, _), _)| *task).collect()
     }
 }
@@ -508,13 +508,13 @@
         }
         let candidates = self.candidates(&demand, stage);
         let emptied = candidates.filter(|(slot, worker)| {
-            let mut tasks = worker.claims.keys();
+            let mut tasks = worker.allocations.keys();
             !reserved.holds(*slot, id)
                 && demand.admits(worker, now)
                 && demand.size.fits(&worker.registration.capacity)
                 && tasks.all(|(task, _)| self.ends(*task, true))
         });
-        let first = emptied.min_by_key(|(slot, worker)| (worker.claims.len(), *slot));
+        let first = emptied.min_by_key(|(slot, worker)| (worker.allocations.len(), *slot));
         first.map(|(slot, _)| slot)
     }
 }
--- a/crates/cell/src/engine/forget.rs
+++ b/crates/cell/src/engine/forget.rs
@@ -49,7 +49,7 @@
             return;
         }
         self.next_sweep = now + FORGET_INTERVAL;
-        let claims = self.workers.values().flat_map(|worker| &worker.claims);
+        let claims = self.workers.values().flat_map(|worker| &worker.allocations);
         let claimed: HashSet<JobId> = claims.map(|((task, _), _)| task.step.job).collect();
         let over = std::mem::take(&mut self.over);
         for (since, id) in over {
--- a/crates/cell/src/engine/keep.rs
+++ b/crates/cell/src/engine/keep.rs
@@ -170,10 +170,10 @@
             let usage = WorkerRuns {
                 address: worker.registration.address,
                 incarnation: worker.incarnation,
-                runs: worker.claims.keys().copied().collect(),
+                runs: worker.allocations.keys().copied().collect(),
             };
             entries.push(Entry::Worker(worker.registration.id.clone(), usage));
-            let decided = worker.claims.iter();
+            let decided = worker.allocations.iter();
             let decided = decided.filter(|(_, claim)| claim.phase == Phase::Recording);
             starts.extend(decided.map(|((task, run), _)| (slot, *task, *run)));
         }
--- a/crates/cell/src/engine/loss.rs
+++ b/crates/cell/src/engine/loss.rs
@@ -80,7 +80,7 @@
             return;
         };
         let silent = worker.silent.unwrap_or(now);
-        let sent = worker.claims.iter();
+        let sent = worker.allocations.iter();
         let sent = sent.filter(|(_, claim)| claim.phase != Phase::Recording);
         let others = sent.clone().count().saturating_sub(1);
         let notes: Vec<LogRecord> = sent
@@ -102,7 +102,7 @@
         slot: Slot,
         condition: impl Fn(&Allocation) -> bool,
     ) -> Vec<(TaskId, Run)> {
-        let claims = self.workers.get(&slot).map(|worker| &worker.claims);
+        let claims = self.workers.get(&slot).map(|worker| &worker.allocations);
         let claims = claims.into_iter().flatten();
         let runs = claims.filter(|(_, claim)| condition(claim));
         runs.map(|(key, _)| *key).collect()
--- a/crates/cell/src/engine/order.rs
+++ b/crates/cell/src/engine/order.rs
@@ -138,7 +138,7 @@
     /// Returns how many start orders of a run are unanswered.
     fn unanswered(&self, slot: Slot, task: TaskId, run: Run) -> u8 {
         let claim = self.workers.get(&slot);
-        let claim = claim.and_then(|worker| worker.claims.get(&(task, run)));
+        let claim = claim.and_then(|worker| worker.allocations.get(&(task, run)));
         claim.map_or(0, |claim| claim.unanswered)
     }
 
@@ -148,7 +148,7 @@
     /// the grace period that a worker has to stop a task.
     fn retry_start(&mut self, slot: Slot, task: TaskId, run: Run, now: Timestamp) {
         let claim = self.workers.get_mut(&slot);
-        let claim = claim.and_then(|worker| worker.claims.get_mut(&(task, run)));
+        let claim = claim.and_then(|worker| worker.allocations.get_mut(&(task, run)));
         let Some(claim) = claim.filter(|claim| claim.phase == Phase::Starting) else {
             return;
         };
@@ -175,7 +175,7 @@
     /// Defers the retry of a start order until the silent worker answers.
     fn defer_retry(&mut self, slot: Slot, task: TaskId, run: Run) {
         let worker = self.workers.get_mut(&slot);
-        let claim = worker.and_then(|worker| worker.claims.get_mut(&(task, run)));
+        let claim = worker.and_then(|worker| worker.allocations.get_mut(&(task, run)));
         if let Some(claim) = claim {
             claim.is_held_back = true;
         }
@@ -188,7 +188,7 @@
             return;
         };
         let mut held = Vec::new();
-        for (key, claim) in &mut worker.claims {
+        for (key, claim) in &mut worker.allocations {
             let is_held_back = std::mem::take(&mut claim.is_held_back);
             if is_held_back && claim.phase == Phase::Starting && claim.fence == worker.fence {
                 held.push(*key);
@@ -217,7 +217,7 @@
             return;
         };
         let to = worker.destination();
-        if let Some(claim) = worker.claims.get_mut(&(task, run)) {
+        if let Some(claim) = worker.allocations.get_mut(&(task, run)) {
             claim.phase = Phase::Starting;
             claim.fence = to.fence;
         }
@@ -292,7 +292,7 @@
     fn hold_announced(&mut self, starts: Vec<(Slot, TaskId, Run)>) -> Vec<(Slot, TaskId, Run)> {
         let waiting = starts.into_iter().filter(|(slot, task, run)| {
             let worker = self.workers.get(slot);
-            let claim = worker.and_then(|worker| worker.claims.get(&(*task, *run)));
+            let claim = worker.and_then(|worker| worker.allocations.get(&(*task, *run)));
             claim.is_some_and(|claim| claim.phase == Phase::Recording)
         });
         let (held, ready): (Vec<_>, Vec<_>) =
@@ -309,7 +309,7 @@
     /// Notes that the worker has a run.
     fn confirm(&mut self, slot: Slot, task: TaskId, run: Run, now: Timestamp) {
         let worker = self.workers.get_mut(&slot);
-        let claim = worker.and_then(|worker| worker.claims.get_mut(&(task, run)));
+        let claim = worker.and_then(|worker| worker.allocations.get_mut(&(task, run)));
         if let Some(claim) = claim {
             claim.confirm(now);
         }
@@ -327,7 +327,7 @@
         let Some(worker) = self.workers.get_mut(&slot) else {
             return;
         };
-        let Some(claim) = worker.claims.get_mut(&(task, run)) else {
+        let Some(claim) = worker.allocations.get_mut(&(task, run)) else {
             return;
         };
         if matches!(claim.phase, Phase::Stopping { .. }) {
@@ -373,7 +373,7 @@
             return;
         };
         let claim = self.workers.get_mut(&slot);
-        let claim = claim.and_then(|worker| worker.claims.get_mut(&(task, run)));
+        let claim = claim.and_then(|worker| worker.allocations.get_mut(&(task, run)));
         let Some(claim) = claim else {
             return;
         };
--- a/crates/cell/src/engine/pace.rs
+++ b/crates/cell/src/engine/pace.rs
@@ -182,7 +182,7 @@
         if !is_best_effort && !is_latency_sensitive {
             return 0;
         }
-        let steps = worker.claims.keys().filter_map(|(task, _)| {
+        let steps = worker.allocations.keys().filter_map(|(task, _)| {
             let job = self.jobs.get(&task.step.job)?;
             job.step(task.step)
         });
--- a/crates/cell/src/engine/place.rs
+++ b/crates/cell/src/engine/place.rs
@@ -100,7 +100,7 @@
         let Some(max_per_worker) = demand.step.anti_affinity else {
             return usize::MAX;
         };
-        let here = worker.claims.keys();
+        let here = worker.allocations.keys();
         let here = here.filter(|(task, _)| task.step == demand.id).count();
         usize::from(max_per_worker).saturating_sub(here)
     }
@@ -299,7 +299,7 @@
         let run = active.iter().map(|(_, _, run)| *run).max();
         let is_ending = active.iter().any(|(index, slot, run)| {
             let worker = self.workers.get(slot);
-            let claim = worker.and_then(|worker| worker.claims.get(&(id.task(*index), *run)));
+            let claim = worker.and_then(|worker| worker.allocations.get(&(id.task(*index), *run)));
             claim.is_none_or(|claim| matches!(claim.phase, Phase::Stopping { .. }))
         });
         let until = stage.gang_since + self.bounds.gang_wait / GANG_REPAIR_DIVISOR;
@@ -348,7 +348,7 @@
         if !isolated.is_empty() {
             let empty = rooms
                 .iter()
-                .filter(|(_, _, worker)| worker.claims.is_empty());
+                .filter(|(_, _, worker)| worker.allocations.is_empty());
             let slots = assign_slots(empty.map(|(slot, room, _)| (*slot, *room)), isolated.len())?;
             rooms.retain(|(slot, _, _)| !slots.contains(slot));
             places.extend(isolated.into_iter().zip(slots));
--- a/crates/cell/src/engine/reserve.rs
+++ b/crates/cell/src/engine/reserve.rs
@@ -220,7 +220,7 @@
         let mut free_soon = worker.free;
         let mut free_later = Resources::ZERO;
         let mut victims = Vec::new();
-        for ((task, run), claim) in &worker.claims {
+        for ((task, run), claim) in &worker.allocations {
             if claim.alone {
                 continue;
             }
@@ -295,7 +295,7 @@
         let Some(worker) = self.workers.get(&offer.slot) else {
             return;
         };
-        let stopping = worker.claims.values();
+        let stopping = worker.allocations.values();
         let stopping = stopping.filter(|claim| matches!(claim.phase, Phase::Stopping { .. }));
         let mut room = stopping.fold(worker.free, |room, claim| {
             room.checked_add(claim.size).unwrap_or(room)
--- a/crates/cell/src/engine/restart.rs
+++ b/crates/cell/src/engine/restart.rs
@@ -87,7 +87,7 @@
         let running = inventory.running.iter().map(|run| (run.task, run.run));
         let ended = inventory.ended.iter().map(|end| (end.task, end.run));
         let reported: Vec<(TaskId, Run)> = running.chain(ended).collect();
-        for (key, claim) in &mut worker.claims {
+        for (key, claim) in &mut worker.allocations {
             let is_later = claim.begun.is_some_and(|begun| begun > asked);
             if is_later || reported.contains(key) {
                 claim.begun = None;
@@ -100,7 +100,10 @@
     /// Resends the stop orders that the former incarnation may have confirmed, since the new one doesn't know of them.
     fn resend_stops(&mut self, slot: Slot, now: Timestamp) {
         let worker = self.workers.get_mut(&slot);
-        for ((task, run), claim) in worker.into_iter().flat_map(|worker| &mut worker.claims) {
+        for ((task, run), claim) in worker
+            .into_iter()
+            .flat_map(|worker| &mut worker.allocations)
+        {
             if let Phase::Stopping { confirmed } = &mut claim.phase {
                 *confirmed = None;
                 self.stops.set((slot, *task, *run), Some(now));
--- a/crates/cell/src/engine/shrink.rs
+++ b/crates/cell/src/engine/shrink.rs
@@ -110,7 +110,7 @@
 
     /// Returns the runs of a worker whose start orders have not been sent, the latest first.
     fn unsent(&self, slot: Slot) -> Vec<(TaskId, Run)> {
-        let claims = self.workers.get(&slot).map(|worker| &worker.claims);
+        let claims = self.workers.get(&slot).map(|worker| &worker.allocations);
         let claims = claims.into_iter().flatten();
         let unsent = claims.filter(|(_, claim)| claim.phase == Phase::Recording);
         let mut unsent: Vec<_> = unsent.map(|(key, claim)| (claim.since, *key)).collect();
--- a/crates/cell/src/engine/view.rs
+++ b/crates/cell/src/engine/view.rs
@@ -174,7 +174,8 @@
             worker.heard.is_some() && worker.silent.is_none() && worker.is_listed()
         });
         let unheard = self.workers.values();
-        let unheard = unheard.filter(|worker| worker.heard.is_none() && !worker.claims.is_empty());
+        let unheard =
+            unheard.filter(|worker| worker.heard.is_none() && !worker.allocations.is_empty());
         let evacuated = self.workers.values().filter(|worker| worker.is_evacuated);
         Counts {
             jobs: self.jobs.len() + self.ended.len(),
@@ -184,7 +185,7 @@
             claims: self
                 .workers
                 .values()
-                .map(|worker| worker.claims.len())
+                .map(|worker| worker.allocations.len())
                 .sum(),
             listed: self.workers.values().map(|worker| worker.listed).sum(),
             workers_heard: heard.count(),
--- a/crates/cell/src/worker.rs
+++ b/crates/cell/src/worker.rs
@@ -168,7 +168,7 @@
     /// The capacity that is not allocated.
     pub free: Resources,
     /// The runs that may use its capacity.
-    pub claims: BTreeMap<(TaskId, Run), Allocation>,
+    pub allocations: BTreeMap<(TaskId, Run), Allocation>,
     /// The call for its inventory.
     pub contact: Contact,
     /// A second call, which doesn't wait for an end. It shows at once whether a start without an answer has succeeded;
@@ -221,7 +221,7 @@
             raised: None,
             listed: 0,
             registration,
-            claims: BTreeMap::new(),
+            allocations: BTreeMap::new(),
             contact: Contact::Due(now),
             peek: None,
             heard: None,
@@ -359,14 +359,14 @@
             return false;
         };
         self.free = if claim.alone { Resources::ZERO } else { free };
-        self.claims.insert((task, run), claim);
+        self.allocations.insert((task, run), claim);
         true
     }
 
     /// Returns the capacity for tasks of a step that may not share a worker with other steps; zero if the worker has
     /// other allocations.
     pub fn room_alone(&self, step: StepId) -> Resources {
-        let mut claims = self.claims.iter();
+        let mut claims = self.allocations.iter();
         match claims.all(|((task, _), claim)| task.step == step && claim.alone) {
             true => self.unclaimed(),
             false => Resources::ZERO,
@@ -375,7 +375,7 @@
 
     /// Allows tasks of other steps beside a run.
     pub fn end_solitude(&mut self, task: TaskId, run: Run) {
-        if let Some(claim) = self.claims.get_mut(&(task, run)) {
+        if let Some(claim) = self.allocations.get_mut(&(task, run)) {
             claim.alone = false;
             self.update_free();
         }
@@ -383,13 +383,13 @@
 
     /// Adds a run that is already there, even if it exceeds the capacity.
     pub fn adopt(&mut self, task: TaskId, run: Run, claim: Allocation) {
-        self.claims.insert((task, run), claim);
+        self.allocations.insert((task, run), claim);
         self.update_free();
     }
 
     /// Frees the capacity of a run that is certainly gone.
     pub fn release(&mut self, task: TaskId, run: Run) -> Option<Allocation> {
-        let claim = self.claims.remove(&(task, run))?;
+        let claim = self.allocations.remove(&(task, run))?;
         self.update_free();
         Some(claim)
     }
@@ -401,7 +401,7 @@
 
     /// Recomputes the free capacity: zero if the allocations exceed the capacity or a run may not share the worker.
     fn update_free(&mut self) {
-        self.free = match self.claims.values().any(|claim| claim.alone) {
+        self.free = match self.allocations.values().any(|claim| claim.alone) {
             true => Resources::ZERO,
             false => self.unclaimed(),
         };
@@ -415,7 +415,7 @@
 
     /// Returns the sum of all allocations; `None` if it overflows.
     fn used(&self) -> Option<Resources> {
-        let mut sizes = self.claims.values().map(|claim| claim.size);
+        let mut sizes = self.allocations.values().map(|claim| claim.size);
         sizes.try_fold(Resources::ZERO, |sum, size| sum.checked_add(size))
     }
 
@@ -474,7 +474,7 @@
 
     /// Returns whether it has stopped answering and either has allocations or is not listed.
     fn awaits_lease_expiry(&self) -> bool {
-        self.silent.is_some() && (!self.claims.is_empty() || !self.is_listed())
+        self.silent.is_some() && (!self.allocations.is_empty() || !self.is_listed())
     }
 
     /// Returns whether it can be forgotten: it runs nothing, and has not been listed for a while.
@@ -482,13 +482,13 @@
         let is_unlisted = self
             .unlisted
             .is_some_and(|at| now.since(at) >= UNLISTED_RETENTION);
-        is_unlisted && self.claims.is_empty() && self.leases_end <= now
+        is_unlisted && self.allocations.is_empty() && self.leases_end <= now
     }
 
     /// Returns when it may count as expired or forgettable if it does not answer before.
     pub fn next_expiry(&self) -> Option<Timestamp> {
         let lapse = self.awaits_lease_expiry().then_some(self.leases_end);
-        let idle = self.unlisted.filter(|_| self.claims.is_empty());
+        let idle = self.unlisted.filter(|_| self.allocations.is_empty());
         let idle = idle.map(|at| self.leases_end.max(at + UNLISTED_RETENTION));
         [lapse, idle].into_iter().flatten().min()
     }
