--- a/crates/cell/src/engine/place.rs
+++ b/crates/cell/src/engine/place.rs
@@ -408,7 +408,7 @@
             begun: None,
             outlasted: false,
         };
-        if !worker.claim(task, run, claim) {
+        if !worker.allocate(task, run, claim) {
             return false;
         }
         if let Some(charge) = charge {
--- a/crates/cell/src/worker.rs
+++ b/crates/cell/src/worker.rs
@@ -350,7 +350,7 @@
     }
 
     /// Reserves capacity for a run; returns `false` if there is not enough.
-    pub fn claim(&mut self, task: TaskId, run: Run, claim: Allocation) -> bool {
+    pub fn allocate(&mut self, task: TaskId, run: Run, claim: Allocation) -> bool {
         let room = match claim.alone {
             true => self.room_alone(task.step),
             false => self.free,
