--- a/crates/cell/src/engine/contact.rs
+++ b/crates/cell/src/engine/contact.rs
@@ -425,7 +425,7 @@
             phase: Phase::Running { since: proven_from },
             since: now,
             fence: worker.fence,
-            unanswered: u8::from(!is_listed),
+            unanswered_starts: u8::from(!is_listed),
             is_held_back: false,
             alone: alone && is_wanted,
             begun: is_listed.then_some(now),
--- a/crates/cell/src/engine/crash.rs
+++ b/crates/cell/src/engine/crash.rs
@@ -93,7 +93,7 @@
         match self.begun {
             Some(begun) => !self.outlasted && fell.since(begun) <= START_CRASH_WINDOW,
             // As long as an order is unanswered, it may have arrived just before the crash.
-            None => self.unanswered > 0,
+            None => self.unanswered_starts > 0,
         }
     }
 }
--- a/crates/cell/src/engine/order.rs
+++ b/crates/cell/src/engine/order.rs
@@ -139,7 +139,7 @@
     fn unanswered(&self, slot: Slot, task: TaskId, run: Run) -> u8 {
         let claim = self.workers.get(&slot);
         let claim = claim.and_then(|worker| worker.allocations.get(&(task, run)));
-        claim.map_or(0, |claim| claim.unanswered)
+        claim.map_or(0, |claim| claim.unanswered_starts)
     }
 
     /// Retries a start order that got no answer. The worker recognises it as the same order.
@@ -152,8 +152,8 @@
         let Some(claim) = claim.filter(|claim| claim.phase == Phase::Starting) else {
             return;
         };
-        claim.unanswered += 1;
-        let is_exhausted = claim.unanswered >= MAX_UNANSWERED_STARTS;
+        claim.unanswered_starts += 1;
+        let is_exhausted = claim.unanswered_starts >= MAX_UNANSWERED_STARTS;
         let worker = self.workers.get(&slot);
         let is_overfull = worker.is_some_and(Worker::is_overfull);
         // A silent worker may come back with less capacity, or as a worker of another kind.
--- a/crates/cell/src/engine/place.rs
+++ b/crates/cell/src/engine/place.rs
@@ -402,7 +402,7 @@
             phase: Phase::Recording,
             since: now,
             fence: worker.fence,
-            unanswered: 0,
+            unanswered_starts: 0,
             is_held_back: false,
             alone: stage.is_suspect(index) && worker.room_alone(id) != Resources::ZERO,
             begun: None,
--- a/crates/cell/src/engine/restart.rs
+++ b/crates/cell/src/engine/restart.rs
@@ -92,7 +92,7 @@
             if is_later || reported.contains(key) {
                 claim.begun = None;
                 claim.outlasted = false;
-                claim.unanswered = 0;
+                claim.unanswered_starts = 0;
             }
         }
     }
--- a/crates/cell/src/engine/shrink.rs
+++ b/crates/cell/src/engine/shrink.rs
@@ -80,7 +80,7 @@
         }
         // An unanswered order may still be carried out, so the run has to be stopped.
         let is_unanswered =
-            |claim: &Allocation| claim.phase == Phase::Starting && claim.unanswered > 0;
+            |claim: &Allocation| claim.phase == Phase::Starting && claim.unanswered_starts > 0;
         for (task, run) in self.runs_on(slot, is_unanswered) {
             if self.workers.get(&slot).is_some_and(Worker::is_overfull) {
                 self.stop(slot, task, run, "shrunk", now);
--- a/crates/cell/src/worker.rs
+++ b/crates/cell/src/worker.rs
@@ -77,7 +77,7 @@
     /// The fence of its last order, or the one under which the worker listed it.
     pub fence: Fence,
     /// The number of orders to start it without a known answer; each may still be carried out.
-    pub unanswered: u8,
+    pub unanswered_starts: u8,
     /// Whether its order is sent again once the worker, which has stopped answering, answers.
     pub is_held_back: bool,
     /// Whether only tasks of the same step may be started on its worker.
