--- a/crates/cell/src/engine/contact.rs
+++ b/crates/cell/src/engine/contact.rs
@@ -426,7 +426,7 @@
             since: now,
             fence: worker.fence,
             unanswered_starts: u8::from(!is_listed),
-            is_held_back: false,
+            resend_when_heard: false,
             alone: alone && is_wanted,
             begun: is_listed.then_some(now),
             outlasted: false,
--- a/crates/cell/src/engine/order.rs
+++ b/crates/cell/src/engine/order.rs
@@ -177,7 +177,7 @@
         let worker = self.workers.get_mut(&slot);
         let claim = worker.and_then(|worker| worker.allocations.get_mut(&(task, run)));
         if let Some(claim) = claim {
-            claim.is_held_back = true;
+            claim.resend_when_heard = true;
         }
     }
 
@@ -189,7 +189,7 @@
         };
         let mut held = Vec::new();
         for (key, claim) in &mut worker.allocations {
-            let is_held_back = std::mem::take(&mut claim.is_held_back);
+            let is_held_back = std::mem::take(&mut claim.resend_when_heard);
             if is_held_back && claim.phase == Phase::Starting && claim.fence == worker.fence {
                 held.push(*key);
             }
--- a/crates/cell/src/engine/place.rs
+++ b/crates/cell/src/engine/place.rs
@@ -403,7 +403,7 @@
             since: now,
             fence: worker.fence,
             unanswered_starts: 0,
-            is_held_back: false,
+            resend_when_heard: false,
             alone: stage.is_suspect(index) && worker.room_alone(id) != Resources::ZERO,
             begun: None,
             outlasted: false,
--- a/crates/cell/src/worker.rs
+++ b/crates/cell/src/worker.rs
@@ -79,7 +79,7 @@
     /// The number of orders to start it without a known answer; each may still be carried out.
     pub unanswered_starts: u8,
     /// Whether its order is sent again once the worker, which has stopped answering, answers.
-    pub is_held_back: bool,
+    pub resend_when_heard: bool,
     /// Whether only tasks of the same step may be started on its worker.
     pub alone: bool,
     /// When the worker was first known to have it; the worker may have started it earlier.
@@ -92,7 +92,7 @@
     /// Records that the worker has the run.
     pub fn confirm(&mut self, now: Timestamp) {
         self.begun.get_or_insert(now);
-        self.is_held_back = false;
+        self.resend_when_heard = false;
         if self.phase == Phase::Starting {
             self.phase = Phase::Running { since: now };
         }
