--- a/crates/cell/src/engine/contact.rs
+++ b/crates/cell/src/engine/contact.rs
@@ -381,7 +381,7 @@
         claim.confirm(now);
         claim.fence = worker.fence;
         claim.update_outlasted(asked);
-        if claim.alone && claim.outlasted {
+        if claim.is_exclusive && claim.outlasted {
             self.end_isolation(slot, task, running.run);
         }
         self.save_checkpoint(task, running.checkpoint.as_ref());
@@ -427,7 +427,7 @@
             fence: worker.fence,
             unanswered_starts: u8::from(!is_listed),
             resend_when_heard: false,
-            alone: alone && is_wanted,
+            is_exclusive: alone && is_wanted,
             begun: is_listed.then_some(now),
             outlasted: false,
         };
--- a/crates/cell/src/engine/place.rs
+++ b/crates/cell/src/engine/place.rs
@@ -404,7 +404,7 @@
             fence: worker.fence,
             unanswered_starts: 0,
             resend_when_heard: false,
-            alone: stage.is_suspect(index) && worker.room_alone(id) != Resources::ZERO,
+            is_exclusive: stage.is_suspect(index) && worker.room_alone(id) != Resources::ZERO,
             begun: None,
             outlasted: false,
         };
--- a/crates/cell/src/engine/reserve.rs
+++ b/crates/cell/src/engine/reserve.rs
@@ -221,7 +221,7 @@
         let mut free_later = Resources::ZERO;
         let mut victims = Vec::new();
         for ((task, run), claim) in &worker.allocations {
-            if claim.alone {
+            if claim.is_exclusive {
                 continue;
             }
             if matches!(claim.phase, Phase::Stopping { .. }) {
--- a/crates/cell/src/worker.rs
+++ b/crates/cell/src/worker.rs
@@ -81,7 +81,7 @@
     /// Whether its order is sent again once the worker, which has stopped answering, answers.
     pub resend_when_heard: bool,
     /// Whether only tasks of the same step may be started on its worker.
-    pub alone: bool,
+    pub is_exclusive: bool,
     /// When the worker was first known to have it; the worker may have started it earlier.
     pub begun: Option<Timestamp>,
     /// Whether the worker is known to have run it for longer than a crash at its start takes.
@@ -351,14 +351,18 @@
 
     /// Reserves capacity for a run; returns `false` if there is not enough.
     pub fn allocate(&mut self, task: TaskId, run: Run, claim: Allocation) -> bool {
-        let room = match claim.alone {
+        let room = match claim.is_exclusive {
             true => self.room_alone(task.step),
             false => self.free,
         };
         let Some(free) = room.checked_sub(claim.size) else {
             return false;
         };
-        self.free = if claim.alone { Resources::ZERO } else { free };
+        self.free = if claim.is_exclusive {
+            Resources::ZERO
+        } else {
+            free
+        };
         self.allocations.insert((task, run), claim);
         true
     }
@@ -367,7 +371,7 @@
     /// other allocations.
     pub fn room_alone(&self, step: StepId) -> Resources {
         let mut claims = self.allocations.iter();
-        match claims.all(|((task, _), claim)| task.step == step && claim.alone) {
+        match claims.all(|((task, _), claim)| task.step == step && claim.is_exclusive) {
             true => self.unclaimed(),
             false => Resources::ZERO,
         }
@@ -376,7 +380,7 @@
     /// Allows tasks of other steps beside a run.
     pub fn end_solitude(&mut self, task: TaskId, run: Run) {
         if let Some(claim) = self.allocations.get_mut(&(task, run)) {
-            claim.alone = false;
+            claim.is_exclusive = false;
             self.update_free();
         }
     }
@@ -401,7 +405,7 @@
 
     /// Recomputes the free capacity: zero if the allocations exceed the capacity or a run may not share the worker.
     fn update_free(&mut self) {
-        self.free = match self.allocations.values().any(|claim| claim.alone) {
+        self.free = match self.allocations.values().any(|claim| claim.is_exclusive) {
             true => Resources::ZERO,
             false => self.unclaimed(),
         };
