--- a/crates/cell/src/engine/contact.rs
+++ b/crates/cell/src/engine/contact.rs
@@ -428,7 +428,7 @@
             unanswered_starts: u8::from(!is_listed),
             resend_when_heard: false,
             is_exclusive: alone && is_wanted,
-            begun: is_listed.then_some(now),
+            first_confirmed: is_listed.then_some(now),
             outlasted: false,
         };
         worker.adopt(task, run, claim);
--- a/crates/cell/src/engine/crash.rs
+++ b/crates/cell/src/engine/crash.rs
@@ -83,14 +83,14 @@
     /// The arrival time of the answer proves nothing: a slow owner may process an answer of a worker that is gone by
     /// then.
     pub(super) fn update_outlasted(&mut self, asked: Timestamp) {
-        if let Some(begun) = self.begun {
+        if let Some(begun) = self.first_confirmed {
             self.outlasted |= asked.since(begun) > START_CRASH_WINDOW;
         }
     }
 
     /// Returns whether the run may have just begun when its worker crashed, at `fell` or later.
     fn may_have_just_begun(&self, fell: Timestamp) -> bool {
-        match self.begun {
+        match self.first_confirmed {
             Some(begun) => !self.outlasted && fell.since(begun) <= START_CRASH_WINDOW,
             // As long as an order is unanswered, it may have arrived just before the crash.
             None => self.unanswered_starts > 0,
@@ -124,7 +124,7 @@
             Some(Silence::Missed) | None => (self.heard.unwrap_or(Timestamp::ZERO), false),
         };
         let may_have_left = self.may_have_left();
-        let is_known = |claim: &Allocation| is_timed && claim.begun.is_some();
+        let is_known = |claim: &Allocation| is_timed && claim.first_confirmed.is_some();
         let claims = self.allocations.iter();
         let begun = claims.filter(|(_, claim)| {
             claim.may_have_just_begun(fell) && (is_known(claim) || !may_have_left)
--- a/crates/cell/src/engine/place.rs
+++ b/crates/cell/src/engine/place.rs
@@ -405,7 +405,7 @@
             unanswered_starts: 0,
             resend_when_heard: false,
             is_exclusive: stage.is_suspect(index) && worker.room_alone(id) != Resources::ZERO,
-            begun: None,
+            first_confirmed: None,
             outlasted: false,
         };
         if !worker.allocate(task, run, claim) {
--- a/crates/cell/src/engine/restart.rs
+++ b/crates/cell/src/engine/restart.rs
@@ -88,9 +88,9 @@
         let ended = inventory.ended.iter().map(|end| (end.task, end.run));
         let reported: Vec<(TaskId, Run)> = running.chain(ended).collect();
         for (key, claim) in &mut worker.allocations {
-            let is_later = claim.begun.is_some_and(|begun| begun > asked);
+            let is_later = claim.first_confirmed.is_some_and(|begun| begun > asked);
             if is_later || reported.contains(key) {
-                claim.begun = None;
+                claim.first_confirmed = None;
                 claim.outlasted = false;
                 claim.unanswered_starts = 0;
             }
--- a/crates/cell/src/worker.rs
+++ b/crates/cell/src/worker.rs
@@ -83,7 +83,7 @@
     /// Whether only tasks of the same step may be started on its worker.
     pub is_exclusive: bool,
     /// When the worker was first known to have it; the worker may have started it earlier.
-    pub begun: Option<Timestamp>,
+    pub first_confirmed: Option<Timestamp>,
     /// Whether the worker is known to have run it for longer than a crash at its start takes.
     pub outlasted: bool,
 }
@@ -91,7 +91,7 @@
 impl Allocation {
     /// Records that the worker has the run.
     pub fn confirm(&mut self, now: Timestamp) {
-        self.begun.get_or_insert(now);
+        self.first_confirmed.get_or_insert(now);
         self.resend_when_heard = false;
         if self.phase == Phase::Starting {
             self.phase = Phase::Running { since: now };
