--- a/crates/cell/src/engine/contact.rs
+++ b/crates/cell/src/engine/contact.rs
@@ -381,7 +381,7 @@
         claim.confirm(now);
         claim.fence = worker.fence;
         claim.update_outlasted(asked);
-        if claim.is_exclusive && claim.outlasted {
+        if claim.is_exclusive && claim.outlived_crash_window {
             self.end_isolation(slot, task, running.run);
         }
         self.save_checkpoint(task, running.checkpoint.as_ref());
@@ -429,7 +429,7 @@
             resend_when_heard: false,
             is_exclusive: alone && is_wanted,
             first_confirmed: is_listed.then_some(now),
-            outlasted: false,
+            outlived_crash_window: false,
         };
         worker.adopt(task, run, claim);
         if let Some(charge) = charge {
--- a/crates/cell/src/engine/crash.rs
+++ b/crates/cell/src/engine/crash.rs
@@ -84,14 +84,14 @@
     /// then.
     pub(super) fn update_outlasted(&mut self, asked: Timestamp) {
         if let Some(begun) = self.first_confirmed {
-            self.outlasted |= asked.since(begun) > START_CRASH_WINDOW;
+            self.outlived_crash_window |= asked.since(begun) > START_CRASH_WINDOW;
         }
     }
 
     /// Returns whether the run may have just begun when its worker crashed, at `fell` or later.
     fn may_have_just_begun(&self, fell: Timestamp) -> bool {
         match self.first_confirmed {
-            Some(begun) => !self.outlasted && fell.since(begun) <= START_CRASH_WINDOW,
+            Some(begun) => !self.outlived_crash_window && fell.since(begun) <= START_CRASH_WINDOW,
             // As long as an order is unanswered, it may have arrived just before the crash.
             None => self.unanswered_starts > 0,
         }
@@ -144,7 +144,10 @@
 
     /// Returns the tasks that the worker has worked on for longer than a crash at their start takes.
     fn outlasted_tasks(&self) -> Vec<TaskId> {
-        let claims = self.allocations.iter().filter(|(_, claim)| claim.outlasted);
+        let claims = self
+            .allocations
+            .iter()
+            .filter(|(_, claim)| claim.outlived_crash_window);
         claims.map(|((task, _), _)| *task).collect()
     }
 }
--- a/crates/cell/src/engine/place.rs
+++ b/crates/cell/src/engine/place.rs
@@ -406,7 +406,7 @@
             resend_when_heard: false,
             is_exclusive: stage.is_suspect(index) && worker.room_alone(id) != Resources::ZERO,
             first_confirmed: None,
-            outlasted: false,
+            outlived_crash_window: false,
         };
         if !worker.allocate(task, run, claim) {
             return false;
--- a/crates/cell/src/engine/restart.rs
+++ b/crates/cell/src/engine/restart.rs
@@ -91,7 +91,7 @@
             let is_later = claim.first_confirmed.is_some_and(|begun| begun > asked);
             if is_later || reported.contains(key) {
                 claim.first_confirmed = None;
-                claim.outlasted = false;
+                claim.outlived_crash_window = false;
                 claim.unanswered_starts = 0;
             }
         }
--- a/crates/cell/src/worker.rs
+++ b/crates/cell/src/worker.rs
@@ -85,7 +85,7 @@
     /// When the worker was first known to have it; the worker may have started it earlier.
     pub first_confirmed: Option<Timestamp>,
     /// Whether the worker is known to have run it for longer than a crash at its start takes.
-    pub outlasted: bool,
+    pub outlived_crash_window: bool,
 }
 
 impl Allocation {
