--- a/crates/cell/src/engine/contact.rs
+++ b/crates/cell/src/engine/contact.rs
@@ -32,7 +32,7 @@
     record::WorkerRuns,
     worker::{
         Allocation,
-        Contact,
+        CallState,
         Phase,
         Silence,
         Teller,
@@ -197,13 +197,13 @@
             return;
         };
         // Answers are matched to calls by the time of the call, so two calls must not leave at the same instant.
-        let is_calling = worker.contact == Contact::Out(now);
+        let is_calling = worker.contact == CallState::Out(now);
         if !is_calling && worker.peek.is_some_and(|peek| peek.is_due(now)) {
-            worker.peek = Some(Contact::Out(now));
+            worker.peek = Some(CallState::Out(now));
             let call = inventory_call(worker, None, Duration::ZERO, now);
             self.outbox.push(call);
         }
-        if !worker.contact.is_due(now) || worker.peek == Some(Contact::Out(now)) {
+        if !worker.contact.is_due(now) || worker.peek == Some(CallState::Out(now)) {
             return;
         }
         // A worker that doesn't answer may still receive calls; not extending the lease lets it lapse.
@@ -218,7 +218,7 @@
             Some(_) if worker.silent.is_none() => INVENTORY_WAIT,
             _ => Duration::ZERO,
         };
-        worker.contact = Contact::Out(now);
+        worker.contact = CallState::Out(now);
         let call = inventory_call(worker, deadline, wait, now);
         self.outbox.push(call);
     }
@@ -239,10 +239,10 @@
         let Some(worker) = self.workers.get_mut(&slot) else {
             return;
         };
-        let is_peek = worker.peek == Some(Contact::Out(asked));
+        let is_peek = worker.peek == Some(CallState::Out(asked));
         if is_peek {
             worker.peek = None;
-        } else if worker.contact != Contact::Out(asked) {
+        } else if worker.contact != CallState::Out(asked) {
             return;
         }
         match answer {
@@ -261,13 +261,13 @@
             | HeartbeatAnswer::Refused
                 if is_peek =>
             {
-                worker.peek = Some(Contact::Due(now + SILENT_WORKER_RETRY_DELAY));
+                worker.peek = Some(CallState::Due(now + SILENT_WORKER_RETRY_DELAY));
                 self.index(slot);
             }
             HeartbeatAnswer::NoAnswer
             | HeartbeatAnswer::ConnectionLost
             | HeartbeatAnswer::Refused => {
-                worker.contact = Contact::Due(now + SILENT_WORKER_RETRY_DELAY);
+                worker.contact = CallState::Due(now + SILENT_WORKER_RETRY_DELAY);
                 let was_responsive = worker.silent.is_none();
                 worker.silent.get_or_insert(now);
                 worker.silence.get_or_insert(match answer {
@@ -352,11 +352,11 @@
         let Some(worker) = self.workers.get_mut(&slot) else {
             return;
         };
-        if worker.contact == Contact::Out(asked) {
+        if worker.contact == CallState::Out(asked) {
             worker.contact = match worker.seen > worker.kept {
                 // Once the ends are recorded, the next call is made at once.
-                true => Contact::Due(now + UNRECORDED_END_RENEWAL_INTERVAL),
-                false => Contact::Due(now),
+                true => CallState::Due(now + UNRECORDED_END_RENEWAL_INTERVAL),
+                false => CallState::Due(now),
             };
         }
         let seen = worker.seen;
--- a/crates/cell/src/engine/order.rs
+++ b/crates/cell/src/engine/order.rs
@@ -32,7 +32,7 @@
         WorkerId, //
     },
     worker::{
-        Contact,
+        CallState,
         Phase,
         Worker, //
     },
@@ -388,7 +388,7 @@
                     && worker.peek.is_none()
                 {
                     // The short delay ensures that the call is made after this answer.
-                    worker.peek = Some(Contact::Due(now + STOP_VERIFICATION_DELAY));
+                    worker.peek = Some(CallState::Due(now + STOP_VERIFICATION_DELAY));
                     self.index(slot);
                 }
             }
--- a/crates/cell/src/worker.rs
+++ b/crates/cell/src/worker.rs
@@ -108,14 +108,14 @@
 
 /// The state of the call that renews the lease and requests the inventory; at most one is in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Contact {
+pub enum CallState {
     /// The next call is due at this time.
     Due(Timestamp),
     /// A call has been in flight since this time.
     Out(Timestamp),
 }
 
-impl Contact {
+impl CallState {
     /// Returns whether the call is in flight.
     pub const fn is_out(self) -> bool {
         matches!(self, Self::Out(_))
@@ -170,10 +170,10 @@
     /// The runs that may use its capacity.
     pub allocations: BTreeMap<(TaskId, Run), Allocation>,
     /// The call for its inventory.
-    pub contact: Contact,
+    pub contact: CallState,
     /// A second call, which doesn't wait for an end. It shows at once whether a start without an answer has succeeded;
     /// the first call may take up to a second longer.
-    pub peek: Option<Contact>,
+    pub peek: Option<CallState>,
     /// When it last sent an inventory in this epoch.
     pub heard: Option<Timestamp>,
     /// When its calls began to fail.
@@ -222,7 +222,7 @@
             listed: 0,
             registration,
             allocations: BTreeMap::new(),
-            contact: Contact::Due(now),
+            contact: CallState::Due(now),
             peek: None,
             heard: None,
             silent: None,
@@ -452,7 +452,7 @@
 
     /// Schedules a call again whose answer could not be used.
     pub fn call_again(&mut self, is_peek: bool, now: Timestamp) {
-        let call = Contact::Due(now);
+        let call = CallState::Due(now);
         match is_peek {
             true => self.peek = Some(call),
             false if self.contact.is_out() => self.contact = call,
@@ -464,8 +464,8 @@
     pub fn next_call(&self) -> Option<Timestamp> {
         let calls = [self.peek, Some(self.contact)].into_iter().flatten();
         let due = calls.filter_map(|call| match call {
-            Contact::Due(at) => Some(at),
-            Contact::Out(_) => None,
+            CallState::Due(at) => Some(at),
+            CallState::Out(_) => None,
         });
         due.min()
     }
