--- a/crates/cell/src/worker.rs
+++ b/crates/cell/src/worker.rs
@@ -112,13 +112,13 @@
     /// The next call is due at this time.
     Due(Timestamp),
     /// A call has been in flight since this time.
-    Out(Timestamp),
+    InFlight(Timestamp),
 }
 
 impl CallState {
     /// Returns whether the call is in flight.
     pub const fn is_out(self) -> bool {
-        matches!(self, Self::Out(_))
+        matches!(self, Self::InFlight(_))
     }
 
     /// Returns whether the call is due.
@@ -465,7 +465,7 @@
         let calls = [self.peek, Some(self.contact)].into_iter().flatten();
         let due = calls.filter_map(|call| match call {
             CallState::Due(at) => Some(at),
-            CallState::Out(_) => None,
+            CallState::InFlight(_) => None,
         });
         due.min()
     }
