--- a/crates/cell/src/worker.rs
+++ b/crates/cell/src/worker.rs
@@ -117,7 +117,7 @@
 
 impl CallState {
     /// Returns whether the call is in flight.
-    pub const fn is_out(self) -> bool {
+    pub const fn is_in_flight(self) -> bool {
         matches!(self, Self::InFlight(_))
     }
 
@@ -455,7 +455,7 @@
         let call = CallState::Due(now);
         match is_peek {
             true => self.peek = Some(call),
-            false if self.contact.is_out() => self.contact = call,
+            false if self.contact.is_in_flight() => self.contact = call,
             false => {}
         }
     }
