--- a/crates/cell/src/engine/contact.rs
+++ b/crates/cell/src/engine/contact.rs
@@ -34,8 +34,8 @@
         Allocation,
         CallState,
         Phase,
+        Sender,
         Silence,
-        Teller,
         Worker, //
     },
 };
@@ -294,12 +294,12 @@
             return;
         };
         match worker.identify(inventory.incarnation, asked) {
-            Teller::Present => {}
-            Teller::Former => {
+            Sender::Present => {}
+            Sender::Former => {
                 worker.call_again(false, now);
                 return self.index(slot);
             }
-            Teller::Later => self.begin_incarnation(slot, &inventory, asked, now),
+            Sender::Later => self.begin_incarnation(slot, &inventory, asked, now),
         }
         self.apply_inventory(slot, inventory, asked, now);
     }
--- a/crates/cell/src/worker.rs
+++ b/crates/cell/src/worker.rs
@@ -129,7 +129,7 @@
 
 /// The incarnation of a worker that an answer comes from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Teller {
+pub enum Sender {
     /// The last known one, or one that can't be distinguished from it.
     Present,
     /// An earlier one.
@@ -287,15 +287,15 @@
     ///
     /// The clocks that number incarnations may jump back. A call that was made after an incarnation had answered, to
     /// this owner or a former one, can't have reached an earlier incarnation.
-    pub fn identify(&self, reported: Option<Incarnation>, asked: Timestamp) -> Teller {
+    pub fn identify(&self, reported: Option<Incarnation>, asked: Timestamp) -> Sender {
         let Some((reported, known)) = reported.zip(self.incarnation) else {
-            return Teller::Present;
+            return Sender::Present;
         };
         let is_after = self.heard.is_none_or(|heard| heard <= asked);
         match reported.cmp(&known) {
-            Ordering::Equal => Teller::Present,
-            Ordering::Less if !is_after => Teller::Former,
-            Ordering::Less | Ordering::Greater => Teller::Later,
+            Ordering::Equal => Sender::Present,
+            Ordering::Less if !is_after => Sender::Former,
+            Ordering::Less | Ordering::Greater => Sender::Later,
         }
     }
 
