--- a/crates/cell/src/engine/contact.rs
+++ b/crates/cell/src/engine/contact.rs
@@ -294,7 +294,7 @@
             return;
         };
         match worker.identify(inventory.incarnation, asked) {
-            Sender::Present => {}
+            Sender::Current => {}
             Sender::Former => {
                 worker.call_again(false, now);
                 return self.index(slot);
--- a/crates/cell/src/worker.rs
+++ b/crates/cell/src/worker.rs
@@ -131,7 +131,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Sender {
     /// The last known one, or one that can't be distinguished from it.
-    Present,
+    Current,
     /// An earlier one.
     Former,
     /// A later one.
@@ -289,11 +289,11 @@
     /// this owner or a former one, can't have reached an earlier incarnation.
     pub fn identify(&self, reported: Option<Incarnation>, asked: Timestamp) -> Sender {
         let Some((reported, known)) = reported.zip(self.incarnation) else {
-            return Sender::Present;
+            return Sender::Current;
         };
         let is_after = self.heard.is_none_or(|heard| heard <= asked);
         match reported.cmp(&known) {
-            Ordering::Equal => Sender::Present,
+            Ordering::Equal => Sender::Current,
             Ordering::Less if !is_after => Sender::Former,
             Ordering::Less | Ordering::Greater => Sender::Later,
         }
