--- a/crates/cell/src/engine/contact.rs
+++ b/crates/cell/src/engine/contact.rs
@@ -66,7 +66,7 @@
             let is_changed = worker.offers_other(&registration);
             let has_new_incarnation = worker.is_superseded_by(&registration);
             let shrinks = !worker.registration.capacity.fits(&registration.capacity);
-            worker.told = now;
+            worker.registered = now;
             worker.unlisted = None;
             let was_distrusted = worker.distrusted.take().is_some();
             worker.registration = registration;
--- a/crates/cell/src/engine/place.rs
+++ b/crates/cell/src/engine/place.rs
@@ -53,7 +53,7 @@
         let label = self.step.requires.as_deref();
         worker.registration.pool == self.queue.pool
             && worker.is_open(now)
-            && worker.told >= self.min_report_time
+            && worker.registered >= self.min_report_time
             && label.is_none_or(|label| worker.has_label(label))
     }
 }
--- a/crates/cell/src/worker.rs
+++ b/crates/cell/src/worker.rs
@@ -153,7 +153,7 @@
     /// Its latest registration.
     pub registration: Registration,
     /// When it last registered.
-    pub told: Timestamp,
+    pub registered: Timestamp,
     /// The incarnation that answered last, if the platform reports it.
     pub incarnation: Option<Incarnation>,
     /// Whether its registration was changed by an incarnation that has not answered yet.
@@ -214,7 +214,7 @@
     ) -> Self {
         Self {
             free: registration.capacity,
-            told: now,
+            registered: now,
             incarnation: None,
             is_superseded: false,
             fence,
