--- a/crates/cell/src/advice.rs
+++ b/crates/cell/src/advice.rs
@@ -47,7 +47,9 @@
 
     /// Returns whether another incarnation of the worker has begun since the ticket was requested.
     pub fn is_for_former(&self, worker: &Worker) -> bool {
-        worker.raised.is_some_and(|raised| self.asked < raised)
+        worker
+            .fence_raised
+            .is_some_and(|raised| self.asked < raised)
     }
 }
 
--- a/crates/cell/src/engine/contact.rs
+++ b/crates/cell/src/engine/contact.rs
@@ -250,7 +250,7 @@
                 self.handle_inventory(slot, inventory, asked, now)
             }
             // The call predates the current fence, so the refusal doesn't mean that another node owns the cell.
-            HeartbeatAnswer::Fenced if worker.raised.is_some_and(|raised| asked < raised) => {
+            HeartbeatAnswer::Fenced if worker.fence_raised.is_some_and(|raised| asked < raised) => {
                 worker.call_again(is_peek, now);
                 self.index(slot);
             }
--- a/crates/cell/src/worker.rs
+++ b/crates/cell/src/worker.rs
@@ -162,7 +162,7 @@
     pub fence: Fence,
     /// When the fence was raised in this epoch. Once the worker has answered a call made after that, no earlier order
     /// is carried out any more.
-    pub raised: Option<Timestamp>,
+    pub fence_raised: Option<Timestamp>,
     /// The number of runs in its last inventory.
     pub listed: usize,
     /// The capacity that is not allocated.
@@ -218,7 +218,7 @@
             incarnation: None,
             is_superseded: false,
             fence,
-            raised: None,
+            fence_raised: None,
             listed: 0,
             registration,
             allocations: BTreeMap::new(),
@@ -304,7 +304,7 @@
         self.incarnation = incarnation;
         self.is_superseded = false;
         self.fence = fence;
-        self.raised = Some(now);
+        self.fence_raised = Some(now);
         self.seen = 0;
         self.kept = 0;
         self.clock_reading = None;
@@ -316,7 +316,7 @@
     /// Returns whether an inventory requested at `asked` proves that no order to start a run can be carried out any
     /// more, because all of these orders were for a former incarnation.
     pub fn is_void(&self, claim: &Allocation, asked: Timestamp) -> bool {
-        claim.fence < self.fence && self.raised.is_some_and(|raised| raised <= asked)
+        claim.fence < self.fence && self.fence_raised.is_some_and(|raised| raised <= asked)
     }
 
     /// Returns the serial number of the last end that it may forget. It is zero while the next answer may come from
