--- a/crates/cell/src/engine/contact.rs
+++ b/crates/cell/src/engine/contact.rs
@@ -320,7 +320,7 @@
         worker.silent = None;
         worker.silence = None;
         worker.read_clock(inventory.clock, now);
-        worker.listed = inventory.running.len();
+        worker.listed_runs = inventory.running.len();
         worker.incarnation = inventory.incarnation.or(worker.incarnation);
         worker.is_superseded = false;
         let seen = worker.seen;
--- a/crates/cell/src/engine/view.rs
+++ b/crates/cell/src/engine/view.rs
@@ -66,7 +66,7 @@
     /// Runs that may use resources of a worker.
     pub claims: usize,
     /// Runs that workers have listed in their last inventories.
-    pub listed: usize,
+    pub listed_runs: usize,
     /// Listed workers that answer.
     pub workers_heard: usize,
     /// Workers that don't answer.
@@ -187,7 +187,7 @@
                 .values()
                 .map(|worker| worker.allocations.len())
                 .sum(),
-            listed: self.workers.values().map(|worker| worker.listed).sum(),
+            listed_runs: self.workers.values().map(|worker| worker.listed_runs).sum(),
             workers_heard: heard.count(),
             workers_silent: silent,
             workers_unheard: unheard.count(),
--- a/crates/cell/src/worker.rs
+++ b/crates/cell/src/worker.rs
@@ -164,7 +164,7 @@
     /// is carried out any more.
     pub fence_raised: Option<Timestamp>,
     /// The number of runs in its last inventory.
-    pub listed: usize,
+    pub listed_runs: usize,
     /// The capacity that is not allocated.
     pub free: Resources,
     /// The runs that may use its capacity.
@@ -219,7 +219,7 @@
             is_superseded: false,
             fence,
             fence_raised: None,
-            listed: 0,
+            listed_runs: 0,
             registration,
             allocations: BTreeMap::new(),
             contact: CallState::Due(now),
--- a/crates/node/src/owner/control.rs
+++ b/crates/node/src/owner/control.rs
@@ -427,7 +427,7 @@
             slog::info!(self.shared.log, "believed"; "epoch" => epoch, "jobs" => counts.jobs,
                 "waiting" => counts.waiting,
                 "open_steps" => counts.open_steps, "claims" => counts.claims,
-                "listed" => counts.listed,
+                "listed" => counts.listed_runs,
                 "lag_ms" => millis(self.shared.pulse.take_worst()),
                 "owned_ms" => millis(self.started_at.elapsed()),
                 "view_ms" => millis(view),
--- a/crates/node/src/report.rs
+++ b/crates/node/src/report.rs
@@ -258,7 +258,7 @@
             ("open_steps", counts.open_steps),
             ("steps_aside", counts.steps_aside),
             ("claims", counts.claims),
-            ("listed", counts.listed),
+            ("listed", counts.listed_runs),
             ("workers_heard", counts.workers_heard),
             ("workers_silent", counts.workers_silent),
             ("workers_unheard", counts.workers_unheard),
