--- a/crates/cell/src/engine/contact.rs
+++ b/crates/cell/src/engine/contact.rs
@@ -197,13 +197,13 @@
             return;
         };
         // Answers are matched to calls by the time of the call, so two calls must not leave at the same instant.
-        let is_calling = worker.contact == CallState::InFlight(now);
+        let is_calling = worker.heartbeat == CallState::InFlight(now);
         if !is_calling && worker.peek.is_some_and(|peek| peek.is_due(now)) {
             worker.peek = Some(CallState::InFlight(now));
             let call = inventory_call(worker, None, Duration::ZERO, now);
             self.outbox.push(call);
         }
-        if !worker.contact.is_due(now) || worker.peek == Some(CallState::InFlight(now)) {
+        if !worker.heartbeat.is_due(now) || worker.peek == Some(CallState::InFlight(now)) {
             return;
         }
         // A worker that doesn't answer may still receive calls; not extending the lease lets it lapse.
@@ -218,7 +218,7 @@
             Some(_) if worker.silent.is_none() => INVENTORY_WAIT,
             _ => Duration::ZERO,
         };
-        worker.contact = CallState::InFlight(now);
+        worker.heartbeat = CallState::InFlight(now);
         let call = inventory_call(worker, deadline, wait, now);
         self.outbox.push(call);
     }
@@ -242,7 +242,7 @@
         let is_peek = worker.peek == Some(CallState::InFlight(asked));
         if is_peek {
             worker.peek = None;
-        } else if worker.contact != CallState::InFlight(asked) {
+        } else if worker.heartbeat != CallState::InFlight(asked) {
             return;
         }
         match answer {
@@ -267,7 +267,7 @@
             HeartbeatAnswer::NoAnswer
             | HeartbeatAnswer::ConnectionLost
             | HeartbeatAnswer::Refused => {
-                worker.contact = CallState::Due(now + SILENT_WORKER_RETRY_DELAY);
+                worker.heartbeat = CallState::Due(now + SILENT_WORKER_RETRY_DELAY);
                 let was_responsive = worker.silent.is_none();
                 worker.silent.get_or_insert(now);
                 worker.silence.get_or_insert(match answer {
@@ -352,8 +352,8 @@
         let Some(worker) = self.workers.get_mut(&slot) else {
             return;
         };
-        if worker.contact == CallState::InFlight(asked) {
-            worker.contact = match worker.seen > worker.kept {
+        if worker.heartbeat == CallState::InFlight(asked) {
+            worker.heartbeat = match worker.seen > worker.kept {
                 // Once the ends are recorded, the next call is made at once.
                 true => CallState::Due(now + UNRECORDED_END_RENEWAL_INTERVAL),
                 false => CallState::Due(now),
--- a/crates/cell/src/engine/keep.rs
+++ b/crates/cell/src/engine/keep.rs
@@ -262,8 +262,8 @@
             };
             let is_newer = *last > worker.kept;
             worker.kept = worker.kept.max(*last);
-            if is_newer && let CallState::Due(due) = worker.contact {
-                worker.contact = CallState::Due(now.unwrap_or(Timestamp::ZERO).min(due));
+            if is_newer && let CallState::Due(due) = worker.heartbeat {
+                worker.heartbeat = CallState::Due(now.unwrap_or(Timestamp::ZERO).min(due));
                 self.index(*slot);
             }
         }
--- a/crates/cell/src/worker.rs
+++ b/crates/cell/src/worker.rs
@@ -170,7 +170,7 @@
     /// The runs that may use its capacity.
     pub allocations: BTreeMap<(TaskId, Run), Allocation>,
     /// The call for its inventory.
-    pub contact: CallState,
+    pub heartbeat: CallState,
     /// A second call, which doesn't wait for an end. It shows at once whether a start without an answer has succeeded;
     /// the first call may take up to a second longer.
     pub peek: Option<CallState>,
@@ -222,7 +222,7 @@
             listed_runs: 0,
             registration,
             allocations: BTreeMap::new(),
-            contact: CallState::Due(now),
+            heartbeat: CallState::Due(now),
             peek: None,
             heard: None,
             silent: None,
@@ -455,14 +455,14 @@
         let call = CallState::Due(now);
         match is_peek {
             true => self.peek = Some(call),
-            false if self.contact.is_in_flight() => self.contact = call,
+            false if self.heartbeat.is_in_flight() => self.heartbeat = call,
             false => {}
         }
     }
 
     /// Returns when the next call is due; `None` while all calls are in flight.
     pub fn next_call(&self) -> Option<Timestamp> {
-        let calls = [self.peek, Some(self.contact)].into_iter().flatten();
+        let calls = [self.peek, Some(self.heartbeat)].into_iter().flatten();
         let due = calls.filter_map(|call| match call {
             CallState::Due(at) => Some(at),
             CallState::InFlight(_) => None,
