--- a/crates/cell/src/engine/contact.rs
+++ b/crates/cell/src/engine/contact.rs
@@ -198,12 +198,12 @@
         };
         // Answers are matched to calls by the time of the call, so two calls must not leave at the same instant.
         let is_calling = worker.heartbeat == CallState::InFlight(now);
-        if !is_calling && worker.peek.is_some_and(|peek| peek.is_due(now)) {
-            worker.peek = Some(CallState::InFlight(now));
+        if !is_calling && worker.probe.is_some_and(|peek| peek.is_due(now)) {
+            worker.probe = Some(CallState::InFlight(now));
             let call = inventory_call(worker, None, Duration::ZERO, now);
             self.outbox.push(call);
         }
-        if !worker.heartbeat.is_due(now) || worker.peek == Some(CallState::InFlight(now)) {
+        if !worker.heartbeat.is_due(now) || worker.probe == Some(CallState::InFlight(now)) {
             return;
         }
         // A worker that doesn't answer may still receive calls; not extending the lease lets it lapse.
@@ -239,9 +239,9 @@
         let Some(worker) = self.workers.get_mut(&slot) else {
             return;
         };
-        let is_peek = worker.peek == Some(CallState::InFlight(asked));
+        let is_peek = worker.probe == Some(CallState::InFlight(asked));
         if is_peek {
-            worker.peek = None;
+            worker.probe = None;
         } else if worker.heartbeat != CallState::InFlight(asked) {
             return;
         }
@@ -261,7 +261,7 @@
             | HeartbeatAnswer::Refused
                 if is_peek =>
             {
-                worker.peek = Some(CallState::Due(now + SILENT_WORKER_RETRY_DELAY));
+                worker.probe = Some(CallState::Due(now + SILENT_WORKER_RETRY_DELAY));
                 self.index(slot);
             }
             HeartbeatAnswer::NoAnswer
--- a/crates/cell/src/engine/order.rs
+++ b/crates/cell/src/engine/order.rs
@@ -385,10 +385,10 @@
                 *confirmed = Some(now);
                 self.stops.set((slot, task, run), None);
                 if let Some(worker) = self.workers.get_mut(&slot)
-                    && worker.peek.is_none()
+                    && worker.probe.is_none()
                 {
                     // The short delay ensures that the call is made after this answer.
-                    worker.peek = Some(CallState::Due(now + STOP_VERIFICATION_DELAY));
+                    worker.probe = Some(CallState::Due(now + STOP_VERIFICATION_DELAY));
                     self.index(slot);
                 }
             }
--- a/crates/cell/src/engine/restart.rs
+++ b/crates/cell/src/engine/restart.rs
@@ -48,7 +48,7 @@
             return;
         };
         worker.is_superseded = true;
-        worker.peek = Some(CallState::Due(now));
+        worker.probe = Some(CallState::Due(now));
         self.note_worker(slot, "superseded", now);
         self.revoke_unsent(slot, "reborn", now);
     }
@@ -73,7 +73,7 @@
             return;
         };
         worker.begin(inventory.incarnation, self.fence, now);
-        worker.peek = Some(CallState::Due(now));
+        worker.probe = Some(CallState::Due(now));
         self.ledger.drop_ends(slot);
         self.resend_stops(slot, now);
         self.note_worker(slot, "reborn", now);
--- a/crates/cell/src/worker.rs
+++ b/crates/cell/src/worker.rs
@@ -173,7 +173,7 @@
     pub heartbeat: CallState,
     /// A second call, which doesn't wait for an end. It shows at once whether a start without an answer has succeeded;
     /// the first call may take up to a second longer.
-    pub peek: Option<CallState>,
+    pub probe: Option<CallState>,
     /// When it last sent an inventory in this epoch.
     pub heard: Option<Timestamp>,
     /// When its calls began to fail.
@@ -223,7 +223,7 @@
             registration,
             allocations: BTreeMap::new(),
             heartbeat: CallState::Due(now),
-            peek: None,
+            probe: None,
             heard: None,
             silent: None,
             silence: None,
@@ -454,7 +454,7 @@
     pub fn call_again(&mut self, is_peek: bool, now: Timestamp) {
         let call = CallState::Due(now);
         match is_peek {
-            true => self.peek = Some(call),
+            true => self.probe = Some(call),
             false if self.heartbeat.is_in_flight() => self.heartbeat = call,
             false => {}
         }
@@ -462,7 +462,7 @@
 
     /// Returns when the next call is due; `None` while all calls are in flight.
     pub fn next_call(&self) -> Option<Timestamp> {
-        let calls = [self.peek, Some(self.heartbeat)].into_iter().flatten();
+        let calls = [self.probe, Some(self.heartbeat)].into_iter().flatten();
         let due = calls.filter_map(|call| match call {
             CallState::Due(at) => Some(at),
             CallState::InFlight(_) => None,
