--- a/crates/cell/src/engine/contact.rs
+++ b/crates/cell/src/engine/contact.rs
@@ -207,15 +207,15 @@
             return;
         }
         // A worker that doesn't answer may still receive calls; not extending the lease lets it lapse.
-        let deadline = match worker.silent {
+        let deadline = match worker.silent_since {
             None => worker.extend(&self.bounds, now),
             Some(_) => None,
         };
         let wait = match worker.heard {
-            Some(_) if worker.silent.is_none() && worker.pacing.is_mixed => {
+            Some(_) if worker.silent_since.is_none() && worker.pacing.is_mixed => {
                 MIXED_LOAD_INVENTORY_WAIT
             }
-            Some(_) if worker.silent.is_none() => INVENTORY_WAIT,
+            Some(_) if worker.silent_since.is_none() => INVENTORY_WAIT,
             _ => Duration::ZERO,
         };
         worker.heartbeat = CallState::InFlight(now);
@@ -268,8 +268,8 @@
             | HeartbeatAnswer::ConnectionLost
             | HeartbeatAnswer::Refused => {
                 worker.heartbeat = CallState::Due(now + SILENT_WORKER_RETRY_DELAY);
-                let was_responsive = worker.silent.is_none();
-                worker.silent.get_or_insert(now);
+                let was_responsive = worker.silent_since.is_none();
+                worker.silent_since.get_or_insert(now);
                 worker.silence.get_or_insert(match answer {
                     HeartbeatAnswer::ConnectionLost => Silence::Broken(now),
                     _ => Silence::Missed,
@@ -315,9 +315,9 @@
         let Some(worker) = self.workers.get_mut(&slot) else {
             return;
         };
-        let was_heard = worker.heard.is_some() && worker.silent.is_none();
+        let was_heard = worker.heard.is_some() && worker.silent_since.is_none();
         worker.heard = Some(now);
-        worker.silent = None;
+        worker.silent_since = None;
         worker.silence = None;
         worker.read_clock(inventory.clock, now);
         worker.listed_runs = inventory.running.len();
--- a/crates/cell/src/engine/loss.rs
+++ b/crates/cell/src/engine/loss.rs
@@ -79,7 +79,7 @@
         let Some(worker) = self.workers.get(&slot) else {
             return;
         };
-        let silent = worker.silent.unwrap_or(now);
+        let silent = worker.silent_since.unwrap_or(now);
         let sent = worker.allocations.iter();
         let sent = sent.filter(|(_, claim)| claim.phase != Phase::Recording);
         let others = sent.clone().count().saturating_sub(1);
--- a/crates/cell/src/engine/order.rs
+++ b/crates/cell/src/engine/order.rs
@@ -157,7 +157,7 @@
         let worker = self.workers.get(&slot);
         let is_overfull = worker.is_some_and(Worker::is_overfull);
         // A silent worker may come back with less capacity, or as a worker of another kind.
-        let is_silent = worker.is_some_and(|worker| worker.silent.is_some());
+        let is_silent = worker.is_some_and(|worker| worker.silent_since.is_some());
         let is_excess = is_overfull || self.is_over_limit(task.step.job);
         if is_exhausted
             || is_excess
@@ -272,7 +272,7 @@
             return Some("ticket-aged");
         }
         // The next to answer there may be another incarnation, with less capacity or of another kind.
-        let is_uncertain = worker.silent.is_some() || worker.is_superseded;
+        let is_uncertain = worker.silent_since.is_some() || worker.is_superseded;
         if is_uncertain || !worker.is_current() {
             return Some("worker-uncertain");
         }
--- a/crates/cell/src/engine/view.rs
+++ b/crates/cell/src/engine/view.rs
@@ -169,9 +169,11 @@
     /// Returns the counts for metrics.
     pub fn counts(&self) -> Counts {
         let workers = self.workers.values();
-        let silent = workers.filter(|worker| worker.silent.is_some()).count();
+        let silent = workers
+            .filter(|worker| worker.silent_since.is_some())
+            .count();
         let heard = self.workers.values().filter(|worker| {
-            worker.heard.is_some() && worker.silent.is_none() && worker.is_listed()
+            worker.heard.is_some() && worker.silent_since.is_none() && worker.is_listed()
         });
         let unheard = self.workers.values();
         let unheard =
--- a/crates/cell/src/worker.rs
+++ b/crates/cell/src/worker.rs
@@ -177,7 +177,7 @@
     /// When it last sent an inventory in this epoch.
     pub heard: Option<Timestamp>,
     /// When its calls began to fail.
-    pub silent: Option<Timestamp>,
+    pub silent_since: Option<Timestamp>,
     /// How it stopped answering, if it has.
     pub silence: Option<Silence>,
     /// When the store stopped listing it.
@@ -225,7 +225,7 @@
             heartbeat: CallState::Due(now),
             probe: None,
             heard: None,
-            silent: None,
+            silent_since: None,
             silence: None,
             unlisted: None,
             distrusted: None,
@@ -322,7 +322,7 @@
     /// Returns the serial number of the last end that it may forget. It is zero while the next answer may come from
     /// another incarnation, which numbers its own ends from one.
     pub fn acknowledged(&self) -> u64 {
-        match self.silent.is_some() || self.is_superseded {
+        match self.silent_since.is_some() || self.is_superseded {
             true => 0,
             false => self.kept,
         }
@@ -331,7 +331,7 @@
     /// Returns whether new tasks may be placed on it, apart from its backoff.
     pub fn is_taking(&self) -> bool {
         self.heard.is_some()
-            && self.silent.is_none()
+            && self.silent_since.is_none()
             && self.is_current()
             && self.is_listed()
             && self.registration.leaving.is_none()
@@ -478,7 +478,7 @@
 
     /// Returns whether it has stopped answering and either has allocations or is not listed.
     fn awaits_lease_expiry(&self) -> bool {
-        self.silent.is_some() && (!self.allocations.is_empty() || !self.is_listed())
+        self.silent_since.is_some() && (!self.allocations.is_empty() || !self.is_listed())
     }
 
     /// Returns whether it can be forgotten: it runs nothing, and has not been listed for a while.
