--- a/crates/cell/src/engine/contact.rs
+++ b/crates/cell/src/engine/contact.rs
@@ -67,7 +67,7 @@
             let has_new_incarnation = worker.is_superseded_by(&registration);
             let shrinks = !worker.registration.capacity.fits(&registration.capacity);
             worker.registered = now;
-            worker.unlisted = None;
+            worker.unlisted_since = None;
             let was_distrusted = worker.distrusted.take().is_some();
             worker.registration = registration;
             worker.adopt_capacity();
@@ -102,9 +102,9 @@
             return;
         };
         if let Some(worker) = self.workers.get_mut(&slot)
-            && worker.unlisted.is_none()
+            && worker.unlisted_since.is_none()
         {
-            worker.unlisted = Some(now);
+            worker.unlisted_since = Some(now);
             self.index(slot);
             self.note_worker(slot, "unlisted", now);
         }
@@ -149,7 +149,7 @@
         };
         let mut worker = Worker::new(registration, self.fence, now, lapses);
         worker.incarnation = usage.incarnation;
-        worker.unlisted = Some(now);
+        worker.unlisted_since = Some(now);
         let slot = self.insert_worker(worker);
         for (task, run) in usage.runs {
             let running = Running {
--- a/crates/cell/src/worker.rs
+++ b/crates/cell/src/worker.rs
@@ -181,7 +181,7 @@
     /// How it stopped answering, if it has.
     pub silence: Option<Silence>,
     /// When the store stopped listing it.
-    pub unlisted: Option<Timestamp>,
+    pub unlisted_since: Option<Timestamp>,
     /// When its entry in the store stopped describing a usable worker.
     pub distrusted: Option<Timestamp>,
     /// Whether it is in a data centre that is evacuated, as far as known.
@@ -227,7 +227,7 @@
             heard: None,
             silent_since: None,
             silence: None,
-            unlisted: None,
+            unlisted_since: None,
             distrusted: None,
             is_evacuated: false,
             seen: 0,
@@ -271,7 +271,7 @@
 
     /// Returns whether the store lists it with a usable entry.
     pub const fn is_listed(&self) -> bool {
-        self.unlisted.is_none() && self.distrusted.is_none()
+        self.unlisted_since.is_none() && self.distrusted.is_none()
     }
 
     /// Returns whether its registration is that of the incarnation that answered last. Another incarnation may have
@@ -484,7 +484,7 @@
     /// Returns whether it can be forgotten: it runs nothing, and has not been listed for a while.
     pub fn is_idle(&self, now: Timestamp) -> bool {
         let is_unlisted = self
-            .unlisted
+            .unlisted_since
             .is_some_and(|at| now.since(at) >= UNLISTED_RETENTION);
         is_unlisted && self.allocations.is_empty() && self.leases_end <= now
     }
@@ -492,7 +492,7 @@
     /// Returns when it may count as expired or forgettable if it does not answer before.
     pub fn next_expiry(&self) -> Option<Timestamp> {
         let lapse = self.awaits_lease_expiry().then_some(self.leases_end);
-        let idle = self.unlisted.filter(|_| self.allocations.is_empty());
+        let idle = self.unlisted_since.filter(|_| self.allocations.is_empty());
         let idle = idle.map(|at| self.leases_end.max(at + UNLISTED_RETENTION));
         [lapse, idle].into_iter().flatten().min()
     }
