--- a/crates/cell/src/engine/contact.rs
+++ b/crates/cell/src/engine/contact.rs
@@ -68,7 +68,7 @@
             let shrinks = !worker.registration.capacity.fits(&registration.capacity);
             worker.registered = now;
             worker.unlisted_since = None;
-            let was_distrusted = worker.distrusted.take().is_some();
+            let was_distrusted = worker.distrusted_since.take().is_some();
             worker.registration = registration;
             worker.adopt_capacity();
             if has_new_incarnation {
@@ -121,9 +121,9 @@
             return;
         };
         if let Some(worker) = self.workers.get_mut(&slot)
-            && worker.distrusted.is_none()
+            && worker.distrusted_since.is_none()
         {
-            worker.distrusted = Some(now);
+            worker.distrusted_since = Some(now);
             self.index(slot);
             self.note_worker(slot, "distrusted", now);
         }
--- a/crates/cell/src/worker.rs
+++ b/crates/cell/src/worker.rs
@@ -183,7 +183,7 @@
     /// When the store stopped listing it.
     pub unlisted_since: Option<Timestamp>,
     /// When its entry in the store stopped describing a usable worker.
-    pub distrusted: Option<Timestamp>,
+    pub distrusted_since: Option<Timestamp>,
     /// Whether it is in a data centre that is evacuated, as far as known.
     pub is_evacuated: bool,
     /// The serial number of the last end that was processed.
@@ -228,7 +228,7 @@
             silent_since: None,
             silence: None,
             unlisted_since: None,
-            distrusted: None,
+            distrusted_since: None,
             is_evacuated: false,
             seen: 0,
             kept: 0,
@@ -271,7 +271,7 @@
 
     /// Returns whether the store lists it with a usable entry.
     pub const fn is_listed(&self) -> bool {
-        self.unlisted_since.is_none() && self.distrusted.is_none()
+        self.unlisted_since.is_none() && self.distrusted_since.is_none()
     }
 
     /// Returns whether its registration is that of the incarnation that answered last. Another incarnation may have
