--- a/crates/cell/src/engine/contact.rs
+++ b/crates/cell/src/engine/contact.rs
@@ -323,7 +323,7 @@
         worker.listed_runs = inventory.running.len();
         worker.incarnation = inventory.incarnation.or(worker.incarnation);
         worker.is_superseded = false;
-        let seen = worker.seen;
+        let seen = worker.last_processed_end;
         if !was_heard {
             self.note_worker(slot, "heard", now);
             self.acquit(slot);
@@ -339,7 +339,7 @@
             listed.push((ended.task, ended.run));
             if ended.serial > seen {
                 if let Some(worker) = self.workers.get_mut(&slot) {
-                    worker.seen = worker.seen.max(ended.serial);
+                    worker.last_processed_end = worker.last_processed_end.max(ended.serial);
                 }
                 self.handle_end(slot, ended, now);
             }
@@ -353,13 +353,13 @@
             return;
         };
         if worker.heartbeat == CallState::InFlight(asked) {
-            worker.heartbeat = match worker.seen > worker.kept {
+            worker.heartbeat = match worker.last_processed_end > worker.kept {
                 // Once the ends are recorded, the next call is made at once.
                 true => CallState::Due(now + UNRECORDED_END_RENEWAL_INTERVAL),
                 false => CallState::Due(now),
             };
         }
-        let seen = worker.seen;
+        let seen = worker.last_processed_end;
         self.index(slot);
         self.ledger.add_ends(slot, seen);
     }
--- a/crates/cell/src/worker.rs
+++ b/crates/cell/src/worker.rs
@@ -187,7 +187,7 @@
     /// Whether it is in a data centre that is evacuated, as far as known.
     pub is_evacuated: bool,
     /// The serial number of the last end that was processed.
-    pub seen: u64,
+    pub last_processed_end: u64,
     /// The serial number of the last end that is recorded, so that the worker may forget it.
     pub kept: u64,
     /// Runs that are over and when the engine learnt that; an older inventory that arrives late still lists them.
@@ -230,7 +230,7 @@
             unlisted_since: None,
             distrusted_since: None,
             is_evacuated: false,
-            seen: 0,
+            last_processed_end: 0,
             kept: 0,
             ended_runs: VecDeque::new(),
             rests: Timestamp::ZERO,
@@ -305,7 +305,7 @@
         self.is_superseded = false;
         self.fence = fence;
         self.fence_raised = Some(now);
-        self.seen = 0;
+        self.last_processed_end = 0;
         self.kept = 0;
         self.clock_reading = None;
         self.ended_runs.clear();
