--- a/crates/cell/src/engine/contact.rs
+++ b/crates/cell/src/engine/contact.rs
@@ -353,7 +353,7 @@
             return;
         };
         if worker.heartbeat == CallState::InFlight(asked) {
-            worker.heartbeat = match worker.last_processed_end > worker.kept {
+            worker.heartbeat = match worker.last_processed_end > worker.last_recorded_end {
                 // Once the ends are recorded, the next call is made at once.
                 true => CallState::Due(now + UNRECORDED_END_RENEWAL_INTERVAL),
                 false => CallState::Due(now),
--- a/crates/cell/src/engine/keep.rs
+++ b/crates/cell/src/engine/keep.rs
@@ -260,8 +260,8 @@
             let Some(worker) = self.workers.get_mut(slot) else {
                 continue;
             };
-            let is_newer = *last > worker.kept;
-            worker.kept = worker.kept.max(*last);
+            let is_newer = *last > worker.last_recorded_end;
+            worker.last_recorded_end = worker.last_recorded_end.max(*last);
             if is_newer && let CallState::Due(due) = worker.heartbeat {
                 worker.heartbeat = CallState::Due(now.unwrap_or(Timestamp::ZERO).min(due));
                 self.index(*slot);
--- a/crates/cell/src/worker.rs
+++ b/crates/cell/src/worker.rs
@@ -189,7 +189,7 @@
     /// The serial number of the last end that was processed.
     pub last_processed_end: u64,
     /// The serial number of the last end that is recorded, so that the worker may forget it.
-    pub kept: u64,
+    pub last_recorded_end: u64,
     /// Runs that are over and when the engine learnt that; an older inventory that arrives late still lists them.
     ended_runs: VecDeque<(Timestamp, TaskId, Run)>,
     /// The time until which it gets no new tasks, after it refused tasks or failed those that it started.
@@ -231,7 +231,7 @@
             distrusted_since: None,
             is_evacuated: false,
             last_processed_end: 0,
-            kept: 0,
+            last_recorded_end: 0,
             ended_runs: VecDeque::new(),
             rests: Timestamp::ZERO,
             failures: 0,
@@ -306,7 +306,7 @@
         self.fence = fence;
         self.fence_raised = Some(now);
         self.last_processed_end = 0;
-        self.kept = 0;
+        self.last_recorded_end = 0;
         self.clock_reading = None;
         self.ended_runs.clear();
         self.failures = 0;
@@ -324,7 +324,7 @@
     pub fn acknowledged(&self) -> u64 {
         match self.silent_since.is_some() || self.is_superseded {
             true => 0,
-            false => self.kept,
+            false => self.last_recorded_end,
         }
     }
 
