--- a/crates/cell/src/engine/end.rs
+++ b/crates/cell/src/engine/end.rs
@@ -137,7 +137,7 @@
         if let Some(worker) = self.workers.get_mut(&slot) {
             worker.failures += 1;
             if worker.failures >= MIN_FAILURES_FOR_QUARANTINE {
-                worker.rests = now + FAILURE_QUARANTINE;
+                worker.backoff_until = now + FAILURE_QUARANTINE;
             }
         }
         let Some(job) = self.jobs.get_mut(&task.step.job) else {
--- a/crates/cell/src/engine/order.rs
+++ b/crates/cell/src/engine/order.rs
@@ -97,7 +97,7 @@
             | StartAnswer::Malformed
             | StartAnswer::Unsent => {
                 if let Some(worker) = self.workers.get_mut(&slot) {
-                    worker.rests = worker.rests.max(now + REJECTION_BACKOFF);
+                    worker.backoff_until = worker.backoff_until.max(now + REJECTION_BACKOFF);
                 }
                 match self.unanswered(slot, task, run) {
                     0 => self.release(slot, task, run, now),
--- a/crates/cell/src/worker.rs
+++ b/crates/cell/src/worker.rs
@@ -193,7 +193,7 @@
     /// Runs that are over and when the engine learnt that; an older inventory that arrives late still lists them.
     ended_runs: VecDeque<(Timestamp, TaskId, Run)>,
     /// The time until which it gets no new tasks, after it refused tasks or failed those that it started.
-    pub rests: Timestamp,
+    pub backoff_until: Timestamp,
     /// The number of consecutive failures of tasks that it started.
     pub failures: u32,
     /// The share of the processor time that its best-effort tasks may use.
@@ -233,7 +233,7 @@
             last_processed_end: 0,
             last_recorded_end: 0,
             ended_runs: VecDeque::new(),
-            rests: Timestamp::ZERO,
+            backoff_until: Timestamp::ZERO,
             failures: 0,
             pacing: Pacing::default(),
             clock_reading: None,
@@ -340,7 +340,7 @@
 
     /// Returns whether new tasks may be placed on it now.
     pub fn is_open(&self, now: Timestamp) -> bool {
-        self.is_taking() && self.rests <= now
+        self.is_taking() && self.backoff_until <= now
     }
 
     /// Returns whether its allocations exceed its capacity.
