--- a/crates/cell/src/engine/contact.rs
+++ b/crates/cell/src/engine/contact.rs
@@ -208,7 +208,7 @@
         }
         // A worker that doesn't answer may still receive calls; not extending the lease lets it lapse.
         let deadline = match worker.silent_since {
-            None => worker.extend(&self.bounds, now),
+            None => worker.extend_lease(&self.bounds, now),
             Some(_) => None,
         };
         let wait = match worker.heard {
--- a/crates/cell/src/engine/order.rs
+++ b/crates/cell/src/engine/order.rs
@@ -212,7 +212,7 @@
         let Some(worker) = self.workers.get_mut(&slot) else {
             return;
         };
-        let Some(deadline) = worker.extend(&self.bounds, now) else {
+        let Some(deadline) = worker.extend_lease(&self.bounds, now) else {
             self.release(slot, task, run, now);
             return;
         };
--- a/crates/cell/src/worker.rs
+++ b/crates/cell/src/worker.rs
@@ -256,7 +256,7 @@
     }
 
     /// Returns the end of the longest possible lease on the worker's clock, and records that it is granted.
-    pub fn extend(&mut self, bounds: &Bounds, now: Timestamp) -> Option<u64> {
+    pub fn extend_lease(&mut self, bounds: &Bounds, now: Timestamp) -> Option<u64> {
         let reading = self.clock_reading?;
         let elapsed = now.since(reading.at) + bounds.lease;
         self.leases_end = self.leases_end.max(now + bounds.lease_expiry_time());
