--- a/crates/cell/src/worker.rs
+++ b/crates/cell/src/worker.rs
@@ -265,7 +265,7 @@
     }
 
     /// Returns when all leases that were granted have expired for certain.
-    pub const fn lapses(&self) -> Timestamp {
+    pub const fn leases_end(&self) -> Timestamp {
         self.leases_end
     }
 
