--- a/crates/cell/src/engine/restart.rs
+++ b/crates/cell/src/engine/restart.rs
@@ -72,7 +72,7 @@
         let Some(worker) = self.workers.get_mut(&slot) else {
             return;
         };
-        worker.begin(inventory.incarnation, self.fence, now);
+        worker.begin_incarnation(inventory.incarnation, self.fence, now);
         worker.probe = Some(CallState::Due(now));
         self.ledger.drop_ends(slot);
         self.resend_stops(slot, now);
--- a/crates/cell/src/worker.rs
+++ b/crates/cell/src/worker.rs
@@ -300,7 +300,12 @@
     }
 
     /// Begins another incarnation that has reported nothing yet; runs whose orders may still reach it stay allocated.
-    pub fn begin(&mut self, incarnation: Option<Incarnation>, fence: Fence, now: Timestamp) {
+    pub fn begin_incarnation(
+        &mut self,
+        incarnation: Option<Incarnation>,
+        fence: Fence,
+        now: Timestamp,
+    ) {
         self.incarnation = incarnation;
         self.is_superseded = false;
         self.fence = fence;
