--- a/crates/cell/src/engine/contact.rs
+++ b/crates/cell/src/engine/contact.rs
@@ -461,7 +461,7 @@
             .allocations
             .iter()
             .filter(|(key, claim)| {
-                let is_void = worker.is_void(claim, asked);
+                let is_void = worker.is_obsolete(claim, asked);
                 let is_settled = match claim.phase {
                     Phase::Recording => false,
                     Phase::Starting => is_void,
--- a/crates/cell/src/worker.rs
+++ b/crates/cell/src/worker.rs
@@ -320,7 +320,7 @@
 
     /// Returns whether an inventory requested at `asked` proves that no order to start a run can be carried out any
     /// more, because all of these orders were for a former incarnation.
-    pub fn is_void(&self, claim: &Allocation, asked: Timestamp) -> bool {
+    pub fn is_obsolete(&self, claim: &Allocation, asked: Timestamp) -> bool {
         claim.fence < self.fence && self.fence_raised.is_some_and(|raised| raised <= asked)
     }
 
