--- a/crates/cell/src/engine/room.rs
+++ b/crates/cell/src/engine/room.rs
@@ -46,12 +46,12 @@
     pub(super) fn set(&mut self, slot: Slot, worker: Option<&Worker>) {
         let entry = worker.map(|worker| Entry {
             pool: worker.registration.pool.clone(),
-            free: worker.is_taking().then_some(worker.free.cpu),
+            free: worker.accepts_tasks().then_some(worker.free.cpu),
         });
         if self.free.len() <= slot.index() {
             self.free.resize(slot.index() + 1, None);
         }
-        let taking = worker.filter(|worker| worker.is_taking());
+        let taking = worker.filter(|worker| worker.accepts_tasks());
         self.free[slot.index()] = taking.map(|worker| worker.free);
         if self.entries.get(&slot) == entry.as_ref() {
             return;
--- a/crates/cell/src/worker.rs
+++ b/crates/cell/src/worker.rs
@@ -334,7 +334,7 @@
     }
 
     /// Returns whether new tasks may be placed on it, apart from its backoff.
-    pub fn is_taking(&self) -> bool {
+    pub fn accepts_tasks(&self) -> bool {
         self.heard.is_some()
             && self.silent_since.is_none()
             && self.is_current()
@@ -345,7 +345,7 @@
 
     /// Returns whether new tasks may be placed on it now.
     pub fn is_open(&self, now: Timestamp) -> bool {
-        self.is_taking() && self.backoff_until <= now
+        self.accepts_tasks() && self.backoff_until <= now
     }
 
     /// Returns whether its allocations exceed its capacity.
