--- a/crates/cell/src/engine/place.rs
+++ b/crates/cell/src/engine/place.rs
@@ -52,7 +52,7 @@
     pub(super) fn admits(&self, worker: &Worker, now: Timestamp) -> bool {
         let label = self.step.requires.as_deref();
         worker.registration.pool == self.queue.pool
-            && worker.is_open(now)
+            && worker.is_available(now)
             && worker.registered >= self.min_report_time
             && label.is_none_or(|label| worker.has_label(label))
     }
--- a/crates/cell/src/engine/wait.rs
+++ b/crates/cell/src/engine/wait.rs
@@ -262,7 +262,7 @@
             }
             survey.allowed += 1;
             survey.heard = survey.heard.max(worker.heard.map(|heard| now.since(heard)));
-            if !worker.is_open(now) {
+            if !worker.is_available(now) {
                 continue;
             }
             survey.open += 1;
--- a/crates/cell/src/worker.rs
+++ b/crates/cell/src/worker.rs
@@ -344,7 +344,7 @@
     }
 
     /// Returns whether new tasks may be placed on it now.
-    pub fn is_open(&self, now: Timestamp) -> bool {
+    pub fn is_available(&self, now: Timestamp) -> bool {
         self.accepts_tasks() && self.backoff_until <= now
     }
 
