--- a/crates/cell/src/engine/order.rs
+++ b/crates/cell/src/engine/order.rs
@@ -155,7 +155,7 @@
         claim.unanswered_starts += 1;
         let is_exhausted = claim.unanswered_starts >= MAX_UNANSWERED_STARTS;
         let worker = self.workers.get(&slot);
-        let is_overfull = worker.is_some_and(Worker::is_overfull);
+        let is_overfull = worker.is_some_and(Worker::is_overcommitted);
         // A silent worker may come back with less capacity, or as a worker of another kind.
         let is_silent = worker.is_some_and(|worker| worker.silent_since.is_some());
         let is_excess = is_overfull || self.is_over_limit(task.step.job);
--- a/crates/cell/src/engine/shrink.rs
+++ b/crates/cell/src/engine/shrink.rs
@@ -73,7 +73,11 @@
         self.reports.has_shrunk = true;
         self.note_worker(slot, "shrunk", now);
         for (task, run) in self.unsent(slot) {
-            if !self.workers.get(&slot).is_some_and(Worker::is_overfull) {
+            if !self
+                .workers
+                .get(&slot)
+                .is_some_and(Worker::is_overcommitted)
+            {
                 return;
             }
             self.revoke(slot, task, run, "shrunk", now);
@@ -82,7 +86,11 @@
         let is_unanswered =
             |claim: &Allocation| claim.phase == Phase::Starting && claim.unanswered_starts > 0;
         for (task, run) in self.runs_on(slot, is_unanswered) {
-            if self.workers.get(&slot).is_some_and(Worker::is_overfull) {
+            if self
+                .workers
+                .get(&slot)
+                .is_some_and(Worker::is_overcommitted)
+            {
                 self.stop(slot, task, run, "shrunk", now);
             }
         }
--- a/crates/cell/src/worker.rs
+++ b/crates/cell/src/worker.rs
@@ -349,7 +349,7 @@
     }
 
     /// Returns whether its allocations exceed its capacity.
-    pub fn is_overfull(&self) -> bool {
+    pub fn is_overcommitted(&self) -> bool {
         self.used()
             .is_none_or(|used| !used.fits(&self.registration.capacity))
     }
