--- a/crates/cell/src/engine/crash.rs
+++ b/crates/cell/src/engine/crash.rs
@@ -443,7 +443,7 @@
         let (demand, stage) = (self.demand(job, id)?, job.stage(id)?);
         let mut candidates = self.candidates(&demand, stage);
         let empty = candidates.find(|(slot, worker)| {
-            demand.size.fits(&worker.room_alone(id))
+            demand.size.fits(&worker.exclusive_capacity(id))
                 && self.spread_left(&demand, worker) > 0
                 && !reserved.holds(*slot, id)
                 && self.suits(job, &demand, *slot, worker, now)
--- a/crates/cell/src/engine/place.rs
+++ b/crates/cell/src/engine/place.rs
@@ -404,7 +404,8 @@
             fence: worker.fence,
             unanswered_starts: 0,
             resend_when_heard: false,
-            is_exclusive: stage.is_suspect(index) && worker.room_alone(id) != Resources::ZERO,
+            is_exclusive: stage.is_suspect(index)
+                && worker.exclusive_capacity(id) != Resources::ZERO,
             first_confirmed: None,
             outlived_crash_window: false,
         };
--- a/crates/cell/src/worker.rs
+++ b/crates/cell/src/worker.rs
@@ -357,7 +357,7 @@
     /// Reserves capacity for a run; returns `false` if there is not enough.
     pub fn allocate(&mut self, task: TaskId, run: Run, claim: Allocation) -> bool {
         let room = match claim.is_exclusive {
-            true => self.room_alone(task.step),
+            true => self.exclusive_capacity(task.step),
             false => self.free,
         };
         let Some(free) = room.checked_sub(claim.size) else {
@@ -374,7 +374,7 @@
 
     /// Returns the capacity for tasks of a step that may not share a worker with other steps; zero if the worker has
     /// other allocations.
-    pub fn room_alone(&self, step: StepId) -> Resources {
+    pub fn exclusive_capacity(&self, step: StepId) -> Resources {
         let mut claims = self.allocations.iter();
         match claims.all(|((task, _), claim)| task.step == step && claim.is_exclusive) {
             true => self.unclaimed(),
