--- a/crates/cell/src/engine/crash.rs
+++ b/crates/cell/src/engine/crash.rs
@@ -356,7 +356,7 @@
     /// Allows other tasks beside a run that was alone and has outlasted its start.
     pub(super) fn end_isolation(&mut self, slot: Slot, task: TaskId, run: Run) {
         if let Some(worker) = self.workers.get_mut(&slot) {
-            worker.end_solitude(task, run);
+            worker.end_exclusive(task, run);
         }
         self.index(slot);
         self.clear_crashes(task);
--- a/crates/cell/src/worker.rs
+++ b/crates/cell/src/worker.rs
@@ -383,7 +383,7 @@
     }
 
     /// Allows tasks of other steps beside a run.
-    pub fn end_solitude(&mut self, task: TaskId, run: Run) {
+    pub fn end_exclusive(&mut self, task: TaskId, run: Run) {
         if let Some(claim) = self.allocations.get_mut(&(task, run)) {
             claim.is_exclusive = false;
             self.update_free();
