--- a/crates/cell/src/engine/contact.rs
+++ b/crates/cell/src/engine/contact.rs
@@ -70,7 +70,7 @@
             worker.unlisted_since = None;
             let was_distrusted = worker.distrusted_since.take().is_some();
             worker.registration = registration;
-            worker.adopt_capacity();
+            worker.update_capacity();
             if has_new_incarnation {
                 self.expect_incarnation(slot, now);
             }
--- a/crates/cell/src/worker.rs
+++ b/crates/cell/src/worker.rs
@@ -404,7 +404,7 @@
     }
 
     /// Updates the free capacity after a change of the worker's registered capacity.
-    pub fn adopt_capacity(&mut self) {
+    pub fn update_capacity(&mut self) {
         self.update_free();
     }
 
