--- a/crates/cell/src/engine/contact.rs
+++ b/crates/cell/src/engine/contact.rs
@@ -63,7 +63,7 @@
             };
             let was_leaving = worker.registration.leaving.is_some();
             let is_leaving = registration.leaving.is_some();
-            let is_changed = worker.offers_other(&registration);
+            let is_changed = worker.offer_differs(&registration);
             let has_new_incarnation = worker.is_superseded_by(&registration);
             let shrinks = !worker.registration.capacity.fits(&registration.capacity);
             worker.registered = now;
--- a/crates/cell/src/worker.rs
+++ b/crates/cell/src/worker.rs
@@ -450,7 +450,7 @@
     }
 
     /// Returns whether a newer registration changes which steps can run on the worker.
-    pub fn offers_other(&self, newer: &Registration) -> bool {
+    pub fn offer_differs(&self, newer: &Registration) -> bool {
         let own = &self.registration;
         (&own.pool, own.capacity, &own.labels) != (&newer.pool, newer.capacity, &newer.labels)
     }
