--- a/crates/cell/src/engine/contact.rs
+++ b/crates/cell/src/engine/contact.rs
@@ -251,7 +251,7 @@
             }
             // The call predates the current fence, so the refusal doesn't mean that another node owns the cell.
             HeartbeatAnswer::Fenced if worker.fence_raised.is_some_and(|raised| asked < raised) => {
-                worker.call_again(is_peek, now);
+                worker.retry_call(is_peek, now);
                 self.index(slot);
             }
             HeartbeatAnswer::Fenced => self.outbox.push(Effect::Deposed),
@@ -296,7 +296,7 @@
         match worker.identify(inventory.incarnation, asked) {
             Sender::Current => {}
             Sender::Former => {
-                worker.call_again(false, now);
+                worker.retry_call(false, now);
                 return self.index(slot);
             }
             Sender::Later => self.begin_incarnation(slot, &inventory, asked, now),
--- a/crates/cell/src/worker.rs
+++ b/crates/cell/src/worker.rs
@@ -456,7 +456,7 @@
     }
 
     /// Schedules a call again whose answer could not be used.
-    pub fn call_again(&mut self, is_peek: bool, now: Timestamp) {
+    pub fn retry_call(&mut self, is_peek: bool, now: Timestamp) {
         let call = CallState::Due(now);
         match is_peek {
             true => self.probe = Some(call),
