--- a/crates/cell/src/engine/loss.rs
+++ b/crates/cell/src/engine/loss.rs
@@ -140,7 +140,7 @@
             return;
         };
         let is_listed = worker.is_listed();
-        if !worker.is_lapsed(now) {
+        if !worker.has_expired(now) {
             if worker.is_idle(now) {
                 self.lose_worker(slot, "gone", now);
             }
--- a/crates/cell/src/worker.rs
+++ b/crates/cell/src/worker.rs
@@ -477,7 +477,7 @@
 
     /// Returns whether the worker has stopped answering and all of its leases have expired, so that its runs count as
     /// lost.
-    pub fn is_lapsed(&self, now: Timestamp) -> bool {
+    pub fn has_expired(&self, now: Timestamp) -> bool {
         self.awaits_lease_expiry() && self.leases_end <= now
     }
 
