--- a/crates/cell/src/engine/loss.rs
+++ b/crates/cell/src/engine/loss.rs
@@ -141,7 +141,7 @@
         };
         let is_listed = worker.is_listed();
         if !worker.has_expired(now) {
-            if worker.is_idle(now) {
+            if worker.is_forgettable(now) {
                 self.lose_worker(slot, "gone", now);
             }
             return;
--- a/crates/cell/src/worker.rs
+++ b/crates/cell/src/worker.rs
@@ -487,7 +487,7 @@
     }
 
     /// Returns whether it can be forgotten: it runs nothing, and has not been listed for a while.
-    pub fn is_idle(&self, now: Timestamp) -> bool {
+    pub fn is_forgettable(&self, now: Timestamp) -> bool {
         let is_unlisted = self
             .unlisted_since
             .is_some_and(|at| now.since(at) >= UNLISTED_RETENTION);
