--- a/crates/cell/src/engine/place.rs
+++ b/crates/cell/src/engine/place.rs
@@ -415,7 +415,7 @@
         if let Some(charge) = charge {
             self.quotas.charge(charge.account, charge.size);
         }
-        let heard = worker.age(now);
+        let heard = worker.time_since_heard(now);
         let ticket = stage.advice.ticket(slot, worker, now).cloned();
         let worker = worker.registration.id.clone();
         let waited = stage.opened.map(|opened| now.since(opened));
--- a/crates/cell/src/worker.rs
+++ b/crates/cell/src/worker.rs
@@ -503,7 +503,7 @@
     }
 
     /// Returns the time since its last inventory.
-    pub fn age(&self, now: Timestamp) -> Duration {
+    pub fn time_since_heard(&self, now: Timestamp) -> Duration {
         self.heard.map_or(Duration::MAX, |heard| now.since(heard))
     }
 }
