--- a/crates/cell/src/advice.rs
+++ b/crates/cell/src/advice.rs
@@ -80,7 +80,7 @@
     }
 
     /// Marks the ticket for a worker as expired.
-    pub fn void(&mut self, slot: Slot) {
+    pub fn invalidate(&mut self, slot: Slot) {
         if let Ok(position) = self.position(slot) {
             self.0[position].1.until = Timestamp::ZERO;
         }
--- a/crates/cell/src/engine/order.rs
+++ b/crates/cell/src/engine/order.rs
@@ -86,7 +86,7 @@
                 let stage = self.jobs.get_mut(&task.step.job);
                 let stage = stage.and_then(|job| job.stage_mut(task.step));
                 if let Some(stage) = stage {
-                    stage.advice.allowed.void(slot);
+                    stage.advice.allowed.invalidate(slot);
                 }
                 self.release(slot, task, run, now);
             }
