--- a/crates/cell/src/advice.rs
+++ b/crates/cell/src/advice.rs
@@ -33,7 +33,7 @@
     /// The text that orders carry.
     pub text: Arc<str>,
     /// When the call for it was made.
-    pub asked: Timestamp,
+    pub requested: Timestamp,
     /// The time until which it is valid at least.
     pub until: Timestamp,
 }
@@ -49,7 +49,7 @@
     pub fn is_for_former(&self, worker: &Worker) -> bool {
         worker
             .fence_raised
-            .is_some_and(|raised| self.asked < raised)
+            .is_some_and(|raised| self.requested < raised)
     }
 }
 
