--- a/crates/cell/src/advice.rs
+++ b/crates/cell/src/advice.rs
@@ -42,11 +42,11 @@
     /// Returns whether an order that is sent now reaches the worker before the ticket expires, and whether the worker
     /// is still the incarnation that the ticket was issued for.
     pub fn is_usable(&self, worker: &Worker, now: Timestamp) -> bool {
-        now + TICKET_MARGIN < self.until && !self.is_for_former(worker)
+        now + TICKET_MARGIN < self.until && !self.is_for_former_incarnation(worker)
     }
 
     /// Returns whether another incarnation of the worker has begun since the ticket was requested.
-    pub fn is_for_former(&self, worker: &Worker) -> bool {
+    pub fn is_for_former_incarnation(&self, worker: &Worker) -> bool {
         worker
             .fence_raised
             .is_some_and(|raised| self.requested < raised)
--- a/crates/cell/src/engine/ask.rs
+++ b/crates/cell/src/engine/ask.rs
@@ -400,7 +400,7 @@
             let worker = self.workers.get(&slot);
             let ticket = stage.advice.allowed.get(slot);
             let is_denied = worker.zip(ticket).is_some_and(|(worker, ticket)| {
-                ticket.requested < call.since && ticket.is_for_former(worker)
+                ticket.requested < call.since && ticket.is_for_former_incarnation(worker)
             });
             if is_denied {
                 stage.advice.withdraw(slot);
