--- a/crates/cell/src/advice.rs
+++ b/crates/cell/src/advice.rs
@@ -114,7 +114,7 @@
     /// Whether the service has answered at least once.
     pub is_answered: bool,
     /// The workers that were asked about, answered or not, sorted by slot.
-    pub named: Vec<Slot>,
+    pub asked: Vec<Slot>,
     /// The workers to ask about once nodes are free for the calls, one list per call.
     pub planned: Vec<Vec<Slot>>,
     /// The number of calls in flight.
@@ -127,9 +127,9 @@
     /// Records that a call about these workers has begun.
     pub fn begin(&mut self, named: &[Slot]) {
         self.asking += 1;
-        self.named.extend(named);
-        self.named.sort_unstable();
-        self.named.dedup();
+        self.asked.extend(named);
+        self.asked.sort_unstable();
+        self.asked.dedup();
     }
 
     /// Records an answer.
@@ -151,7 +151,7 @@
         self.asking = self.asking.saturating_sub(1);
         self.pause = pause;
         let allowed = &self.allowed;
-        self.named
+        self.asked
             .retain(|slot| allowed.get(*slot).is_some() || !named.contains(slot));
     }
 
@@ -162,7 +162,7 @@
 
     /// Returns whether a worker was asked about.
     pub fn has_named(&self, slot: Slot) -> bool {
-        self.named.binary_search(&slot).is_ok()
+        self.asked.binary_search(&slot).is_ok()
     }
 
     /// Returns the usable ticket for a worker, if there is one.
@@ -179,7 +179,7 @@
     /// The step.
     pub step: StepId,
     /// The workers asked about.
-    pub named: Vec<Slot>,
+    pub asked: Vec<Slot>,
     /// When the call began.
     pub since: Timestamp,
     /// Whether the call takes long, so that shorter calls should not have to wait behind it.
--- a/crates/cell/src/engine/ask.rs
+++ b/crates/cell/src/engine/ask.rs
@@ -327,7 +327,7 @@
                 .collect();
             let call = Call {
                 step: id,
-                named,
+                asked: named,
                 since: now,
                 is_long,
             };
@@ -362,7 +362,7 @@
         self.note(LogRecord::Advised {
             step: id,
             node: node.clone(),
-            named: call.named.len(),
+            named: call.asked.len(),
             allowed: answer.as_ref().map(Vec::len),
             took: now.since(call.since),
         });
@@ -375,7 +375,7 @@
         };
         let queue = self.queue_of(job).clone();
         self.experience
-            .learn(&queue.name, call.named.len(), answer.len());
+            .learn(&queue.name, call.asked.len(), answer.len());
         let validity = queue.advice.map(|terms| terms.ticket_validity);
         let until = now + validity.unwrap_or_default();
         let tickets: Vec<_> = answer
@@ -396,7 +396,7 @@
         stage.advice.answer(tickets.into_iter());
         // Withdraw workers whose current incarnation was denied; otherwise the step would keep asking about these and
         // never about others.
-        for slot in call.named {
+        for slot in call.asked {
             let worker = self.workers.get(&slot);
             let ticket = stage.advice.allowed.get(slot);
             let is_denied = worker.zip(ticket).is_some_and(|(worker, ticket)| {
@@ -414,7 +414,7 @@
         if let Some(stage) = stage.and_then(|job| job.stage_mut(call.step)) {
             stage
                 .advice
-                .fail(&call.named, now + UNANSWERED_CALL_BACKOFF);
+                .fail(&call.asked, now + UNANSWERED_CALL_BACKOFF);
         }
     }
 }
--- a/crates/cell/src/engine/wait.rs
+++ b/crates/cell/src/engine/wait.rs
@@ -250,7 +250,7 @@
         let Some(stage) = job.and_then(|job| job.stage(demand.id)) else {
             return survey;
         };
-        survey.named = stage.advice.named.len();
+        survey.named = stage.advice.asked.len();
         let needs_no_ticket = demand.queue.advice.is_none();
         let departure = self.leaves(now);
         let has_ticket = |slot, worker| {
--- a/crates/cell/tests/cell/desk.rs
+++ b/crates/cell/tests/cell/desk.rs
@@ -33,7 +33,7 @@
     let node = desk.idle(is_long)?.clone();
     let call = Call {
         step: STEP,
-        named: Vec::new(),
+        asked: Vec::new(),
         since,
         is_long,
     };
