--- a/crates/cell/src/advice.rs
+++ b/crates/cell/src/advice.rs
@@ -118,7 +118,7 @@
     /// The workers to ask about once nodes are free for the calls, one list per call.
     pub planned: Vec<Vec<Slot>>,
     /// The number of calls in flight.
-    pub asking: usize,
+    pub calls_in_flight: usize,
     /// The time before which no further call is made.
     pub pause: Timestamp,
 }
@@ -126,7 +126,7 @@
 impl Advice {
     /// Records that a call about these workers has begun.
     pub fn begin(&mut self, named: &[Slot]) {
-        self.asking += 1;
+        self.calls_in_flight += 1;
         self.asked.extend(named);
         self.asked.sort_unstable();
         self.asked.dedup();
@@ -134,7 +134,7 @@
 
     /// Records an answer.
     pub fn answer(&mut self, tickets: impl Iterator<Item = (Slot, Ticket)>) {
-        self.asking = self.asking.saturating_sub(1);
+        self.calls_in_flight = self.calls_in_flight.saturating_sub(1);
         self.is_answered = true;
         for (slot, ticket) in tickets {
             self.allowed.set(slot, ticket);
@@ -148,7 +148,7 @@
 
     /// Records that a call got no answer: it says nothing about its workers, and no call is made before `pause`.
     pub fn fail(&mut self, named: &[Slot], pause: Timestamp) {
-        self.asking = self.asking.saturating_sub(1);
+        self.calls_in_flight = self.calls_in_flight.saturating_sub(1);
         self.pause = pause;
         let allowed = &self.allowed;
         self.asked
@@ -157,7 +157,7 @@
 
     /// Returns whether the first answer is pending and all calls that may bring it have been made.
     pub fn is_awaited(&self) -> bool {
-        self.asking > 0 && !self.is_answered && self.planned.is_empty()
+        self.calls_in_flight > 0 && !self.is_answered && self.planned.is_empty()
     }
 
     /// Returns whether a worker was asked about.
--- a/crates/cell/src/engine/limit.rs
+++ b/crates/cell/src/engine/limit.rs
@@ -106,7 +106,9 @@
         let Some(job) = self.jobs.get(&id.job) else {
             return;
         };
-        let is_asked = job.stage(id).is_some_and(|stage| stage.advice.asking > 0);
+        let is_asked = job
+            .stage(id)
+            .is_some_and(|stage| stage.advice.calls_in_flight > 0);
         let is_gang = job.step(id).is_some_and(|step| step.gang);
         let charge = self.charge(id).filter(|_| is_asked && is_gang);
         let reservation =
--- a/crates/cell/src/engine/wait.rs
+++ b/crates/cell/src/engine/wait.rs
@@ -207,7 +207,7 @@
         let survey = self.survey(&demand, now);
         let is_asked = demand.queue.advice.is_none() || stage.advice.is_answered;
         let why = match survey {
-            _ if !is_asked && stage.advice.asking > 0 => Wait::Advice,
+            _ if !is_asked && stage.advice.calls_in_flight > 0 => Wait::Advice,
             _ if !is_asked && self.has_open_worker(&demand, now) => Wait::AdviceNode,
             Survey { open: 0, .. } if self.is_pool_evacuated(&demand) => Wait::Evacuated,
             Survey { allowed: 0, .. } if is_asked => Wait::NotAllowed,
