--- a/crates/cell/src/advice.rs
+++ b/crates/cell/src/advice.rs
@@ -120,7 +120,7 @@
     /// The number of calls in flight.
     pub calls_in_flight: usize,
     /// The time before which no further call is made.
-    pub pause: Timestamp,
+    pub retry_at: Timestamp,
 }
 
 impl Advice {
@@ -149,7 +149,7 @@
     /// Records that a call got no answer: it says nothing about its workers, and no call is made before `pause`.
     pub fn fail(&mut self, named: &[Slot], pause: Timestamp) {
         self.calls_in_flight = self.calls_in_flight.saturating_sub(1);
-        self.pause = pause;
+        self.retry_at = pause;
         let allowed = &self.allowed;
         self.asked
             .retain(|slot| allowed.get(*slot).is_some() || !named.contains(slot));
--- a/crates/cell/src/engine/ask.rs
+++ b/crates/cell/src/engine/ask.rs
@@ -267,7 +267,7 @@
     fn may_call(&self, demand: &Demand<'_>, stage: &Stage, now: Timestamp) -> bool {
         let terms = demand.queue.advice;
         let is_long = terms.is_some_and(|terms| terms.call_duration(1) > LONG_CALL_THRESHOLD);
-        let is_free = stage.advice.calls_in_flight == 0 && stage.advice.pause <= now;
+        let is_free = stage.advice.calls_in_flight == 0 && stage.advice.retry_at <= now;
         is_free && self.desk.idle(is_long).is_some()
     }
 
