--- a/crates/cell/src/advice.rs
+++ b/crates/cell/src/advice.rs
@@ -156,7 +156,7 @@
     }
 
     /// Returns whether the first answer is pending and all calls that may bring it have been made.
-    pub fn is_awaited(&self) -> bool {
+    pub fn awaits_first_answer(&self) -> bool {
         self.calls_in_flight > 0 && !self.is_answered && self.planned.is_empty()
     }
 
--- a/crates/cell/src/engine/schedule.rs
+++ b/crates/cell/src/engine/schedule.rs
@@ -178,7 +178,7 @@
         let advice = self.jobs.get(&id.job).and_then(|job| job.stage(id));
         let advice = advice.map(|stage| &stage.advice);
         // No worker can be chosen before the answer.
-        if advice.is_some_and(|advice| advice.is_awaited()) {
+        if advice.is_some_and(|advice| advice.awaits_first_answer()) {
             self.reserve_quota(id, reserved);
             return STEP_CHECKS;
         }
