--- a/crates/cell/src/advice.rs
+++ b/crates/cell/src/advice.rs
@@ -161,7 +161,7 @@
     }
 
     /// Returns whether a worker was asked about.
-    pub fn has_named(&self, slot: Slot) -> bool {
+    pub fn was_asked(&self, slot: Slot) -> bool {
         self.asked.binary_search(&slot).is_ok()
     }
 
--- a/crates/cell/src/engine/ask.rs
+++ b/crates/cell/src/engine/ask.rs
@@ -147,7 +147,7 @@
         now: Timestamp,
     ) -> impl Iterator<Item = (Slot, &'a Worker)> {
         let slots = self.rooms.from(&demand.queue.pool, min_cpu).rev();
-        let slots = slots.filter(|slot| !stage.advice.has_named(*slot));
+        let slots = slots.filter(|slot| !stage.advice.was_asked(*slot));
         let workers = slots.filter_map(|slot| Some((slot, self.workers.get(&slot)?)));
         workers.filter(move |(_, worker)| {
             demand.admits(worker, now) && demand.size.fits(&worker.registration.capacity)
