--- a/crates/cell/src/advice.rs
+++ b/crates/cell/src/advice.rs
@@ -188,7 +188,7 @@
 
 /// The share of workers that the advice service allows, by queue.
 #[derive(Clone, Debug, Default)]
-pub struct Experience {
+pub struct AllowedShares {
     shares: HashMap<QueueName, f64>,
 }
 
@@ -199,7 +199,7 @@
 /// The lowest share that is assumed. At this share, four calls about a hundred workers each find four allowed workers.
 const MIN_SHARE: f64 = 0.01;
 
-impl Experience {
+impl AllowedShares {
     /// Adds an answer to the average.
     pub fn learn(&mut self, queue: &QueueName, named: usize, allowed: usize) {
         if named == 0 {
--- a/crates/cell/src/engine/mod.rs
+++ b/crates/cell/src/engine/mod.rs
@@ -87,8 +87,8 @@
 };
 use crate::{
     advice::{
+        AllowedShares,
         Desk,
-        Experience,
         Ticket, //
     },
     bounds::{
@@ -214,7 +214,7 @@
     /// The nodes that can ask for advice, and their calls in progress.
     desk: Desk,
     /// The share of workers that advice has allowed, by queue.
-    experience: Experience,
+    experience: AllowedShares,
     /// What has to be put on record, and what waits for that.
     ledger: Ledger,
     /// Jobs whose acceptance is not on record yet, and how long to wait for it.
@@ -277,7 +277,7 @@
             due: BTreeSet::new(),
             crashed: HashMap::default(),
             desk: Desk::default(),
-            experience: Experience::default(),
+            experience: AllowedShares::default(),
             ledger: Ledger::default(),
             announced: BTreeMap::new(),
             strangers: HashMap::default(),
