--- a/crates/cell/src/advice.rs
+++ b/crates/cell/src/advice.rs
@@ -242,7 +242,7 @@
 /// A node that is down fails its calls at once, so without a backoff it would be idle whenever the others are busy and
 /// attract all calls. During a rolling restart of the machines, half of all calls for advice failed in this way.
 #[derive(Clone, Debug, Default)]
-pub struct Desk {
+pub struct Nodes {
     idle: BTreeSet<NodeName>,
     busy: BTreeMap<NodeName, Call>,
     /// Nodes whose last call got no answer; they are in a backoff or have been given another call after it.
@@ -255,7 +255,7 @@
     short_call_time_updated: Timestamp,
 }
 
-impl Desk {
+impl Nodes {
     /// Sets the nodes of the cell; returns the calls of nodes that are gone.
     pub fn set_hands(&mut self, nodes: &[NodeName]) -> Vec<Call> {
         let nodes: BTreeSet<NodeName> = nodes.iter().cloned().collect();
--- a/crates/cell/src/engine/mod.rs
+++ b/crates/cell/src/engine/mod.rs
@@ -88,7 +88,7 @@
 use crate::{
     advice::{
         AllowedShares,
-        Desk,
+        Nodes,
         Ticket, //
     },
     bounds::{
@@ -212,7 +212,7 @@
     /// The tasks suspected of crashing a worker, by worker. The suspicion is withdrawn if the worker answers again.
     crashed: HashMap<WorkerId, Vec<TaskId>>,
     /// The nodes that can ask for advice, and their calls in progress.
-    desk: Desk,
+    desk: Nodes,
     /// The share of workers that advice has allowed, by queue.
     experience: AllowedShares,
     /// What has to be put on record, and what waits for that.
@@ -276,7 +276,7 @@
             stops: Timers::default(),
             due: BTreeSet::new(),
             crashed: HashMap::default(),
-            desk: Desk::default(),
+            desk: Nodes::default(),
             experience: AllowedShares::default(),
             ledger: Ledger::default(),
             announced: BTreeMap::new(),
--- a/crates/cell/tests/cell/desk.rs
+++ b/crates/cell/tests/cell/desk.rs
@@ -5,7 +5,7 @@
 use fulmarpier_cell::{
     advice::{
         Call,
-        Desk, //
+        Nodes, //
     },
     id::{
         JobId,
@@ -22,14 +22,14 @@
     step: 0,
 };
 
-fn desk(nodes: usize) -> Desk {
+fn desk(nodes: usize) -> Nodes {
     let names = (0..nodes).map(|nth| NodeName::from(format!("n{nth}")));
-    let mut desk = Desk::default();
+    let mut desk = Nodes::default();
     desk.set_hands(&names.collect::<Vec<_>>());
     desk
 }
 
-fn begin(desk: &mut Desk, is_long: bool, since: Timestamp) -> Option<NodeName> {
+fn begin(desk: &mut Nodes, is_long: bool, since: Timestamp) -> Option<NodeName> {
     let node = desk.idle(is_long)?.clone();
     let call = Call {
         step: STEP,
@@ -42,7 +42,7 @@
 }
 
 /// Keeps this many short calls in flight for 10 s, each for 40 ms; returns the time at the end.
-fn run_short_calls(desk: &mut Desk, in_flight: usize) -> Timestamp {
+fn run_short_calls(desk: &mut Nodes, in_flight: usize) -> Timestamp {
     let span = Duration::from_millis(40);
     let mut now = Timestamp::from_millis(1_000);
     for _ in 0..250 {
@@ -84,7 +84,7 @@
     let mut desk = desk(2);
     let names = [NodeName::from("n0"), NodeName::from("n1")];
     let [first, second] = &names;
-    let call_first = |desk: &mut Desk, is_answered, now| {
+    let call_first = |desk: &mut Nodes, is_answered, now| {
         assert_eq!(begin(desk, false, now).as_ref(), Some(first));
         desk.finish(first, STEP, is_answered, now);
     };
