--- a/crates/cell/src/advice.rs
+++ b/crates/cell/src/advice.rs
@@ -257,7 +257,7 @@
 
 impl Nodes {
     /// Sets the nodes of the cell; returns the calls of nodes that are gone.
-    pub fn set_hands(&mut self, nodes: &[NodeName]) -> Vec<Call> {
+    pub fn set_nodes(&mut self, nodes: &[NodeName]) -> Vec<Call> {
         let nodes: BTreeSet<NodeName> = nodes.iter().cloned().collect();
         let gone = self.busy.keys().filter(|node| !nodes.contains(*node));
         let gone: Vec<NodeName> = gone.cloned().collect();
--- a/crates/cell/src/engine/mod.rs
+++ b/crates/cell/src/engine/mod.rs
@@ -340,7 +340,7 @@
 
     /// Sets the nodes that can ask for advice.
     pub fn set_hands(&mut self, nodes: &[NodeName], now: Timestamp) {
-        for call in self.desk.set_hands(nodes) {
+        for call in self.desk.set_nodes(nodes) {
             self.unask(&call, now);
         }
         self.is_stirred = true;
--- a/crates/cell/tests/cell/desk.rs
+++ b/crates/cell/tests/cell/desk.rs
@@ -25,7 +25,7 @@
 fn desk(nodes: usize) -> Nodes {
     let names = (0..nodes).map(|nth| NodeName::from(format!("n{nth}")));
     let mut desk = Nodes::default();
-    desk.set_hands(&names.collect::<Vec<_>>());
+    desk.set_nodes(&names.collect::<Vec<_>>());
     desk
 }
 
@@ -92,7 +92,7 @@
     assert_eq!(desk.idle(false), Some(second));
     assert!(!desk.wake(at(249)));
     // Listing the node again doesn't end its backoff.
-    desk.set_hands(&names);
+    desk.set_nodes(&names);
     assert_eq!(desk.idle(false), Some(second));
     assert!(desk.wake(at(250)));
     call_first(&mut desk, false, at(250));
