--- a/crates/cell/src/advice.rs
+++ b/crates/cell/src/advice.rs
@@ -333,7 +333,7 @@
     }
 
     /// Makes nodes available again whose backoff is over; returns whether there is any.
-    pub fn wake(&mut self, now: Timestamp) -> bool {
+    pub fn end_backoffs(&mut self, now: Timestamp) -> bool {
         let failing = self.failing.iter();
         let recovered = failing.filter(|(_, backoff)| backoff.until <= now);
         let recovered: Vec<NodeName> = recovered.map(|(node, _)| node.clone()).collect();
--- a/crates/cell/src/engine/mod.rs
+++ b/crates/cell/src/engine/mod.rs
@@ -349,7 +349,7 @@
     /// Handles everything that is due and returns the effects to carry out. The caller must not drop any of them.
     pub fn advance(&mut self, now: Timestamp) -> Vec<Effect> {
         self.reports.update(now);
-        self.is_stirred |= self.desk.wake(now);
+        self.is_stirred |= self.desk.end_backoffs(now);
         self.begin_due_occurrences(now);
         self.expire_workers(now);
         self.expire_announced(now);
--- a/crates/cell/tests/cell/desk.rs
+++ b/crates/cell/tests/cell/desk.rs
@@ -90,22 +90,22 @@
     };
     call_first(&mut desk, false, at(0));
     assert_eq!(desk.idle(false), Some(second));
-    assert!(!desk.wake(at(249)));
+    assert!(!desk.end_backoffs(at(249)));
     // Listing the node again doesn't end its backoff.
     desk.set_nodes(&names);
     assert_eq!(desk.idle(false), Some(second));
-    assert!(desk.wake(at(250)));
+    assert!(desk.end_backoffs(at(250)));
     call_first(&mut desk, false, at(250));
-    assert!(!desk.wake(at(749)));
-    assert!(desk.wake(at(750)));
+    assert!(!desk.end_backoffs(at(749)));
+    assert!(desk.end_backoffs(at(750)));
     for nth in 1..5 {
         call_first(&mut desk, false, at(nth * 1_000));
         assert!(
-            desk.wake(at(nth * 1_000 + 1_000)),
+            desk.end_backoffs(at(nth * 1_000 + 1_000)),
             "the backoff is 1 s at most"
         );
     }
     call_first(&mut desk, true, at(9_000));
     call_first(&mut desk, false, at(9_000));
-    assert!(desk.wake(at(9_250)), "an answer resets the backoff");
+    assert!(desk.end_backoffs(at(9_250)), "an answer resets the backoff");
 }
