--- a/crates/cell/src/effect.rs
+++ b/crates/cell/src/effect.rs
@@ -15,7 +15,7 @@
 use crate::{
     engine::{
         Survey,
-        Wait, //
+        WaitReason, //
     },
     event::ExitReason,
     id::{
@@ -243,7 +243,7 @@
         /// The step.
         step: StepId,
         /// The reason.
-        why: Wait,
+        why: WaitReason,
         /// The worker label that the step requires.
         label: Option<Arc<str>>,
         /// The number of its tasks that wait.
--- a/crates/cell/src/engine/job.rs
+++ b/crates/cell/src/engine/job.rs
@@ -17,7 +17,7 @@
 use super::{
     Engine,
     Slot,
-    Wait, //
+    WaitReason, //
 };
 use crate::{
     advice::Advice,
@@ -79,7 +79,7 @@
     pub(super) opened: Option<Timestamp>,
     pub(super) advice: Advice,
     /// The wait reason that was last logged.
-    pub(super) wait: Option<Wait>,
+    pub(super) wait: Option<WaitReason>,
     /// When the wait reason was last evaluated.
     pub(super) explained: Timestamp,
     /// When the current run of a gang was decided.
--- a/crates/cell/src/engine/mod.rs
+++ b/crates/cell/src/engine/mod.rs
@@ -82,7 +82,7 @@
     wait::{
         Lack,
         Survey,
-        Wait, //
+        WaitReason, //
     },
 };
 use crate::{
--- a/crates/cell/src/engine/wait.rs
+++ b/crates/cell/src/engine/wait.rs
@@ -35,7 +35,7 @@
 
 /// Why tasks of a step that may start don't.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Wait {
+pub enum WaitReason {
     /// No worker of the step's pool has the label that the step requires.
     Label,
     /// No worker of the pool that has the label is large enough, even when empty.
@@ -64,7 +64,7 @@
     Limit,
 }
 
-impl Wait {
+impl WaitReason {
     /// Returns the reason as one word, for logs and metrics.
     pub const fn as_str(self) -> &'static str {
         match self {
@@ -124,7 +124,7 @@
     worker.registration.pool == queue.pool && label.is_none_or(|label| worker.has_label(label))
 }
 
-impl From<&Lack> for Wait {
+impl From<&Lack> for WaitReason {
     fn from(lack: &Lack) -> Self {
         match lack {
             Lack::Label(_) => Self::Label,
@@ -177,7 +177,7 @@
         };
         self.agenda.remove(id);
         self.aside.insert(id);
-        self.set_wait_reason(id, Wait::from(&lack), Survey::default(), now);
+        self.set_wait_reason(id, WaitReason::from(&lack), Survey::default(), now);
         true
     }
 
@@ -207,21 +207,21 @@
         let survey = self.survey(&demand, now);
         let is_asked = demand.queue.advice.is_none() || stage.advice.is_answered;
         let why = match survey {
-            _ if !is_asked && stage.advice.calls_in_flight > 0 => Wait::Advice,
-            _ if !is_asked && self.has_open_worker(&demand, now) => Wait::AdviceNode,
-            Survey { open: 0, .. } if self.is_pool_evacuated(&demand) => Wait::Evacuated,
-            Survey { allowed: 0, .. } if is_asked => Wait::NotAllowed,
-            Survey { open: 0, .. } => Wait::NotAccepting,
-            _ if stage.are_suspects() => Wait::EmptyWorker,
-            Survey { room: 0, .. } => Wait::Room,
-            Survey { ticketed: 0, .. } => Wait::Ticket,
-            _ => Wait::Reserved,
+            _ if !is_asked && stage.advice.calls_in_flight > 0 => WaitReason::Advice,
+            _ if !is_asked && self.has_open_worker(&demand, now) => WaitReason::AdviceNode,
+            Survey { open: 0, .. } if self.is_pool_evacuated(&demand) => WaitReason::Evacuated,
+            Survey { allowed: 0, .. } if is_asked => WaitReason::NotAllowed,
+            Survey { open: 0, .. } => WaitReason::NotAccepting,
+            _ if stage.are_suspects() => WaitReason::EmptyWorker,
+            Survey { room: 0, .. } => WaitReason::Room,
+            Survey { ticketed: 0, .. } => WaitReason::Ticket,
+            _ => WaitReason::Reserved,
         };
         self.set_wait_reason(id, why, survey, now);
     }
 
     /// Logs a wait reason that is known without examining workers, at the same interval.
-    pub(super) fn explain(&mut self, id: StepId, why: Wait, now: Timestamp) {
+    pub(super) fn explain(&mut self, id: StepId, why: WaitReason, now: Timestamp) {
         if !self.is_wait_reason_recent(id, now) {
             self.set_wait_reason(id, why, Survey::default(), now);
         }
@@ -277,7 +277,7 @@
     pub(super) fn set_wait_reason(
         &mut self,
         id: StepId,
-        why: Wait,
+        why: WaitReason,
         survey: Survey,
         now: Timestamp,
     ) {
--- a/crates/cell/tests/cell/evacuate.rs
+++ b/crates/cell/tests/cell/evacuate.rs
@@ -5,7 +5,7 @@
 use fulmarpier_cell::{
     engine::{
         State,
-        Wait, //
+        WaitReason, //
     },
     id::JobId,
     job::Step,
@@ -63,7 +63,7 @@
     world.now.since(began)
 }
 
-fn has_reported(world: &World, job: JobId, why: Wait) -> bool {
+fn has_reported(world: &World, job: JobId, why: WaitReason) -> bool {
     world.waits.contains(&(job, why))
 }
 
@@ -111,7 +111,7 @@
     world.run(10 * SECOND);
     assert_eq!(world.engine.state(job), Some(State::Queued));
     assert!(
-        has_reported(&world, job, Wait::Evacuated),
+        has_reported(&world, job, WaitReason::Evacuated),
         "{:?}",
         world.waits
     );
@@ -187,7 +187,7 @@
     world.run(10 * SECOND);
     assert_eq!(world.engine.state(late), Some(State::Queued));
     assert!(
-        has_reported(&world, late, Wait::Evacuation),
+        has_reported(&world, late, WaitReason::Evacuation),
         "{:?}",
         world.waits
     );
--- a/crates/cell/tests/cell/wait.rs
+++ b/crates/cell/tests/cell/wait.rs
@@ -6,7 +6,7 @@
     engine::{
         Lack,
         State,
-        Wait, //
+        WaitReason, //
     },
     id::JobId,
     job::{
@@ -80,7 +80,7 @@
 }
 
 /// Returns the reasons to wait that were reported for a job.
-fn reported_waits(world: &World, job: JobId) -> Vec<Wait> {
+fn reported_waits(world: &World, job: JobId) -> Vec<WaitReason> {
     let own = world.waits.iter().filter(|(id, _)| *id == job);
     own.map(|(_, why)| *why).collect()
 }
@@ -115,11 +115,11 @@
 }
 
 #[rstest]
-#[case::label(labelled(UNKNOWN_LABEL), Wait::Label)]
-#[case::size(too_large(), Wait::Size)]
+#[case::label(labelled(UNKNOWN_LABEL), WaitReason::Label)]
+#[case::size(too_large(), WaitReason::Size)]
 fn why_no_worker_can_run_a_step_is_reported_once_and_at_once(
     #[case] step: Step,
-    #[case] why: Wait,
+    #[case] why: WaitReason,
 ) {
     let mut world = world();
     let job = world.submit("urgent", vec![step]);
@@ -144,7 +144,7 @@
     world.run(Duration::from_millis(100));
     let job = world.submit("batch", vec![quick_step()]);
     world.run(Duration::from_secs(3));
-    assert_eq!(reported_waits(&world, job), [Wait::Room]);
+    assert_eq!(reported_waits(&world, job), [WaitReason::Room]);
 }
 
 #[test]
--- a/crates/cell/tests/cell/world/mod.rs
+++ b/crates/cell/tests/cell/world/mod.rs
@@ -41,7 +41,7 @@
         Engine,
         Inheritance,
         State,
-        Wait, //
+        WaitReason, //
     },
     evacuation::Evacuation,
     event::{
@@ -239,7 +239,7 @@
     /// How many calls for advice were sent to nodes that are down.
     pub failed_advice_calls: usize,
     /// The jobs that the engine reported as waiting, with the reason, in order.
-    pub waits: Vec<(JobId, Wait)>,
+    pub waits: Vec<(JobId, WaitReason)>,
     /// The workspace and the specification of each job that belongs to a workspace.
     workspace_jobs: BTreeMap<JobId, (WorkspaceName, Arc<Spec>)>,
     /// The limits of all workspaces, with the time from which they apply. The last ones are in force.
