--- a/crates/cell/src/engine/schedule.rs
+++ b/crates/cell/src/engine/schedule.rs
@@ -172,7 +172,7 @@
     /// Starts the tasks of a step that fit, or reserves workers for it. Returns the cost in worker checks.
     fn schedule_step(&mut self, id: StepId, reserved: &mut Reserved, now: Timestamp) -> usize {
         if !self.knows_evacuation(now) {
-            self.explain(id, WaitReason::Evacuation, now);
+            self.explain(id, WaitReason::EvacuationUnknown, now);
             return STEP_CHECKS;
         }
         let advice = self.jobs.get(&id.job).and_then(|job| job.stage(id));
--- a/crates/cell/src/engine/wait.rs
+++ b/crates/cell/src/engine/wait.rs
@@ -45,7 +45,7 @@
     /// The workers that could run the step are in evacuated data centres.
     Evacuated,
     /// There is no recent information about which data centres are evacuated.
-    Evacuation,
+    EvacuationUnknown,
     /// No node is free to ask the advice service about the step.
     AdviceNode,
     /// A call to the advice service is under way.
@@ -72,7 +72,7 @@
             Self::Size => "size",
             Self::NotAccepting => "closed",
             Self::Evacuated => "evacuated",
-            Self::Evacuation => "evacuation-unknown",
+            Self::EvacuationUnknown => "evacuation-unknown",
             Self::AdviceNode => "desk",
             Self::Advice => "advice",
             Self::NotAllowed => "barred",
--- a/crates/cell/tests/cell/evacuate.rs
+++ b/crates/cell/tests/cell/evacuate.rs
@@ -187,7 +187,7 @@
     world.run(10 * SECOND);
     assert_eq!(world.engine.state(late), Some(State::Queued));
     assert!(
-        has_reported(&world, late, WaitReason::Evacuation),
+        has_reported(&world, late, WaitReason::EvacuationUnknown),
         "{:?}",
         world.waits
     );
