--- a/crates/cell/src/engine/mod.rs
+++ b/crates/cell/src/engine/mod.rs
@@ -80,8 +80,8 @@
         State, //
     },
     wait::{
-        Lack,
         Survey,
+        UnmetRequirement,
         WaitReason, //
     },
 };
--- a/crates/cell/src/engine/wait.rs
+++ b/crates/cell/src/engine/wait.rs
@@ -87,7 +87,7 @@
 
 /// A requirement of a step that no worker meets.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Lack {
+pub enum UnmetRequirement {
     /// No worker of the pool has the label.
     #[error("no worker has the label `{0}`")]
     Label(Arc<str>),
@@ -124,11 +124,11 @@
     worker.registration.pool == queue.pool && label.is_none_or(|label| worker.has_label(label))
 }
 
-impl From<&Lack> for WaitReason {
-    fn from(lack: &Lack) -> Self {
+impl From<&UnmetRequirement> for WaitReason {
+    fn from(lack: &UnmetRequirement) -> Self {
         match lack {
-            Lack::Label(_) => Self::Label,
-            Lack::Size(_) => Self::Size,
+            UnmetRequirement::Label(_) => Self::Label,
+            UnmetRequirement::Size(_) => Self::Size,
         }
     }
 }
@@ -137,12 +137,17 @@
     /// Returns the first requirement of a job that no known worker of its queue's pool meets, even when empty.
     ///
     /// Returns `None` if no worker of the pool is known, since nothing can be concluded then.
-    pub fn lack(&self, queue: &Queue, spec: &Spec) -> Option<Lack> {
+    pub fn lack(&self, queue: &Queue, spec: &Spec) -> Option<UnmetRequirement> {
         let mut steps = spec.steps.iter().enumerate();
         steps.find_map(|(index, step)| self.unmet_requirement_of(step, index, queue))
     }
 
-    fn unmet_requirement_of(&self, step: &Step, index: usize, queue: &Queue) -> Option<Lack> {
+    fn unmet_requirement_of(
+        &self,
+        step: &Step,
+        index: usize,
+        queue: &Queue,
+    ) -> Option<UnmetRequirement> {
         if self.rooms.members(&queue.pool) == 0 {
             return None;
         }
@@ -154,8 +159,8 @@
         let label = step.requires.as_ref();
         let is_missing = !workers.any(|worker| has_label(step, queue, worker));
         Some(match label.filter(|_| is_missing) {
-            Some(label) => Lack::Label(label.clone()),
-            None => Lack::Size(index),
+            Some(label) => UnmetRequirement::Label(label.clone()),
+            None => UnmetRequirement::Size(index),
         })
     }
 
--- a/crates/cell/tests/cell/wait.rs
+++ b/crates/cell/tests/cell/wait.rs
@@ -4,8 +4,8 @@
 
 use fulmarpier_cell::{
     engine::{
-        Lack,
         State,
+        UnmetRequirement,
         WaitReason, //
     },
     id::JobId,
@@ -171,9 +171,12 @@
         lack(vec![quick_step(), labelled("a"), labelled("r1")]),
         None
     );
-    let label = Some(Lack::Label(UNKNOWN_LABEL.into()));
+    let label = Some(UnmetRequirement::Label(UNKNOWN_LABEL.into()));
     assert_eq!(lack(vec![quick_step(), labelled(UNKNOWN_LABEL)]), label);
-    assert_eq!(lack(vec![quick_step(), too_large()]), Some(Lack::Size(1)));
+    assert_eq!(
+        lack(vec![quick_step(), too_large()]),
+        Some(UnmetRequirement::Size(1))
+    );
 }
 
 #[test]
