--- a/crates/cell/src/engine/wait.rs
+++ b/crates/cell/src/engine/wait.rs
@@ -137,7 +137,7 @@
     /// Returns the first requirement of a job that no known worker of its queue's pool meets, even when empty.
     ///
     /// Returns `None` if no worker of the pool is known, since nothing can be concluded then.
-    pub fn lack(&self, queue: &Queue, spec: &Spec) -> Option<UnmetRequirement> {
+    pub fn unmet_requirement(&self, queue: &Queue, spec: &Spec) -> Option<UnmetRequirement> {
         let mut steps = spec.steps.iter().enumerate();
         steps.find_map(|(index, step)| self.unmet_requirement_of(step, index, queue))
     }
--- a/crates/cell/tests/cell/wait.rs
+++ b/crates/cell/tests/cell/wait.rs
@@ -165,7 +165,9 @@
             steps,
             schedule: None,
         };
-        world.engine.lack(&queue("batch", 2, false), &spec)
+        world
+            .engine
+            .unmet_requirement(&queue("batch", 2, false), &spec)
     };
     assert_eq!(
         lack(vec![quick_step(), labelled("a"), labelled("r1")]),
@@ -191,5 +193,5 @@
         steps: vec![labelled(UNKNOWN_LABEL)],
         schedule: None,
     };
-    assert_eq!(world.engine.lack(&other, &spec), None);
+    assert_eq!(world.engine.unmet_requirement(&other, &spec), None);
 }
