--- a/crates/cell/src/effect.rs
+++ b/crates/cell/src/effect.rs
@@ -14,8 +14,8 @@
 
 use crate::{
     engine::{
-        Survey,
-        WaitReason, //
+        WaitReason,
+        WaitSurvey, //
     },
     event::ExitReason,
     id::{
@@ -249,7 +249,7 @@
         /// The number of its tasks that wait.
         tasks: usize,
         /// A summary of the state of the workers.
-        survey: Survey,
+        survey: WaitSurvey,
         /// How long the step has waited since it became ready.
         waited: Duration,
     },
--- a/crates/cell/src/engine/mod.rs
+++ b/crates/cell/src/engine/mod.rs
@@ -80,9 +80,9 @@
         State, //
     },
     wait::{
-        Survey,
         UnmetRequirement,
-        WaitReason, //
+        WaitReason,
+        WaitSurvey, //
     },
 };
 use crate::{
--- a/crates/cell/src/engine/wait.rs
+++ b/crates/cell/src/engine/wait.rs
@@ -98,7 +98,7 @@
 
 /// Counts of the workers that were examined when the wait reason was evaluated, for the log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Survey {
+pub struct WaitSurvey {
     /// Workers that the advice service was asked about.
     pub named: usize,
     /// Workers that have the label, are large enough and may run the step, as far as is known.
@@ -182,7 +182,7 @@
         };
         self.agenda.remove(id);
         self.aside.insert(id);
-        self.set_wait_reason(id, WaitReason::from(&lack), Survey::default(), now);
+        self.set_wait_reason(id, WaitReason::from(&lack), WaitSurvey::default(), now);
         true
     }
 
@@ -214,12 +214,12 @@
         let why = match survey {
             _ if !is_asked && stage.advice.calls_in_flight > 0 => WaitReason::Advice,
             _ if !is_asked && self.has_open_worker(&demand, now) => WaitReason::AdviceNode,
-            Survey { open: 0, .. } if self.is_pool_evacuated(&demand) => WaitReason::Evacuated,
-            Survey { allowed: 0, .. } if is_asked => WaitReason::NotAllowed,
-            Survey { open: 0, .. } => WaitReason::NotAccepting,
+            WaitSurvey { open: 0, .. } if self.is_pool_evacuated(&demand) => WaitReason::Evacuated,
+            WaitSurvey { allowed: 0, .. } if is_asked => WaitReason::NotAllowed,
+            WaitSurvey { open: 0, .. } => WaitReason::NotAccepting,
             _ if stage.are_suspects() => WaitReason::EmptyWorker,
-            Survey { room: 0, .. } => WaitReason::Room,
-            Survey { ticketed: 0, .. } => WaitReason::Ticket,
+            WaitSurvey { room: 0, .. } => WaitReason::Room,
+            WaitSurvey { ticketed: 0, .. } => WaitReason::Ticket,
             _ => WaitReason::Reserved,
         };
         self.set_wait_reason(id, why, survey, now);
@@ -228,7 +228,7 @@
     /// Logs a wait reason that is known without examining workers, at the same interval.
     pub(super) fn explain(&mut self, id: StepId, why: WaitReason, now: Timestamp) {
         if !self.is_wait_reason_recent(id, now) {
-            self.set_wait_reason(id, why, Survey::default(), now);
+            self.set_wait_reason(id, why, WaitSurvey::default(), now);
         }
     }
 
@@ -249,8 +249,8 @@
     }
 
     /// Counts the workers that matter for a step's wait reason.
-    fn survey(&self, demand: &Demand<'_>, now: Timestamp) -> Survey {
-        let mut survey = Survey::default();
+    fn survey(&self, demand: &Demand<'_>, now: Timestamp) -> WaitSurvey {
+        let mut survey = WaitSurvey::default();
         let job = self.jobs.get(&demand.id.job);
         let Some(stage) = job.and_then(|job| job.stage(demand.id)) else {
             return survey;
@@ -283,7 +283,7 @@
         &mut self,
         id: StepId,
         why: WaitReason,
-        survey: Survey,
+        survey: WaitSurvey,
         now: Timestamp,
     ) {
         let stage = self.jobs.get_mut(&id.job).and_then(|job| job.stage_mut(id));
