--- a/crates/cell/src/engine/wait.rs
+++ b/crates/cell/src/engine/wait.rs
@@ -110,7 +110,7 @@
     /// How many of these tasks fit on workers for which there is a usable ticket.
     pub ticketed: usize,
     /// The longest time since any of the allowed workers last answered.
-    pub heard: Option<Duration>,
+    pub longest_silence: Option<Duration>,
 }
 
 /// Returns whether an empty worker could run tasks of a step.
@@ -266,7 +266,9 @@
                 continue;
             }
             survey.allowed += 1;
-            survey.heard = survey.heard.max(worker.heard.map(|heard| now.since(heard)));
+            survey.longest_silence = survey
+                .longest_silence
+                .max(worker.heard.map(|heard| now.since(heard)));
             if !worker.is_available(now) {
                 continue;
             }
--- a/crates/node/src/report.rs
+++ b/crates/node/src/report.rs
@@ -451,7 +451,7 @@
             "label" => label.as_deref().unwrap_or_default(), "tasks" => tasks,
             "named" => survey.named, "allowed" => survey.allowed, "open" => survey.open,
             "room" => survey.room, "ticketed" => survey.ticketed,
-            "heard_ms" => survey.heard.map_or(-1, |age| i64::try_from(age.as_millis()).unwrap_or(-1)),
+            "heard_ms" => survey.longest_silence.map_or(-1, |age| i64::try_from(age.as_millis()).unwrap_or(-1)),
             "waited_ms" => millis(*waited)),
         LogRecord::Advised {
             step,
