--- a/crates/cell/src/engine/wait.rs
+++ b/crates/cell/src/engine/wait.rs
@@ -108,7 +108,7 @@
     /// How many tasks of the step fit on the open workers.
     pub room: usize,
     /// How many of these tasks fit on workers for which there is a usable ticket.
-    pub ticketed: usize,
+    pub room_with_ticket: usize,
     /// The longest time since any of the allowed workers last answered.
     pub longest_silence: Option<Duration>,
 }
@@ -219,7 +219,10 @@
             WaitSurvey { open: 0, .. } => WaitReason::NotAccepting,
             _ if stage.are_suspects() => WaitReason::EmptyWorker,
             WaitSurvey { room: 0, .. } => WaitReason::Room,
-            WaitSurvey { ticketed: 0, .. } => WaitReason::Ticket,
+            WaitSurvey {
+                room_with_ticket: 0,
+                ..
+            } => WaitReason::Ticket,
             _ => WaitReason::Reserved,
         };
         self.set_wait_reason(id, why, survey, now);
@@ -275,7 +278,7 @@
             survey.open += 1;
             let room = room_for(&worker.free, &demand.size);
             survey.room += room;
-            survey.ticketed += if has_ticket(slot, worker) { room } else { 0 };
+            survey.room_with_ticket += if has_ticket(slot, worker) { room } else { 0 };
         }
         survey
     }
