--- a/crates/cell/src/engine/schedule.rs
+++ b/crates/cell/src/engine/schedule.rs
@@ -187,7 +187,7 @@
             self.explain(id, WaitReason::Limit, now);
             return STEP_CHECKS;
         }
-        if self.start_fitting(id, reserved, now) || self.set_aside(id, now) {
+        if self.start_fitting(id, reserved, now) || self.park_unschedulable(id, now) {
             return STEP_CHECKS + allowed;
         }
         // Nothing is preempted for a step that its own workspace's limit holds back.
--- a/crates/cell/src/engine/wait.rs
+++ b/crates/cell/src/engine/wait.rs
@@ -169,7 +169,7 @@
     /// The step is reopened when a worker is listed or changes. If steps that can't run stayed among the open ones,
     /// they would use up the step budget of a scheduling pass: behind 400 of them, 40 quick jobs on idle workers
     /// are not done after 30 s; with parking they are done after 6 s (virtual time, 8 workers).
-    pub(super) fn set_aside(&mut self, id: StepId, now: Timestamp) -> bool {
+    pub(super) fn park_unschedulable(&mut self, id: StepId, now: Timestamp) -> bool {
         let Some(job) = self.jobs.get(&id.job) else {
             return false;
         };
