--- a/crates/cell/src/engine/contact.rs
+++ b/crates/cell/src/engine/contact.rs
@@ -83,7 +83,7 @@
                 self.shrink(slot, now);
             }
             if is_changed {
-                self.take_up();
+                self.reopen_unschedulable();
             }
             if is_leaving && !was_leaving {
                 self.note_worker(slot, "leaving", now);
@@ -93,7 +93,7 @@
         let worker = Worker::new(registration, self.fence, now, now);
         let slot = self.insert_worker(worker);
         self.note_worker(slot, "listed", now);
-        self.take_up();
+        self.reopen_unschedulable();
     }
 
     /// Notes that the store no longer lists a worker.
--- a/crates/cell/src/engine/mod.rs
+++ b/crates/cell/src/engine/mod.rs
@@ -334,7 +334,7 @@
             self.set_limits();
             self.agenda.unrank();
             self.is_stirred = true;
-            self.take_up();
+            self.reopen_unschedulable();
         }
     }
 
--- a/crates/cell/src/engine/wait.rs
+++ b/crates/cell/src/engine/wait.rs
@@ -187,7 +187,7 @@
     }
 
     /// Reopens all parked steps, because new or changed workers may run them.
-    pub(super) fn take_up(&mut self) {
+    pub(super) fn reopen_unschedulable(&mut self) {
         for id in std::mem::take(&mut self.aside) {
             let job = self.jobs.get(&id.job).filter(|job| !job.is_over());
             let stage = job.and_then(|job| job.stage(id));
