--- a/crates/cell/src/engine/schedule.rs
+++ b/crates/cell/src/engine/schedule.rs
@@ -196,7 +196,7 @@
             return STEP_CHECKS + allowed;
         }
         self.reserve_quota(id, reserved);
-        self.explain_wait(id, now);
+        self.update_wait_reason(id, now);
         let has_evaluated = !reserved.has_gang(id) && self.reserve_workers(id, reserved, now);
         STEP_CHECKS + allowed * if has_evaluated { PREEMPTION_CHECKS } else { 1 }
     }
--- a/crates/cell/src/engine/wait.rs
+++ b/crates/cell/src/engine/wait.rs
@@ -199,7 +199,7 @@
     }
 
     /// Evaluates periodically why a step waits, and logs the reason if it has changed.
-    pub(super) fn explain_wait(&mut self, id: StepId, now: Timestamp) {
+    pub(super) fn update_wait_reason(&mut self, id: StepId, now: Timestamp) {
         let Some(job) = self.jobs.get(&id.job) else {
             return;
         };
