--- a/crates/cell/src/engine/schedule.rs
+++ b/crates/cell/src/engine/schedule.rs
@@ -172,7 +172,7 @@
     /// Starts the tasks of a step that fit, or reserves workers for it. Returns the cost in worker checks.
     fn schedule_step(&mut self, id: StepId, reserved: &mut Reserved, now: Timestamp) -> usize {
         if !self.knows_evacuation(now) {
-            self.explain(id, WaitReason::EvacuationUnknown, now);
+            self.update_known_wait_reason(id, WaitReason::EvacuationUnknown, now);
             return STEP_CHECKS;
         }
         let advice = self.jobs.get(&id.job).and_then(|job| job.stage(id));
@@ -184,7 +184,7 @@
         }
         let allowed = advice.map_or(0, |advice| advice.allowed.len());
         if self.is_limited(id, reserved) {
-            self.explain(id, WaitReason::Limit, now);
+            self.update_known_wait_reason(id, WaitReason::Limit, now);
             return STEP_CHECKS;
         }
         if self.start_fitting(id, reserved, now) || self.park_unschedulable(id, now) {
@@ -192,7 +192,7 @@
         }
         // Nothing is preempted for a step that its own workspace's limit holds back.
         if self.is_limited(id, reserved) {
-            self.explain(id, WaitReason::Limit, now);
+            self.update_known_wait_reason(id, WaitReason::Limit, now);
             return STEP_CHECKS + allowed;
         }
         self.reserve_quota(id, reserved);
--- a/crates/cell/src/engine/wait.rs
+++ b/crates/cell/src/engine/wait.rs
@@ -229,7 +229,7 @@
     }
 
     /// Logs a wait reason that is known without examining workers, at the same interval.
-    pub(super) fn explain(&mut self, id: StepId, why: WaitReason, now: Timestamp) {
+    pub(super) fn update_known_wait_reason(&mut self, id: StepId, why: WaitReason, now: Timestamp) {
         if !self.is_wait_reason_recent(id, now) {
             self.set_wait_reason(id, why, WaitSurvey::default(), now);
         }
