--- a/crates/cell/examples/fleet.rs
+++ b/crates/cell/examples/fleet.rs
@@ -331,7 +331,9 @@
                     return;
                 }
                 let answer = simulated_worker.inventory(now);
-                self.call_engine(|engine, now| engine.held(&worker, order.asked, answer, now));
+                self.call_engine(|engine, now| {
+                    engine.handle_heartbeat_answer(&worker, order.asked, answer, now)
+                });
             }
             Effect::Advise {
                 node,
@@ -360,7 +362,7 @@
             return;
         };
         let answer = simulated_worker.inventory(now);
-        self.call_engine(|engine, now| engine.held(worker, asked, answer, now));
+        self.call_engine(|engine, now| engine.handle_heartbeat_answer(worker, asked, answer, now));
     }
 
     fn handle(&mut self, event: Event) {
--- a/crates/cell/src/engine/contact.rs
+++ b/crates/cell/src/engine/contact.rs
@@ -226,7 +226,7 @@
     /// Handles the answer to a call for an inventory.
     ///
     /// `asked` is when the call was made.
-    pub fn held(
+    pub fn handle_heartbeat_answer(
         &mut self,
         id: &WorkerId,
         asked: Timestamp,
--- a/crates/cell/tests/cell/pace.rs
+++ b/crates/cell/tests/cell/pace.rs
@@ -143,7 +143,7 @@
             };
             let answer = HeartbeatAnswer::Listed(inventory);
             self.engine
-                .held(&heartbeat.to.worker, heartbeat.asked, answer, now);
+                .handle_heartbeat_answer(&heartbeat.to.worker, heartbeat.asked, answer, now);
         }
     }
 
--- a/crates/cell/tests/cell/pending.rs
+++ b/crates/cell/tests/cell/pending.rs
@@ -135,7 +135,7 @@
         _ => None,
     });
     let asked = asked.expect("a new owner calls every worker");
-    engine.held(&worker, asked, HeartbeatAnswer::Listed(listed), now);
+    engine.handle_heartbeat_answer(&worker, asked, HeartbeatAnswer::Listed(listed), now);
     engine
 }
 
--- a/crates/cell/tests/cell/takeover.rs
+++ b/crates/cell/tests/cell/takeover.rs
@@ -127,11 +127,16 @@
         for effect in effects.drain(..) {
             match effect {
                 Effect::Heartbeat(hold) if hold.to.worker == silent => {
-                    engine.held(&silent, hold.asked, HeartbeatAnswer::NoAnswer, now);
+                    engine.handle_heartbeat_answer(
+                        &silent,
+                        hold.asked,
+                        HeartbeatAnswer::NoAnswer,
+                        now,
+                    );
                 }
                 Effect::Heartbeat(hold) => {
                     let empty = HeartbeatAnswer::Listed(Inventory::default());
-                    engine.held(&healthy, hold.asked, empty, now);
+                    engine.handle_heartbeat_answer(&healthy, hold.asked, empty, now);
                 }
                 Effect::Record(_) => engine.recorded(now),
                 _ => {}
@@ -190,7 +195,7 @@
         ended: Vec::new(),
     };
     let asked = asked.expect("the worker is called");
-    engine.held(&worker, asked, HeartbeatAnswer::Listed(inventory), now);
+    engine.handle_heartbeat_answer(&worker, asked, HeartbeatAnswer::Listed(inventory), now);
     let effects = [effects, engine.advance(now)].concat();
     let stops = effects
         .iter()
--- a/crates/cell/tests/cell/world/deliver.rs
+++ b/crates/cell/tests/cell/world/deliver.rs
@@ -162,7 +162,8 @@
         answer: HeartbeatAnswer,
     ) {
         if self.heartbeats.remove(&(id.clone(), asked)) {
-            self.engine.held(id, asked, answer, self.now);
+            self.engine
+                .handle_heartbeat_answer(id, asked, answer, self.now);
         }
     }
 
--- a/crates/node/src/owner/orders.rs
+++ b/crates/node/src/owner/orders.rs
@@ -168,7 +168,9 @@
             Report::Paced(worker, task, run, percent, answer) => {
                 engine.paced(&worker, task, run, percent, answer, now);
             }
-            Report::Held(worker, asked, answer) => engine.held(&worker, asked, answer, now),
+            Report::Held(worker, asked, answer) => {
+                engine.handle_heartbeat_answer(&worker, asked, answer, now)
+            }
         }
     }
 }
