--- a/crates/cell/src/engine/contact.rs
+++ b/crates/cell/src/engine/contact.rs
@@ -130,7 +130,7 @@
     }
 
     /// Adds a worker that may hold tasks started by former owners, by its usage on record.
-    pub(super) fn expect_worker(
+    pub(super) fn track_former_worker(
         &mut self,
         id: WorkerId,
         usage: WorkerRuns,
--- a/crates/cell/src/engine/mod.rs
+++ b/crates/cell/src/engine/mod.rs
@@ -312,7 +312,7 @@
             .collect();
         let lapses = now + engine.bounds.lease_expiry_time() + MAX_FORMER_OWNER_ACTIVITY;
         for (worker, usage) in inheritance.workers {
-            engine.expect_worker(worker, usage, lapses, now);
+            engine.track_former_worker(worker, usage, lapses, now);
         }
         engine
     }
