--- a/crates/cell/src/engine/contact.rs
+++ b/crates/cell/src/engine/contact.rs
@@ -77,7 +77,7 @@
             if was_distrusted {
                 self.note_worker(slot, "trusted", now);
             }
-            self.index(slot);
+            self.update_indexes(slot);
             self.mark_evacuated(slot);
             if shrinks && !has_new_incarnation {
                 self.shrink(slot, now);
@@ -105,7 +105,7 @@
             && worker.unlisted_since.is_none()
         {
             worker.unlisted_since = Some(now);
-            self.index(slot);
+            self.update_indexes(slot);
             self.note_worker(slot, "unlisted", now);
         }
     }
@@ -124,7 +124,7 @@
             && worker.distrusted_since.is_none()
         {
             worker.distrusted_since = Some(now);
-            self.index(slot);
+            self.update_indexes(slot);
             self.note_worker(slot, "distrusted", now);
         }
     }
@@ -168,7 +168,7 @@
         self.next_slot += 1;
         self.slots.insert(worker.registration.id.clone(), slot);
         self.workers.insert(slot, worker);
-        self.index(slot);
+        self.update_indexes(slot);
         self.mark_evacuated(slot);
         slot
     }
@@ -176,7 +176,7 @@
     /// Updates the indexes of a worker: its next call, its next expiry, and its position by free room.
     ///
     /// Both times may turn out to be too early and are then set again.
-    pub(super) fn index(&mut self, slot: Slot) {
+    pub(super) fn update_indexes(&mut self, slot: Slot) {
         let worker = self.workers.get(&slot);
         self.rooms.set(slot, worker);
         self.calls.set(slot, worker.and_then(Worker::next_call));
@@ -188,7 +188,7 @@
     pub(super) fn call_workers(&mut self, now: Timestamp) {
         for slot in self.calls.take_due(now) {
             self.call_worker(slot, now);
-            self.index(slot);
+            self.update_indexes(slot);
         }
     }
 
@@ -252,7 +252,7 @@
             // The call predates the current fence, so the refusal doesn't mean that another node owns the cell.
             HeartbeatAnswer::Fenced if worker.fence_raised.is_some_and(|raised| asked < raised) => {
                 worker.retry_call(is_peek, now);
-                self.index(slot);
+                self.update_indexes(slot);
             }
             HeartbeatAnswer::Fenced => self.outbox.push(Effect::Deposed),
             HeartbeatAnswer::Replaced => self.lose_worker(slot, "replaced", now),
@@ -262,7 +262,7 @@
                 if is_peek =>
             {
                 worker.probe = Some(CallState::Due(now + SILENT_WORKER_RETRY_DELAY));
-                self.index(slot);
+                self.update_indexes(slot);
             }
             HeartbeatAnswer::NoAnswer
             | HeartbeatAnswer::ConnectionLost
@@ -274,7 +274,7 @@
                     HeartbeatAnswer::ConnectionLost => Silence::Broken(now),
                     _ => Silence::Missed,
                 });
-                self.index(slot);
+                self.update_indexes(slot);
                 if was_responsive {
                     self.note_worker(slot, "silent", now);
                 }
@@ -297,7 +297,7 @@
             Sender::Current => {}
             Sender::Former => {
                 worker.retry_call(false, now);
-                return self.index(slot);
+                return self.update_indexes(slot);
             }
             Sender::Later => self.begin_incarnation(slot, &inventory, asked, now),
         }
@@ -360,7 +360,7 @@
             };
         }
         let seen = worker.last_processed_end;
-        self.index(slot);
+        self.update_indexes(slot);
         self.ledger.add_ends(slot, seen);
     }
 
@@ -436,7 +436,7 @@
             self.quotas.charge(charge.account, charge.size);
         }
         let worker = worker.registration.id.clone();
-        self.index(slot);
+        self.update_indexes(slot);
         self.note(LogRecord::Adopted { task, run, worker });
         match is_wanted {
             true => self.save_checkpoint(task, running.checkpoint.as_ref()),
--- a/crates/cell/src/engine/crash.rs
+++ b/crates/cell/src/engine/crash.rs
@@ -358,7 +358,7 @@
         if let Some(worker) = self.workers.get_mut(&slot) {
             worker.end_exclusive(task, run);
         }
-        self.index(slot);
+        self.update_indexes(slot);
         self.clear_crashes(task);
     }
 
--- a/crates/cell/src/engine/evacuate.rs
+++ b/crates/cell/src/engine/evacuate.rs
@@ -61,7 +61,7 @@
         let is_evacuated = reading.is_some_and(|reading| reading.evacuation.covers(data_centre));
         if is_evacuated != worker.is_evacuated {
             worker.is_evacuated = is_evacuated;
-            self.index(slot);
+            self.update_indexes(slot);
         }
     }
 
--- a/crates/cell/src/engine/keep.rs
+++ b/crates/cell/src/engine/keep.rs
@@ -264,7 +264,7 @@
             worker.last_recorded_end = worker.last_recorded_end.max(*last);
             if is_newer && let CallState::Due(due) = worker.heartbeat {
                 worker.heartbeat = CallState::Due(now.unwrap_or(Timestamp::ZERO).min(due));
-                self.index(*slot);
+                self.update_indexes(*slot);
             }
         }
     }
--- a/crates/cell/src/engine/loss.rs
+++ b/crates/cell/src/engine/loss.rs
@@ -39,7 +39,7 @@
         }
         self.orders.remove(&(slot, task, run));
         self.stops.set((slot, task, run), None);
-        self.index(slot);
+        self.update_indexes(slot);
         let Some(job) = self.jobs.get_mut(&task.step.job) else {
             self.forget_stranger(slot, task, run);
             return;
@@ -71,7 +71,7 @@
             self.slots.remove(&worker.registration.id);
             self.ledger.remove_worker(worker.registration.id);
         }
-        self.index(slot);
+        self.update_indexes(slot);
     }
 
     /// Logs the runs that are lost with a worker.
@@ -131,7 +131,7 @@
     pub(super) fn expire_workers(&mut self, now: Timestamp) {
         for slot in self.expiries.take_due(now) {
             self.expire_worker(slot, now);
-            self.index(slot);
+            self.update_indexes(slot);
         }
     }
 
--- a/crates/cell/src/engine/order.rs
+++ b/crates/cell/src/engine/order.rs
@@ -389,7 +389,7 @@
                 {
                     // The short delay ensures that the call is made after this answer.
                     worker.probe = Some(CallState::Due(now + STOP_VERIFICATION_DELAY));
-                    self.index(slot);
+                    self.update_indexes(slot);
                 }
             }
             StopAnswer::Fenced if !self.may_have_stale_orders(slot) => {
--- a/crates/cell/src/engine/place.rs
+++ b/crates/cell/src/engine/place.rs
@@ -442,7 +442,7 @@
             ticket,
         };
         self.orders.insert((slot, task, run), order);
-        self.index(slot);
+        self.update_indexes(slot);
         self.ledger.add_worker(slot);
         true
     }
