--- a/crates/cell/src/engine/contact.rs
+++ b/crates/cell/src/engine/contact.rs
@@ -116,7 +116,7 @@
     /// lease, their inventory is still fetched from the last valid address, and they are not started elsewhere. Nor
     /// does it confirm the capacity and pool listed before, so nothing new is started there. Both hold until a valid
     /// entry appears, or until the worker is silent and its leases have lapsed.
-    pub fn distrust(&mut self, id: &WorkerId, now: Timestamp) {
+    pub fn mark_entry_unusable(&mut self, id: &WorkerId, now: Timestamp) {
         let Some(slot) = self.slots.get(id).copied() else {
             return;
         };
--- a/crates/cell/tests/cell/world/mod.rs
+++ b/crates/cell/tests/cell/world/mod.rs
@@ -453,7 +453,7 @@
         for worker in self.workers.values() {
             match worker.overwritten_until {
                 None => self.engine.register(worker.entry(self.now), self.now),
-                Some(_) => self.engine.distrust(&worker.id, self.now),
+                Some(_) => self.engine.mark_entry_unusable(&worker.id, self.now),
             }
         }
     }
@@ -462,7 +462,7 @@
     pub(crate) fn turn_foreign(&mut self, id: &WorkerId, span: Duration) {
         if let Some(worker) = self.workers.get_mut(id) {
             worker.overwritten_until = Some(self.now + span);
-            self.engine.distrust(id, self.now);
+            self.engine.mark_entry_unusable(id, self.now);
         }
     }
 
--- a/crates/node/src/owner/listing.rs
+++ b/crates/node/src/owner/listing.rs
@@ -51,7 +51,7 @@
         match self {
             Self::Registered(registration) => engine.register(registration, now),
             Self::Unregistered(worker) => engine.unregister(&worker, now),
-            Self::Distrusted(worker) => engine.distrust(&worker, now),
+            Self::Distrusted(worker) => engine.mark_entry_unusable(&worker, now),
         }
     }
 }
