--- a/crates/cell/src/engine/crash.rs
+++ b/crates/cell/src/engine/crash.rs
@@ -204,7 +204,7 @@
 
 impl Stage {
     /// Returns whether a task must not start until its doubted crashes are settled.
-    pub(super) fn is_in_doubt(&self, index: u16) -> bool {
+    pub(super) fn awaits_crash_settlement(&self, index: u16) -> bool {
         self.task(index).is_some_and(Task::is_in_doubt)
     }
 
--- a/crates/cell/src/engine/place.rs
+++ b/crates/cell/src/engine/place.rs
@@ -144,7 +144,7 @@
         let (Some(step), Some(stage)) = (job.step(id), job.stage(id)) else {
             return false;
         };
-        if stage.is_in_doubt(index) {
+        if stage.awaits_crash_settlement(index) {
             return false;
         }
         let tries = usize::try_from(self.queue_of(job).max_attempts.max(1)).unwrap_or(usize::MAX);
