--- a/crates/cell/src/engine/crash.rs
+++ b/crates/cell/src/engine/crash.rs
@@ -248,7 +248,7 @@
     }
 
     /// Adds a doubted crash to the tasks that a silent worker had just begun, before its claims are released.
-    pub(super) fn doubt_begun(&mut self, slot: Slot, now: Timestamp) {
+    pub(super) fn add_doubted_crashes(&mut self, slot: Slot, now: Timestamp) {
         let begun = self
             .workers
             .get(&slot)
--- a/crates/cell/src/engine/loss.rs
+++ b/crates/cell/src/engine/loss.rs
@@ -150,7 +150,7 @@
         if is_listed {
             self.note_worker(slot, "lapsed", now);
             self.note_losses(slot, "lapsed", now);
-            self.doubt_begun(slot, now);
+            self.add_doubted_crashes(slot, now);
             self.release_all(slot, now);
         } else {
             self.lose_worker(slot, "gone", now);
