--- a/crates/cell/src/engine/contact.rs
+++ b/crates/cell/src/engine/contact.rs
@@ -326,7 +326,7 @@
         let seen = worker.last_processed_end;
         if !was_heard {
             self.note_worker(slot, "heard", now);
-            self.acquit(slot);
+            self.retract_crashes(slot);
         }
         self.is_stirred = true;
         let mut listed: Vec<(TaskId, Run)> = Vec::new();
--- a/crates/cell/src/engine/crash.rs
+++ b/crates/cell/src/engine/crash.rs
@@ -338,7 +338,7 @@
     }
 
     /// Removes the crashes counted for a worker that seemed to have crashed but answers again as the same incarnation.
-    pub(super) fn acquit(&mut self, slot: Slot) {
+    pub(super) fn retract_crashes(&mut self, slot: Slot) {
         let Some(worker) = self.workers.get(&slot) else {
             return;
         };
