--- a/crates/cell/src/engine/crash.rs
+++ b/crates/cell/src/engine/crash.rs
@@ -385,7 +385,7 @@
     }
 
     /// Returns whether a task has to run alone and has not yet waited too long for an empty worker.
-    pub(super) fn is_kept_apart(&self, id: StepId, index: u16, now: Timestamp) -> bool {
+    pub(super) fn must_run_alone(&self, id: StepId, index: u16, now: Timestamp) -> bool {
         let state = self.task(id.task(index));
         state
             .filter(|state| state.is_suspect())
@@ -431,7 +431,7 @@
         reserved: &Reserved,
         now: Timestamp,
     ) -> Option<Slot> {
-        match self.is_kept_apart(id, index, now) {
+        match self.must_run_alone(id, index, now) {
             true => self.find_empty(id, reserved, now),
             false => self.find_beside(id, index, reserved, now),
         }
@@ -475,7 +475,7 @@
         let worker = self.workers.get(&slot);
         let is_open = worker.is_some_and(|worker| demand.admits(worker, now));
         let mut suspects = stage.suspects();
-        is_open && suspects.any(|index| self.is_kept_apart(id, index, now))
+        is_open && suspects.any(|index| self.must_run_alone(id, index, now))
     }
 
     /// Reserves a worker until it is empty, if a task of a step has to run alone.
--- a/crates/cell/src/engine/place.rs
+++ b/crates/cell/src/engine/place.rs
@@ -343,7 +343,7 @@
         }
         let (isolated, others): (Vec<u16>, Vec<u16>) = members
             .iter()
-            .partition(|index| self.is_kept_apart(id, **index, now));
+            .partition(|index| self.must_run_alone(id, **index, now));
         let mut places = Vec::with_capacity(members.len());
         if !isolated.is_empty() {
             let empty = rooms
