--- a/crates/cell/src/engine/crash.rs
+++ b/crates/cell/src/engine/crash.rs
@@ -413,7 +413,7 @@
             if !self.has_try(id, index, now) {
                 continue;
             }
-            let found = self.find_place(id, index, reserved, now);
+            let found = self.find_worker(id, index, reserved, now);
             let run = self.next_run(id, index);
             if !found.is_some_and(|slot| self.start(id, index, slot, run, now)) {
                 self.keep_to_empty(id, reserved, now);
@@ -424,7 +424,7 @@
     }
 
     /// Returns a worker for one task: an empty one if the task has to run alone.
-    pub(super) fn find_place(
+    pub(super) fn find_worker(
         &self,
         id: StepId,
         index: u16,
--- a/crates/cell/src/engine/place.rs
+++ b/crates/cell/src/engine/place.rs
@@ -305,7 +305,7 @@
         let until = stage.gang_since + self.bounds.gang_wait / GANG_REPAIR_DIVISOR;
         if !is_ending && now < until {
             while let (Some(run), Some(index)) = (run, self.first_waiting(id)) {
-                let found = self.find_place(id, index, reserved, now);
+                let found = self.find_worker(id, index, reserved, now);
                 if !found.is_some_and(|slot| self.start(id, index, slot, run, now)) {
                     break;
                 }
