--- a/crates/cell/src/engine/crash.rs
+++ b/crates/cell/src/engine/crash.rs
@@ -455,7 +455,7 @@
     ///
     /// A late step ranks behind all others in a pass; without these reservations, the others would take each piece of
     /// room as soon as it is free.
-    pub(super) fn keep_emptying(&mut self, reserved: &mut Reserved, now: Timestamp) {
+    pub(super) fn reserve_emptying_workers(&mut self, reserved: &mut Reserved, now: Timestamp) {
         let mut emptying = self.emptying.clone();
         emptying.retain(|id, slot| self.is_emptying_needed(*id, *slot, now));
         for (id, slot) in &emptying {
--- a/crates/cell/src/engine/schedule.rs
+++ b/crates/cell/src/engine/schedule.rs
@@ -97,7 +97,7 @@
             }
         }
         let mut reserved = Reserved::default();
-        self.keep_emptying(&mut reserved, now);
+        self.reserve_emptying_workers(&mut reserved, now);
         let (last, cost) = self.schedule_from(None, MAX_PASS_CHECKS, &mut reserved, now);
         let more_cost = self.schedule_skipped(last, &mut reserved, now);
         let cost = u32::try_from(cost + more_cost).unwrap_or(u32::MAX);
