--- a/crates/cell/src/engine/crash.rs
+++ b/crates/cell/src/engine/crash.rs
@@ -416,7 +416,7 @@
             let found = self.find_worker(id, index, reserved, now);
             let run = self.next_run(id, index);
             if !found.is_some_and(|slot| self.start(id, index, slot, run, now)) {
-                self.keep_to_empty(id, reserved, now);
+                self.reserve_until_empty(id, reserved, now);
                 return false;
             }
         }
@@ -459,7 +459,7 @@
         let mut emptying = self.emptying.clone();
         emptying.retain(|id, slot| self.is_emptying_needed(*id, *slot, now));
         for (id, slot) in &emptying {
-            reserved.keep_to_empty(*slot, *id);
+            reserved.reserve_until_empty(*slot, *id);
         }
         self.emptying = emptying;
     }
@@ -479,11 +479,16 @@
     }
 
     /// Reserves a worker until it is empty, if a task of a step has to run alone.
-    pub(super) fn keep_to_empty(&mut self, id: StepId, reserved: &mut Reserved, now: Timestamp) {
+    pub(super) fn reserve_until_empty(
+        &mut self,
+        id: StepId,
+        reserved: &mut Reserved,
+        now: Timestamp,
+    ) {
         if !self.emptying.contains_key(&id)
             && let Some(slot) = self.first_to_empty(id, reserved, now)
         {
-            reserved.keep_to_empty(slot, id);
+            reserved.reserve_until_empty(slot, id);
             self.emptying.insert(id, slot);
         }
         let stage = self.jobs.get_mut(&id.job).and_then(|job| job.stage_mut(id));
--- a/crates/cell/src/engine/place.rs
+++ b/crates/cell/src/engine/place.rs
@@ -259,7 +259,7 @@
             return true;
         }
         let Some(places) = self.find_gang(id, &waiting, reserved, now) else {
-            self.keep_to_empty(id, reserved, now);
+            self.reserve_until_empty(id, reserved, now);
             return false;
         };
         self.count_started_gang(id);
--- a/crates/cell/src/engine/reserve.rs
+++ b/crates/cell/src/engine/reserve.rs
@@ -93,7 +93,7 @@
     }
 
     /// Reserves a worker until it is empty.
-    pub(super) fn keep_to_empty(&mut self, slot: Slot, id: StepId) {
+    pub(super) fn reserve_until_empty(&mut self, slot: Slot, id: StepId) {
         self.draining_count += 1;
         self.reserve([slot].into_iter(), id);
     }
