--- a/crates/cell/src/engine/ask.rs
+++ b/crates/cell/src/engine/ask.rs
@@ -101,7 +101,7 @@
     /// It selects the workers with the most room first, and as many as are likely to hold all tasks of the step, since
     /// a call takes longer the more workers it names. If all workers together have too little room, it names all of
     /// them, since any of them may be the next to have some.
-    pub(super) fn ask(&mut self, id: StepId, now: Timestamp) {
+    pub(super) fn request_advice(&mut self, id: StepId, now: Timestamp) {
         let Some(job) = self.jobs.get(&id.job) else {
             return;
         };
--- a/crates/cell/src/engine/schedule.rs
+++ b/crates/cell/src/engine/schedule.rs
@@ -233,7 +233,7 @@
     /// Asks for advice if needed and starts the tasks of a step that fit. Returns false if some have to wait.
     fn start_fitting(&mut self, id: StepId, reserved: &mut Reserved, now: Timestamp) -> bool {
         if !self.has_advice(id) {
-            self.ask(id, now);
+            self.request_advice(id, now);
             return false;
         }
         self.call_planned(id, now);
