--- a/crates/cell/src/engine/ask.rs
+++ b/crates/cell/src/engine/ask.rs
@@ -109,7 +109,7 @@
             return;
         };
         if !stage.advice.planned.is_empty() {
-            self.call_planned(id, now);
+            self.make_planned_calls(id, now);
             return;
         }
         if !self.may_call(&demand, stage, now) {
@@ -132,7 +132,7 @@
             named.push(slot);
         }
         self.plan_calls(id, named);
-        self.call_planned(id, now);
+        self.make_planned_calls(id, now);
     }
 
     /// Returns the workers that could run a step and were not asked about yet, with at least `min_cpu` processor time
@@ -182,7 +182,7 @@
             if self.may_call(&demand, stage, now) {
                 let further = self.further_workers(&demand, stage, reserved, now);
                 self.plan_calls(id, further);
-                self.call_planned(id, now);
+                self.make_planned_calls(id, now);
             }
             return;
         }
@@ -207,7 +207,7 @@
         }
         if self.may_call(&demand, stage, now) {
             self.plan_calls(id, stale);
-            self.call_planned(id, now);
+            self.make_planned_calls(id, now);
             // Which tickets to renew is decided again once another node is free.
             self.drop_planned(id);
         }
@@ -293,7 +293,7 @@
     ///
     /// The other calls follow as nodes become free, without waiting for the answers to these, so that a gang has all
     /// its answers after the time of one or two calls. Sequential calls take 20 s for a gang of 70 tasks.
-    pub(super) fn call_planned(&mut self, id: StepId, now: Timestamp) {
+    pub(super) fn make_planned_calls(&mut self, id: StepId, now: Timestamp) {
         let Some(job) = self.jobs.get(&id.job) else {
             return;
         };
--- a/crates/cell/src/engine/schedule.rs
+++ b/crates/cell/src/engine/schedule.rs
@@ -236,7 +236,7 @@
             self.request_advice(id, now);
             return false;
         }
-        self.call_planned(id, now);
+        self.make_planned_calls(id, now);
         let is_gang = self
             .jobs
             .get(&id.job)
