--- a/crates/cell/src/engine/ask.rs
+++ b/crates/cell/src/engine/ask.rs
@@ -367,7 +367,7 @@
             took: now.since(call.since),
         });
         let Some(answer) = answer else {
-            self.unask(&call, now);
+            self.handle_unanswered_call(&call, now);
             return;
         };
         let Some(job) = self.jobs.get(&id.job) else {
@@ -409,7 +409,7 @@
     }
 
     /// Notes that a call got no answer, so that the step may ask about its workers again after a delay.
-    pub(super) fn unask(&mut self, call: &Call, now: Timestamp) {
+    pub(super) fn handle_unanswered_call(&mut self, call: &Call, now: Timestamp) {
         let stage = self.jobs.get_mut(&call.step.job);
         if let Some(stage) = stage.and_then(|job| job.stage_mut(call.step)) {
             stage
--- a/crates/cell/src/engine/mod.rs
+++ b/crates/cell/src/engine/mod.rs
@@ -341,7 +341,7 @@
     /// Sets the nodes that can ask for advice.
     pub fn set_hands(&mut self, nodes: &[NodeName], now: Timestamp) {
         for call in self.desk.set_nodes(nodes) {
-            self.unask(&call, now);
+            self.handle_unanswered_call(&call, now);
         }
         self.is_stirred = true;
     }
