--- a/crates/cell/examples/fleet.rs
+++ b/crates/cell/examples/fleet.rs
@@ -379,7 +379,9 @@
                         ticket: "ticket".into(),
                     })
                     .collect();
-                self.call_engine(|engine, now| engine.advised(&node, step, Some(allowed), now));
+                self.call_engine(|engine, now| {
+                    engine.handle_advice(&node, step, Some(allowed), now)
+                });
             }
         }
     }
--- a/crates/cell/src/engine/ask.rs
+++ b/crates/cell/src/engine/ask.rs
@@ -348,7 +348,7 @@
     }
 
     /// Handles the answer of the advice service; `None` stands for a call without an answer.
-    pub fn advised(
+    pub fn handle_advice(
         &mut self,
         node: &NodeName,
         id: StepId,
--- a/crates/cell/tests/cell/world/mod.rs
+++ b/crates/cell/tests/cell/world/mod.rs
@@ -899,7 +899,9 @@
                 self.end_heartbeat(&worker, asked, HeartbeatAnswer::NoAnswer)
             }
             Event::Withdrawn(job) => self.engine.withdraw(job, self.now),
-            Event::AdviceFailed(node, step) => self.engine.advised(&node, step, None, self.now),
+            Event::AdviceFailed(node, step) => {
+                self.engine.handle_advice(&node, step, None, self.now)
+            }
             Event::Recorded(entries) => {
                 for entry in entries {
                     let bytes = record::encode(&entry).expect("a record can be encoded");
@@ -921,7 +923,8 @@
                         worker,
                     })
                     .collect();
-                self.engine.advised(&node, step, Some(advised), self.now);
+                self.engine
+                    .handle_advice(&node, step, Some(advised), self.now);
             }
         }
     }
--- a/crates/node/src/owner/control.rs
+++ b/crates/node/src/owner/control.rs
@@ -235,7 +235,7 @@
             Event::DelegationFailed(node, failure, numbers) => {
                 self.handle_delegation_failure(node, failure, &numbers);
             }
-            Event::Advised(node, step, answer) => engine.advised(&node, step, answer, now),
+            Event::Advised(node, step, answer) => engine.handle_advice(&node, step, answer, now),
             Event::Recorded => engine.recorded(now),
             Event::WorkersChanged(changes) => {
                 changes
