--- a/crates/cell/src/engine/keep.rs
+++ b/crates/cell/src/engine/keep.rs
@@ -49,7 +49,7 @@
 
 /// The changes that wait to be recorded, and the one record write that is in flight.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Ledger {
+pub(super) struct RecordQueue {
     jobs: BTreeSet<JobId>,
     workers: BTreeSet<Slot>,
     /// Workers that are gone for good and whose usage is to be removed from the store.
@@ -82,7 +82,7 @@
     done: Vec<(StepId, u16)>,
 }
 
-impl Ledger {
+impl RecordQueue {
     pub(super) fn add_job(&mut self, job: JobId) {
         self.jobs.insert(job);
     }
--- a/crates/cell/src/engine/mod.rs
+++ b/crates/cell/src/engine/mod.rs
@@ -66,7 +66,7 @@
 use self::{
     agenda::Agenda,
     job::Job,
-    keep::Ledger,
+    keep::RecordQueue,
     room::FreeCapacity,
     schedule::Rank,
     shrink::ReportValidity,
@@ -216,7 +216,7 @@
     /// The share of workers that advice has allowed, by queue.
     experience: AllowedShares,
     /// What has to be put on record, and what waits for that.
-    ledger: Ledger,
+    ledger: RecordQueue,
     /// Jobs whose acceptance is not on record yet, and how long to wait for it.
     announced: BTreeMap<JobId, Timestamp>,
     /// Runs of unknown jobs, which a former owner learned of before their acceptance was on record.
@@ -278,7 +278,7 @@
             crashed: HashMap::default(),
             desk: Nodes::default(),
             experience: AllowedShares::default(),
-            ledger: Ledger::default(),
+            ledger: RecordQueue::default(),
             announced: BTreeMap::new(),
             strangers: HashMap::default(),
             held: Vec::new(),
