--- a/crates/cell/src/engine/ask.rs
+++ b/crates/cell/src/engine/ask.rs
@@ -186,7 +186,7 @@
             }
             return;
         }
-        let departure = self.leaves(now);
+        let departure = self.expected_departure(now);
         let is_stale = |slot: &Slot| {
             let worker = self.workers.get(slot);
             worker.is_none_or(|worker| stage.advice.ticket(*slot, worker, departure).is_none())
--- a/crates/cell/src/engine/keep.rs
+++ b/crates/cell/src/engine/keep.rs
@@ -134,7 +134,7 @@
     ///
     /// Its ticket has to be usable then. Without this estimate, if a write takes 0.4 s, steps that have waited for room
     /// take it with tickets that expire before their orders leave, and take it again after another call for advice.
-    pub(super) fn leaves(&self, now: Timestamp) -> Timestamp {
+    pub(super) fn expected_departure(&self, now: Timestamp) -> Timestamp {
         now + self.ledger.expected_delay(now)
     }
 
--- a/crates/cell/src/engine/place.rs
+++ b/crates/cell/src/engine/place.rs
@@ -90,7 +90,7 @@
             return false;
         }
         let stage = job.stage(demand.id);
-        let leaves = self.leaves(now);
+        let leaves = self.expected_departure(now);
         demand.queue.advice.is_none()
             || stage.is_some_and(|stage| stage.advice.ticket(slot, worker, leaves).is_some())
     }
--- a/crates/cell/src/engine/wait.rs
+++ b/crates/cell/src/engine/wait.rs
@@ -260,7 +260,7 @@
         };
         survey.named = stage.advice.asked.len();
         let needs_no_ticket = demand.queue.advice.is_none();
-        let departure = self.leaves(now);
+        let departure = self.expected_departure(now);
         let has_ticket = |slot, worker| {
             needs_no_ticket || stage.advice.ticket(slot, worker, departure).is_some()
         };
