--- a/crates/cell/src/engine/keep.rs
+++ b/crates/cell/src/engine/keep.rs
@@ -141,7 +141,7 @@
     /// Writes all changes that wait to be recorded, unless a write is in flight.
     ///
     /// Changes that arrive meanwhile go into the next write, so that the store's latency determines the batch size.
-    pub(super) fn keep(&mut self, now: Timestamp) {
+    pub(super) fn write_record(&mut self, now: Timestamp) {
         if self.ledger.in_flight.is_some()
             || (self.ledger.is_waiting() && now < self.ledger.next_write)
         {
--- a/crates/cell/src/engine/mod.rs
+++ b/crates/cell/src/engine/mod.rs
@@ -362,7 +362,7 @@
             self.is_stirred = false;
             self.schedule(now);
         }
-        self.keep(now);
+        self.write_record(now);
         self.forget_ended(now);
         self.call_workers(now);
         std::mem::take(&mut self.outbox)
