--- a/crates/cell/examples/fleet.rs
+++ b/crates/cell/examples/fleet.rs
@@ -368,7 +368,7 @@
     fn handle(&mut self, event: Event) {
         match event {
             Event::End(worker, task, run) => self.end(&worker, task, run, ExitReason::Done),
-            Event::Recorded => self.call_engine(|engine, now| engine.recorded(now)),
+            Event::Recorded => self.call_engine(|engine, now| engine.handle_recorded(now)),
             Event::Advised(node, step, workers) => {
                 let share = kind_of(step.job).advice.1;
                 let rng = &mut self.rng;
--- a/crates/cell/src/engine/keep.rs
+++ b/crates/cell/src/engine/keep.rs
@@ -214,7 +214,7 @@
     }
 
     /// Handles the completion of the record write in flight.
-    pub fn recorded(&mut self, now: Timestamp) {
+    pub fn handle_recorded(&mut self, now: Timestamp) {
         let Some(flight) = self.ledger.in_flight.take() else {
             return;
         };
--- a/crates/cell/tests/cell/incarnation.rs
+++ b/crates/cell/tests/cell/incarnation.rs
@@ -156,7 +156,7 @@
                 match effect {
                     Effect::Record(entries) if self.has_store => {
                         self.records.extend(entries);
-                        self.engine.recorded(self.now);
+                        self.engine.handle_recorded(self.now);
                     }
                     Effect::Heartbeat(heartbeat) => self.heartbeats.push(heartbeat),
                     Effect::Start(start) => self.starts.push(*start),
@@ -384,7 +384,7 @@
     let heartbeat = harness.heartbeats.pop().unwrap();
     harness.answer_heartbeat(&heartbeat, HeartbeatAnswer::ConnectionLost);
     harness.has_store = true;
-    harness.engine.recorded(harness.now);
+    harness.engine.handle_recorded(harness.now);
     harness.advance(50 * MILLISECOND);
     assert_eq!(harness.starts, []);
     // The same incarnation answers again, and the task is placed again.
@@ -404,7 +404,7 @@
     assert_eq!(harness.submit(JobId(1), 1), []);
     harness.report(FIRST, Some(Duration::from_secs(2)));
     harness.has_store = true;
-    harness.engine.recorded(harness.now);
+    harness.engine.handle_recorded(harness.now);
     harness.advance(50 * MILLISECOND);
     assert_eq!(harness.starts, []);
 }
--- a/crates/cell/tests/cell/overtaking.rs
+++ b/crates/cell/tests/cell/overtaking.rs
@@ -53,7 +53,7 @@
             return all;
         }
         if new.iter().any(|effect| matches!(effect, Effect::Record(_))) {
-            engine.recorded(now);
+            engine.handle_recorded(now);
         }
         all.extend(new);
     }
--- a/crates/cell/tests/cell/pace.rs
+++ b/crates/cell/tests/cell/pace.rs
@@ -151,7 +151,7 @@
         let now = self.now;
         match effect {
             Effect::Heartbeat(heartbeat) => self.heartbeats.push(heartbeat),
-            Effect::Record(_) => self.engine.recorded(now),
+            Effect::Record(_) => self.engine.handle_recorded(now),
             Effect::Start(start) => {
                 let worker = start.to.worker;
                 let (task, run) = (start.task, start.run);
--- a/crates/cell/tests/cell/takeover.rs
+++ b/crates/cell/tests/cell/takeover.rs
@@ -138,7 +138,7 @@
                     let empty = HeartbeatAnswer::Listed(Inventory::default());
                     engine.handle_heartbeat_answer(&healthy, hold.asked, empty, now);
                 }
-                Effect::Record(_) => engine.recorded(now),
+                Effect::Record(_) => engine.handle_recorded(now),
                 _ => {}
             }
         }
--- a/crates/cell/tests/cell/world/mod.rs
+++ b/crates/cell/tests/cell/world/mod.rs
@@ -909,7 +909,7 @@
                         record::decode(&bytes).expect("the record can be decoded again");
                     self.records.insert(entry.key(), entry);
                 }
-                self.engine.recorded(self.now);
+                self.engine.handle_recorded(self.now);
             }
             Event::Advised(node, step, workers) => {
                 // Allows two thirds of the workers, determined by the job and the worker's slot.
--- a/crates/node/src/owner/control.rs
+++ b/crates/node/src/owner/control.rs
@@ -236,7 +236,7 @@
                 self.handle_delegation_failure(node, failure, &numbers);
             }
             Event::Advised(node, step, answer) => engine.handle_advice(&node, step, answer, now),
-            Event::Recorded => engine.recorded(now),
+            Event::Recorded => engine.handle_recorded(now),
             Event::WorkersChanged(changes) => {
                 changes
                     .into_iter()
