--- a/crates/cell/src/engine/job.rs
+++ b/crates/cell/src/engine/job.rs
@@ -48,7 +48,7 @@
     /// The run that may be under way.
     pub(super) active: Option<(Slot, Run)>,
     /// Other runs that may be under way and are being stopped; the task starts again only once all are gone.
-    pub(super) others: Vec<(Slot, Run)>,
+    pub(super) stopping: Vec<(Slot, Run)>,
     pub(super) is_done: bool,
     /// The runs that have failed; those of a gang are kept with its first member.
     pub(super) failures: Vec<Run>,
@@ -98,8 +98,8 @@
                 true
             }
             Some(active) => {
-                if active != (slot, run) && !self.others.contains(&(slot, run)) {
-                    self.others.push((slot, run));
+                if active != (slot, run) && !self.stopping.contains(&(slot, run)) {
+                    self.stopping.push((slot, run));
                 }
                 false
             }
@@ -109,10 +109,10 @@
     /// Removes a run that is certainly gone; returns whether it was the last that may have been under way.
     pub(super) fn end_run(&mut self, slot: Slot, run: Run) -> bool {
         if self.active != Some((slot, run)) {
-            self.others.retain(|other| *other != (slot, run));
+            self.stopping.retain(|other| *other != (slot, run));
             return false;
         }
-        self.active = self.others.pop();
+        self.active = self.stopping.pop();
         self.active.is_none()
     }
 }
