--- a/crates/cell/src/engine/crash.rs
+++ b/crates/cell/src/engine/crash.rs
@@ -390,7 +390,7 @@
         state
             .filter(|state| state.is_suspect())
             .is_some_and(|state| {
-                let since = state.apart_since.unwrap_or(now);
+                let since = state.waits_for_empty_since.unwrap_or(now);
                 let max_wait = match self.emptying.contains_key(&id) {
                     true => MAX_WAIT_FOR_EMPTYING_WORKER,
                     false => MAX_WAIT_FOR_EMPTY_WORKER,
@@ -498,7 +498,7 @@
         let suspects: Vec<u16> = stage.suspects().collect();
         for index in suspects {
             if let Some(state) = stage.task_mut(index) {
-                state.apart_since.get_or_insert(now);
+                state.waits_for_empty_since.get_or_insert(now);
             }
         }
     }
--- a/crates/cell/src/engine/job.rs
+++ b/crates/cell/src/engine/job.rs
@@ -55,7 +55,7 @@
     /// The crashes of workers that had just started the task.
     pub(super) crashes: Vec<Crash>,
     /// When the task began to wait for an empty worker.
-    pub(super) apart_since: Option<Timestamp>,
+    pub(super) waits_for_empty_since: Option<Timestamp>,
     /// Runs on workers that were given up, each with the time until which its worker may still return and report that
     /// the run failed.
     pub(super) lost: Vec<(Run, Timestamp)>,
--- a/crates/cell/src/engine/place.rs
+++ b/crates/cell/src/engine/place.rs
@@ -426,7 +426,7 @@
         if let Some(task) = stage.task_mut(index) {
             task.active = Some((slot, run));
             task.last = run;
-            task.apart_since = None;
+            task.waits_for_empty_since = None;
             checkpoint = task.checkpoint.clone();
         }
         self.note(LogRecord::Placed {
