--- a/crates/cell/src/engine/job.rs
+++ b/crates/cell/src/engine/job.rs
@@ -58,7 +58,7 @@
     pub(super) waits_for_empty_since: Option<Timestamp>,
     /// Runs on workers that were given up, each with the time until which its worker may still return and report that
     /// the run failed.
-    pub(super) lost: Vec<(Run, Timestamp)>,
+    pub(super) lost_runs: Vec<(Run, Timestamp)>,
     /// The last run that was started.
     pub(super) last: Run,
     pub(super) checkpoint: Option<Arc<str>>,
@@ -188,7 +188,7 @@
     pub(super) fn tries_used(&self, index: u16, is_gang: bool, now: Timestamp) -> usize {
         let state = self.task(index);
         let lost = state.map_or(0, |task| {
-            let lost = task.lost.iter();
+            let lost = task.lost_runs.iter();
             let lost = lost.filter(|(run, until)| *until > now && !task.failures.contains(run));
             lost.count()
         });
--- a/crates/cell/src/engine/loss.rs
+++ b/crates/cell/src/engine/loss.rs
@@ -114,7 +114,7 @@
             let stage = self.jobs.get_mut(&task.step.job);
             let stage = stage.and_then(|job| job.stage_mut(task.step));
             if let Some(own) = stage.and_then(|stage| stage.task_mut(task.index)) {
-                own.lost.push((run, now + LATE_RETURN_PERIOD));
+                own.lost_runs.push((run, now + LATE_RETURN_PERIOD));
             }
         }
     }
