--- a/crates/cell/src/engine/contact.rs
+++ b/crates/cell/src/engine/contact.rs
@@ -404,7 +404,7 @@
             && let Some(stage) = job.stage_mut(task.step)
             && let Some(state) = stage.task_mut(task.index)
         {
-            state.last = state.last.max(run);
+            state.last_run = state.last_run.max(run);
             alone = state.is_suspect();
             if !is_over && !state.is_done && state.note_run(slot, run) {
                 stage.waiting.remove(&task.index);
--- a/crates/cell/src/engine/job.rs
+++ b/crates/cell/src/engine/job.rs
@@ -60,7 +60,7 @@
     /// the run failed.
     pub(super) lost_runs: Vec<(Run, Timestamp)>,
     /// The last run that was started.
-    pub(super) last: Run,
+    pub(super) last_run: Run,
     pub(super) checkpoint: Option<Arc<str>>,
     /// The worker on which the task failed last; avoided while others have room.
     pub(super) avoid: Option<Slot>,
@@ -91,7 +91,7 @@
 impl Task {
     /// Adds a run that may be under way; returns whether it is the only one.
     pub(super) fn note_run(&mut self, slot: Slot, run: Run) -> bool {
-        self.last = self.last.max(run);
+        self.last_run = self.last_run.max(run);
         match self.active {
             None => {
                 self.active = Some((slot, run));
--- a/crates/cell/src/engine/place.rs
+++ b/crates/cell/src/engine/place.rs
@@ -163,7 +163,7 @@
     pub(super) fn next_run(&self, id: StepId, index: u16) -> Run {
         let stage = self.jobs.get(&id.job).and_then(|job| job.stage(id));
         let last = stage.and_then(|stage| stage.task(index));
-        let last = last.map_or(Run(0), |task| task.last);
+        let last = last.map_or(Run(0), |task| task.last_run);
         self.epoch.first_run().max(Run(last.0 + 1))
     }
 
@@ -425,7 +425,7 @@
         let mut checkpoint = None;
         if let Some(task) = stage.task_mut(index) {
             task.active = Some((slot, run));
-            task.last = run;
+            task.last_run = run;
             task.waits_for_empty_since = None;
             checkpoint = task.checkpoint.clone();
         }
