--- a/crates/cell/src/engine/end.rs
+++ b/crates/cell/src/engine/end.rs
@@ -161,7 +161,7 @@
         let Some(state) = stage.task_mut(counted) else {
             return;
         };
-        state.avoid = Some(slot);
+        state.avoided_worker = Some(slot);
         // Each member of a gang reports the same failure, and a new owner may be told of one that is already recorded.
         if is_lasting || state.failures.contains(&run) {
             return;
--- a/crates/cell/src/engine/job.rs
+++ b/crates/cell/src/engine/job.rs
@@ -63,7 +63,7 @@
     pub(super) last_run: Run,
     pub(super) checkpoint: Option<Arc<str>>,
     /// The worker on which the task failed last; avoided while others have room.
-    pub(super) avoid: Option<Slot>,
+    pub(super) avoided_worker: Option<Slot>,
 }
 
 /// The state of one step of one occurrence.
--- a/crates/cell/src/engine/place.rs
+++ b/crates/cell/src/engine/place.rs
@@ -178,7 +178,7 @@
         let job = self.jobs.get(&id.job)?;
         let demand = self.demand(job, id)?;
         let stage = job.stage(id)?;
-        let avoid = stage.task(index)?.avoid;
+        let avoid = stage.task(index)?.avoided_worker;
         let fitting = self.roomy(&demand, stage).filter(|(slot, worker)| {
             !reserved.holds(*slot, id)
                 && self.suits(job, &demand, *slot, worker, now)
