--- a/crates/cell/src/engine/end.rs
+++ b/crates/cell/src/engine/end.rs
@@ -113,7 +113,7 @@
                 continue;
             };
             // Members of the same gang run end by themselves; other runs of a done task are stopped.
-            let other = state.active.filter(|(_, active)| *active != run);
+            let other = state.active_run.filter(|(_, active)| *active != run);
             others.extend(other.map(|(slot, run)| (slot, index, run)));
             if !std::mem::replace(&mut state.is_done, true) {
                 stage.done += 1;
@@ -190,7 +190,7 @@
         let members = (0u16..).zip(&stage.tasks);
         let members: Vec<(u16, Slot)> = members
             .filter_map(|(index, member)| {
-                let (slot, active) = member.active?;
+                let (slot, active) = member.active_run?;
                 (active == run && !member.is_done).then_some((index, slot))
             })
             .collect();
--- a/crates/cell/src/engine/job.rs
+++ b/crates/cell/src/engine/job.rs
@@ -46,7 +46,7 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct Task {
     /// The run that may be under way.
-    pub(super) active: Option<(Slot, Run)>,
+    pub(super) active_run: Option<(Slot, Run)>,
     /// Other runs that may be under way and are being stopped; the task starts again only once all are gone.
     pub(super) stopping: Vec<(Slot, Run)>,
     pub(super) is_done: bool,
@@ -92,9 +92,9 @@
     /// Adds a run that may be under way; returns whether it is the only one.
     pub(super) fn note_run(&mut self, slot: Slot, run: Run) -> bool {
         self.last_run = self.last_run.max(run);
-        match self.active {
+        match self.active_run {
             None => {
-                self.active = Some((slot, run));
+                self.active_run = Some((slot, run));
                 true
             }
             Some(active) => {
@@ -108,12 +108,12 @@
 
     /// Removes a run that is certainly gone; returns whether it was the last that may have been under way.
     pub(super) fn end_run(&mut self, slot: Slot, run: Run) -> bool {
-        if self.active != Some((slot, run)) {
+        if self.active_run != Some((slot, run)) {
             self.stopping.retain(|other| *other != (slot, run));
             return false;
         }
-        self.active = self.stopping.pop();
-        self.active.is_none()
+        self.active_run = self.stopping.pop();
+        self.active_run.is_none()
     }
 }
 
@@ -199,7 +199,7 @@
 
     /// Returns how many tasks have a run that may be under way.
     pub(super) fn active(&self) -> usize {
-        let active = self.tasks.iter().filter(|task| task.active.is_some());
+        let active = self.tasks.iter().filter(|task| task.active_run.is_some());
         active.count()
     }
 }
--- a/crates/cell/src/engine/place.rs
+++ b/crates/cell/src/engine/place.rs
@@ -292,7 +292,7 @@
         let active = stage.tasks.iter().enumerate();
         let active: Vec<(u16, Slot, Run)> = active
             .filter_map(|(index, task)| {
-                let (slot, run) = task.active?;
+                let (slot, run) = task.active_run?;
                 Some((u16::try_from(index).ok()?, slot, run))
             })
             .collect();
@@ -424,7 +424,7 @@
         stage.explained = now;
         let mut checkpoint = None;
         if let Some(task) = stage.task_mut(index) {
-            task.active = Some((slot, run));
+            task.active_run = Some((slot, run));
             task.last_run = run;
             task.waits_for_empty_since = None;
             checkpoint = task.checkpoint.clone();
--- a/crates/cell/src/engine/submit.rs
+++ b/crates/cell/src/engine/submit.rs
@@ -204,7 +204,8 @@
                     };
                     let tasks = (0u16..).zip(&stage.tasks);
                     active.extend(tasks.filter_map(|(index, task)| {
-                        task.active.map(|(slot, run)| (slot, step.task(index), run))
+                        task.active_run
+                            .map(|(slot, run)| (slot, step.task(index), run))
                     }));
                 }
             }
