--- a/crates/cell/src/engine/job.rs
+++ b/crates/cell/src/engine/job.rs
@@ -74,7 +74,7 @@
     pub(super) waiting: BTreeSet<u16>,
     pub(super) done: u16,
     /// How many tasks are done according to the store; later steps start by this number.
-    pub(super) kept: u16,
+    pub(super) recorded_done: u16,
     /// When the step was opened: its predecessors are done, so that it may start.
     pub(super) opened: Option<Timestamp>,
     pub(super) advice: Advice,
@@ -123,7 +123,7 @@
             tasks: vec![Task::default(); usize::from(step.count)],
             waiting: BTreeSet::new(),
             done: 0,
-            kept: 0,
+            recorded_done: 0,
             opened: None,
             advice: Advice::default(),
             wait: None,
@@ -149,7 +149,7 @@
                 stage.waiting.insert(index);
             }
         }
-        stage.kept = stage.done;
+        stage.recorded_done = stage.done;
         stage
     }
 
--- a/crates/cell/src/engine/keep.rs
+++ b/crates/cell/src/engine/keep.rs
@@ -234,7 +234,7 @@
         };
         for (step, done) in snapshot.done {
             if let Some(stage) = job.stage_mut(step) {
-                stage.kept = done;
+                stage.recorded_done = done;
             }
         }
         let is_new = job.kept_outcome.is_none();
--- a/crates/cell/src/engine/submit.rs
+++ b/crates/cell/src/engine/submit.rs
@@ -135,7 +135,7 @@
             for (index, step) in spec.steps.iter().enumerate() {
                 let is_ready = step.after.iter().all(|after| {
                     let earlier = &stages[usize::from(*after)];
-                    usize::from(earlier.kept) == earlier.tasks.len()
+                    usize::from(earlier.recorded_done) == earlier.tasks.len()
                 });
                 let stage = &mut stages[index];
                 if !is_ready || stage.waiting.is_empty() {
