--- a/crates/cell/src/engine/contact.rs
+++ b/crates/cell/src/engine/contact.rs
@@ -408,7 +408,7 @@
             alone = state.is_suspect();
             if !is_over && !state.is_done && state.note_run(slot, run) {
                 stage.waiting.remove(&task.index);
-                stage.opened.get_or_insert(now);
+                stage.opened_at.get_or_insert(now);
                 is_wanted = true;
             }
         } else {
--- a/crates/cell/src/engine/job.rs
+++ b/crates/cell/src/engine/job.rs
@@ -76,7 +76,7 @@
     /// How many tasks are done according to the store; later steps start by this number.
     pub(super) recorded_done: u16,
     /// When the step was opened: its predecessors are done, so that it may start.
-    pub(super) opened: Option<Timestamp>,
+    pub(super) opened_at: Option<Timestamp>,
     pub(super) advice: Advice,
     /// The wait reason that was last logged.
     pub(super) wait: Option<WaitReason>,
@@ -124,7 +124,7 @@
             waiting: BTreeSet::new(),
             done: 0,
             recorded_done: 0,
-            opened: None,
+            opened_at: None,
             advice: Advice::default(),
             wait: None,
             explained: Timestamp::ZERO,
--- a/crates/cell/src/engine/loss.rs
+++ b/crates/cell/src/engine/loss.rs
@@ -55,7 +55,7 @@
             return;
         }
         stage.waiting.insert(task.index);
-        stage.opened.get_or_insert(now);
+        stage.opened_at.get_or_insert(now);
         self.agenda.insert(task.step);
     }
 
--- a/crates/cell/src/engine/place.rs
+++ b/crates/cell/src/engine/place.rs
@@ -418,7 +418,7 @@
         let heard = worker.time_since_heard(now);
         let ticket = stage.advice.ticket(slot, worker, now).cloned();
         let worker = worker.registration.id.clone();
-        let waited = stage.opened.map(|opened| now.since(opened));
+        let waited = stage.opened_at.map(|opened| now.since(opened));
         stage.waiting.remove(&index);
         stage.wait = None;
         stage.explained = now;
--- a/crates/cell/src/engine/submit.rs
+++ b/crates/cell/src/engine/submit.rs
@@ -141,8 +141,8 @@
                 if !is_ready || stage.waiting.is_empty() {
                     continue;
                 }
-                if stage.opened.is_none() {
-                    stage.opened = Some(now);
+                if stage.opened_at.is_none() {
+                    stage.opened_at = Some(now);
                     stage.started_before = started;
                 }
                 self.agenda.insert(StepId {
--- a/crates/cell/src/engine/wait.rs
+++ b/crates/cell/src/engine/wait.rs
@@ -239,7 +239,7 @@
     pub(super) fn is_wait_reason_recent(&self, id: StepId, now: Timestamp) -> bool {
         let stage = self.jobs.get(&id.job).and_then(|job| job.stage(id));
         stage.is_none_or(|stage| {
-            let opened = stage.opened.unwrap_or(now);
+            let opened = stage.opened_at.unwrap_or(now);
             now < stage.explained.max(opened) + WAIT_REASON_INTERVAL
         })
     }
@@ -300,7 +300,7 @@
             return;
         }
         let tasks = stage.waiting.len();
-        let waited = stage.opened.map(|opened| now.since(opened));
+        let waited = stage.opened_at.map(|opened| now.since(opened));
         let step = self.jobs.get(&id.job).and_then(|job| job.step(id));
         let label = step.and_then(|step| step.requires.clone());
         self.note(LogRecord::Waiting {
