--- a/crates/cell/src/engine/job.rs
+++ b/crates/cell/src/engine/job.rs
@@ -79,7 +79,7 @@
     pub(super) opened_at: Option<Timestamp>,
     pub(super) advice: Advice,
     /// The wait reason that was last logged.
-    pub(super) wait: Option<WaitReason>,
+    pub(super) wait_reason: Option<WaitReason>,
     /// When the wait reason was last evaluated.
     pub(super) explained: Timestamp,
     /// When the current run of a gang was decided.
@@ -126,7 +126,7 @@
             recorded_done: 0,
             opened_at: None,
             advice: Advice::default(),
-            wait: None,
+            wait_reason: None,
             explained: Timestamp::ZERO,
             gang_since: Timestamp::ZERO,
             started_before: 0,
--- a/crates/cell/src/engine/place.rs
+++ b/crates/cell/src/engine/place.rs
@@ -420,7 +420,7 @@
         let worker = worker.registration.id.clone();
         let waited = stage.opened_at.map(|opened| now.since(opened));
         stage.waiting.remove(&index);
-        stage.wait = None;
+        stage.wait_reason = None;
         stage.explained = now;
         let mut checkpoint = None;
         if let Some(task) = stage.task_mut(index) {
--- a/crates/cell/src/engine/wait.rs
+++ b/crates/cell/src/engine/wait.rs
@@ -296,7 +296,7 @@
             return;
         };
         stage.explained = now;
-        if stage.wait.replace(why) == Some(why) {
+        if stage.wait_reason.replace(why) == Some(why) {
             return;
         }
         let tasks = stage.waiting.len();
