--- a/crates/cell/src/engine/job.rs
+++ b/crates/cell/src/engine/job.rs
@@ -81,7 +81,7 @@
     /// The wait reason that was last logged.
     pub(super) wait_reason: Option<WaitReason>,
     /// When the wait reason was last evaluated.
-    pub(super) explained: Timestamp,
+    pub(super) wait_reason_at: Timestamp,
     /// When the current run of a gang was decided.
     pub(super) gang_since: Timestamp,
     /// How many gangs of its queue had started when the step was opened.
@@ -127,7 +127,7 @@
             opened_at: None,
             advice: Advice::default(),
             wait_reason: None,
-            explained: Timestamp::ZERO,
+            wait_reason_at: Timestamp::ZERO,
             gang_since: Timestamp::ZERO,
             started_before: 0,
         };
--- a/crates/cell/src/engine/place.rs
+++ b/crates/cell/src/engine/place.rs
@@ -421,7 +421,7 @@
         let waited = stage.opened_at.map(|opened| now.since(opened));
         stage.waiting.remove(&index);
         stage.wait_reason = None;
-        stage.explained = now;
+        stage.wait_reason_at = now;
         let mut checkpoint = None;
         if let Some(task) = stage.task_mut(index) {
             task.active_run = Some((slot, run));
--- a/crates/cell/src/engine/wait.rs
+++ b/crates/cell/src/engine/wait.rs
@@ -240,7 +240,7 @@
         let stage = self.jobs.get(&id.job).and_then(|job| job.stage(id));
         stage.is_none_or(|stage| {
             let opened = stage.opened_at.unwrap_or(now);
-            now < stage.explained.max(opened) + WAIT_REASON_INTERVAL
+            now < stage.wait_reason_at.max(opened) + WAIT_REASON_INTERVAL
         })
     }
 
@@ -295,7 +295,7 @@
         let Some(stage) = stage else {
             return;
         };
-        stage.explained = now;
+        stage.wait_reason_at = now;
         if stage.wait_reason.replace(why) == Some(why) {
             return;
         }
