--- a/crates/cell/src/engine/job.rs
+++ b/crates/cell/src/engine/job.rs
@@ -85,7 +85,7 @@
     /// When the current run of a gang was decided.
     pub(super) gang_since: Timestamp,
     /// How many gangs of its queue had started when the step was opened.
-    pub(super) started_before: u64,
+    pub(super) gangs_started_before: u64,
 }
 
 impl Task {
@@ -129,7 +129,7 @@
             wait_reason: None,
             wait_reason_at: Timestamp::ZERO,
             gang_since: Timestamp::ZERO,
-            started_before: 0,
+            gangs_started_before: 0,
         };
         for failures in &recorded.failures {
             if let Some(task) = stage.tasks.get_mut(usize::from(failures.index)) {
--- a/crates/cell/src/engine/schedule.rs
+++ b/crates/cell/src/engine/schedule.rs
@@ -162,7 +162,7 @@
         let promoted = self.promoted.get(queue);
         let promoted = promoted.and_then(|promoted| self.agenda.rank_of(*promoted));
         let is_free = promoted.is_none_or(|rank| rank.lateness == Lateness::Worthless);
-        let others = started.saturating_sub(stage.started_before);
+        let others = started.saturating_sub(stage.gangs_started_before);
         if is_free && others >= MAX_OVERTAKING_GANGS {
             self.promoted.insert(queue.clone(), id);
             self.agenda.unrank_one(id);
--- a/crates/cell/src/engine/submit.rs
+++ b/crates/cell/src/engine/submit.rs
@@ -143,7 +143,7 @@
                 }
                 if stage.opened_at.is_none() {
                     stage.opened_at = Some(now);
-                    stage.started_before = started;
+                    stage.gangs_started_before = started;
                 }
                 self.agenda.insert(StepId {
                     job: id,
