--- a/crates/cell/src/engine/forget.rs
+++ b/crates/cell/src/engine/forget.rs
@@ -76,7 +76,7 @@
             return true;
         };
         // A cancellation is recorded before the engine is told of it.
-        job.kept_outcome.is_some() || (job.is_cancelled && job.outcome.is_none())
+        job.recorded_outcome.is_some() || (job.is_cancelled && job.outcome.is_none())
     }
 
     /// Removes a job, and queues its acceptance for removal from the store.
@@ -85,7 +85,7 @@
             return;
         };
         let workspace = job.workspace().cloned();
-        if let Some(outcome) = job.kept_outcome {
+        if let Some(outcome) = job.recorded_outcome {
             let workspace = workspace.clone();
             self.ended.insert(id, Ended { outcome, workspace });
         }
--- a/crates/cell/src/engine/job.rs
+++ b/crates/cell/src/engine/job.rs
@@ -217,7 +217,7 @@
     /// The outcome, once it is decided.
     pub(super) outcome: Option<Outcome>,
     /// The outcome according to the store, which is what callers see.
-    pub(super) kept_outcome: Option<Outcome>,
+    pub(super) recorded_outcome: Option<Outcome>,
     /// How long the job may take from its start to be in time.
     objective: Duration,
     /// The length of the critical path from the start of each step on, by the estimates.
@@ -240,7 +240,7 @@
             has_begun: progress.has_begun(),
             occurrences: BTreeMap::new(),
             outcome: progress.outcome,
-            kept_outcome: progress.outcome,
+            recorded_outcome: progress.outcome,
             chains,
             objective,
             accepted,
--- a/crates/cell/src/engine/keep.rs
+++ b/crates/cell/src/engine/keep.rs
@@ -237,8 +237,8 @@
                 stage.recorded_done = done;
             }
         }
-        let is_new = job.kept_outcome.is_none();
-        job.kept_outcome = job.kept_outcome.or(snapshot.outcome);
+        let is_new = job.recorded_outcome.is_none();
+        job.recorded_outcome = job.recorded_outcome.or(snapshot.outcome);
         if let Some(outcome) = snapshot.outcome.filter(|_| is_new) {
             let after = now.since(job.accepted.received);
             self.note(LogRecord::Finished {
--- a/crates/cell/src/engine/view.rs
+++ b/crates/cell/src/engine/view.rs
@@ -110,7 +110,7 @@
         if !is_seen(job.workspace()) {
             return None;
         }
-        Some(match job.kept_outcome {
+        Some(match job.recorded_outcome {
             Some(outcome) => outcome.into(),
             None if job.is_cancelled => State::Cancelled,
             None if job.has_begun => State::Running,
