--- a/crates/cell/src/engine/job.rs
+++ b/crates/cell/src/engine/job.rs
@@ -279,7 +279,7 @@
     }
 
     /// Returns how many occurrences the job has.
-    pub(super) fn times(&self) -> u32 {
+    pub(super) fn occurrence_count(&self) -> u32 {
         self.spec().schedule.map_or(1, |schedule| schedule.times)
     }
 
@@ -301,7 +301,8 @@
     pub(super) fn is_done(&self) -> bool {
         let begun = u32::try_from(self.occurrences.len()).unwrap_or(u32::MAX);
         let mut stages = self.occurrences.values().flatten();
-        begun >= self.times() && stages.all(|stage| usize::from(stage.done) == stage.tasks.len())
+        begun >= self.occurrence_count()
+            && stages.all(|stage| usize::from(stage.done) == stage.tasks.len())
     }
 
     /// Returns the progress to record.
