--- a/crates/cell/src/engine/job.rs
+++ b/crates/cell/src/engine/job.rs
@@ -335,7 +335,7 @@
     }
 
     /// Returns the time after which the completion of an occurrence is worth nothing.
-    pub(super) fn worthless(&self, occurrence: u32) -> Timestamp {
+    pub(super) fn worthless_after(&self, occurrence: u32) -> Timestamp {
         self.start_of(occurrence) + self.objective * WORTHLESS_AFTER_OBJECTIVES
     }
 }
--- a/crates/cell/src/engine/schedule.rs
+++ b/crates/cell/src/engine/schedule.rs
@@ -205,7 +205,7 @@
     pub(super) fn rank(&self, id: StepId, now: Timestamp) -> Option<(Rank, Option<Timestamp>)> {
         let job = self.jobs.get(&id.job)?;
         let latest_start = job.latest_start(id);
-        let worthless = job.worthless(id.occurrence);
+        let worthless = job.worthless_after(id.occurrence);
         let (lateness, until) = match () {
             // A long-running service has a value for as long as it runs, whenever it starts.
             () if job.step(id).is_some_and(|step| step.long_running) => (Lateness::InTime, None),
