--- a/crates/cell/src/engine/job.rs
+++ b/crates/cell/src/engine/job.rs
@@ -198,7 +198,7 @@
     }
 
     /// Returns how many tasks have a run that may be under way.
-    pub(super) fn active(&self) -> usize {
+    pub(super) fn active_count(&self) -> usize {
         let active = self.tasks.iter().filter(|task| task.active_run.is_some());
         active.count()
     }
--- a/crates/cell/src/engine/limit.rs
+++ b/crates/cell/src/engine/limit.rs
@@ -123,7 +123,7 @@
     fn needed_quota(&self, id: StepId, charge: Charge) -> Option<Resources> {
         let job = self.jobs.get(&id.job)?;
         let (step, stage) = (job.step(id)?, job.stage(id)?);
-        let count = match step.gang && stage.active() == 0 {
+        let count = match step.gang && stage.active_count() == 0 {
             true => u32::try_from(stage.waiting.len()).ok()?,
             false => 1,
         };
--- a/crates/cell/src/engine/place.rs
+++ b/crates/cell/src/engine/place.rs
@@ -251,7 +251,7 @@
             self.agenda.remove(id);
             return true;
         }
-        if stage.active() > 0 {
+        if stage.active_count() > 0 {
             return self.repair_gang(id, reserved, now);
         }
         let waiting: Vec<u16> = stage.waiting.iter().copied().collect();
