--- a/crates/cell/src/engine/agenda.rs
+++ b/crates/cell/src/engine/agenda.rs
@@ -25,7 +25,7 @@
 /// The rank of a step changes only when its job becomes late or worth nothing, or when the configuration changes. Since
 /// ranks are stored, a pass over 20,000 waiting steps begins with the most urgent one without ranking the others again.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Agenda {
+pub(super) struct OpenSteps {
     /// All open steps, with their ranks once they are computed.
     steps: BTreeMap<StepId, Option<Rank>>,
     ranked: BTreeSet<Rank>,
@@ -34,7 +34,7 @@
     changes: Timers<StepId>,
 }
 
-impl Agenda {
+impl OpenSteps {
     /// Adds a step, unless it is present.
     pub(super) fn insert(&mut self, id: StepId) {
         if let Entry::Vacant(place) = self.steps.entry(id) {
--- a/crates/cell/src/engine/mod.rs
+++ b/crates/cell/src/engine/mod.rs
@@ -64,7 +64,7 @@
 };
 
 use self::{
-    agenda::Agenda,
+    agenda::OpenSteps,
     job::Job,
     keep::RecordQueue,
     room::FreeCapacity,
@@ -194,7 +194,7 @@
     reports: ReportValidity,
     next_slot: u32,
     /// Open steps that have tasks to start.
-    agenda: Agenda,
+    agenda: OpenSteps,
     /// Open steps that no known worker could run.
     aside: BTreeSet<StepId>,
     /// The workers, indexed by their free resources.
@@ -267,7 +267,7 @@
             slots: HashMap::default(),
             reports: ReportValidity::default(),
             next_slot: 0,
-            agenda: Agenda::default(),
+            agenda: OpenSteps::default(),
             aside: BTreeSet::new(),
             rooms: FreeCapacity::default(),
             evacuation: None,
