--- a/crates/cell/src/engine/agenda.rs
+++ b/crates/cell/src/engine/agenda.rs
@@ -61,7 +61,7 @@
     }
 
     /// Marks all steps for ranking.
-    pub(super) fn unrank(&mut self) {
+    pub(super) fn mark_all_unranked(&mut self) {
         self.unranked = self.steps.keys().copied().collect();
     }
 
--- a/crates/cell/src/engine/mod.rs
+++ b/crates/cell/src/engine/mod.rs
@@ -332,7 +332,7 @@
         if config.version >= self.config.version {
             self.config = config;
             self.set_limits();
-            self.agenda.unrank();
+            self.agenda.mark_all_unranked();
             self.is_stirred = true;
             self.reopen_unschedulable();
         }
