--- a/crates/cell/src/engine/agenda.rs
+++ b/crates/cell/src/engine/agenda.rs
@@ -66,7 +66,7 @@
     }
 
     /// Marks a step for ranking.
-    pub(super) fn unrank_one(&mut self, id: StepId) {
+    pub(super) fn mark_unranked(&mut self, id: StepId) {
         self.unranked.push(id);
     }
 
--- a/crates/cell/src/engine/schedule.rs
+++ b/crates/cell/src/engine/schedule.rs
@@ -165,7 +165,7 @@
         let others = started.saturating_sub(stage.gangs_started_before);
         if is_free && others >= MAX_OVERTAKING_GANGS {
             self.promoted.insert(queue.clone(), id);
-            self.agenda.unrank_one(id);
+            self.agenda.mark_unranked(id);
         }
     }
 
