--- a/crates/cell/src/engine/agenda.rs
+++ b/crates/cell/src/engine/agenda.rs
@@ -94,7 +94,7 @@
     }
 
     /// Returns the rank that follows the given one, or that of the most urgent step if none is given.
-    pub(super) fn after(&self, rank: Option<Rank>) -> Option<Rank> {
+    pub(super) fn next_after(&self, rank: Option<Rank>) -> Option<Rank> {
         let from = rank.map_or(Bound::Unbounded, Bound::Excluded);
         self.ranked.range((from, Bound::Unbounded)).next().copied()
     }
--- a/crates/cell/src/engine/schedule.rs
+++ b/crates/cell/src/engine/schedule.rs
@@ -115,7 +115,7 @@
     ) -> (Option<Rank>, usize) {
         let mut last = from;
         let mut cost = 0;
-        while let Some(rank) = self.agenda.after(last) {
+        while let Some(rank) = self.agenda.next_after(last) {
             if cost >= budget {
                 return (last, cost);
             }
