--- a/crates/cell/src/engine/announce.rs
+++ b/crates/cell/src/engine/announce.rs
@@ -85,7 +85,7 @@
     ///
     /// The orders of these runs never left, but the runs are on record, and a task must not have two runs there: the
     /// next owner could not tell which of them may be under way.
-    pub(super) fn claim_strangers(&mut self, id: JobId) {
+    pub(super) fn assign_unknown_runs(&mut self, id: JobId) {
         for (slot, task, run) in self.strangers.remove(&id).unwrap_or_default() {
             let stage = self.jobs.get_mut(&id);
             let Some(stage) = stage.and_then(|job| job.stage_mut(task.step)) else {
--- a/crates/cell/src/engine/submit.rs
+++ b/crates/cell/src/engine/submit.rs
@@ -119,7 +119,7 @@
             return;
         };
         job.begin_occurrence(occurrence, &[]);
-        self.claim_strangers(id);
+        self.assign_unknown_runs(id);
         self.open_steps(id, now);
     }
 
