--- a/crates/cell/src/engine/announce.rs
+++ b/crates/cell/src/engine/announce.rs
@@ -101,7 +101,7 @@
     }
 
     /// Notes that a run of an unknown job is gone.
-    pub(super) fn forget_stranger(&mut self, slot: Slot, task: TaskId, run: Run) {
+    pub(super) fn remove_unknown_run(&mut self, slot: Slot, task: TaskId, run: Run) {
         let Some(strangers) = self.strangers.get_mut(&task.step.job) else {
             return;
         };
--- a/crates/cell/src/engine/loss.rs
+++ b/crates/cell/src/engine/loss.rs
@@ -41,7 +41,7 @@
         self.stops.set((slot, task, run), None);
         self.update_indexes(slot);
         let Some(job) = self.jobs.get_mut(&task.step.job) else {
-            self.forget_stranger(slot, task, run);
+            self.remove_unknown_run(slot, task, run);
             return;
         };
         let is_over = job.is_over();
