--- a/crates/cell/examples/fleet.rs
+++ b/crates/cell/examples/fleet.rs
@@ -247,7 +247,9 @@
             rng: SmallRng::seed_from_u64(1),
         };
         simulation.engine.configure(config());
-        simulation.engine.evacuate(Evacuation::default(), now, now);
+        simulation
+            .engine
+            .set_evacuation(Evacuation::default(), now, now);
         let nodes: Vec<NodeName> = (0..NODES)
             .map(|n| NodeName::from(format!("n{n}")))
             .collect();
--- a/crates/cell/src/engine/evacuate.rs
+++ b/crates/cell/src/engine/evacuate.rs
@@ -24,7 +24,7 @@
 
 impl Engine {
     /// Sets which data centres are evacuated, according to a reading made at `read`.
-    pub fn evacuate(&mut self, evacuation: Evacuation, read: Timestamp, now: Timestamp) {
+    pub fn set_evacuation(&mut self, evacuation: Evacuation, read: Timestamp, now: Timestamp) {
         let was_known = self.knows_evacuation(now);
         let before = self.evacuation.replace(Reading {
             evacuation,
--- a/crates/cell/tests/cell/incarnation.rs
+++ b/crates/cell/tests/cell/incarnation.rs
@@ -109,7 +109,7 @@
     fn inheriting(inheritance: Inheritance) -> Self {
         let now = Timestamp::from_millis(1_000);
         let mut engine = Engine::new(Epoch(1), Bounds::default(), inheritance, now);
-        engine.evacuate(Evacuation::default(), now, now);
+        engine.set_evacuation(Evacuation::default(), now, now);
         Self {
             engine,
             now,
--- a/crates/cell/tests/cell/overtaking.rs
+++ b/crates/cell/tests/cell/overtaking.rs
@@ -100,7 +100,7 @@
 fn an_outdated_inventory_does_not_revive_an_ended_run() {
     let mut now = Timestamp::from_millis(1_000);
     let mut engine = Engine::new(Epoch(1), Bounds::default(), Inheritance::default(), now);
-    engine.evacuate(Evacuation::default(), now, now);
+    engine.set_evacuation(Evacuation::default(), now, now);
     let worker = WorkerId::from("w1");
     engine.register(
         Registration {
--- a/crates/cell/tests/cell/pace.rs
+++ b/crates/cell/tests/cell/pace.rs
@@ -67,7 +67,7 @@
         let now = Timestamp::from_millis(100_000);
         let ids: Vec<WorkerId> = (0..workers).map(|n| format!("w{n}").into()).collect();
         let mut engine = Engine::new(Epoch(1), Bounds::default(), Inheritance::default(), now);
-        engine.evacuate(Evacuation::default(), now, now);
+        engine.set_evacuation(Evacuation::default(), now, now);
         for id in &ids {
             let registration = Registration {
                 incarnation: None,
--- a/crates/cell/tests/cell/pending.rs
+++ b/crates/cell/tests/cell/pending.rs
@@ -114,7 +114,7 @@
         ..over
     };
     let mut engine = Engine::new(Epoch(2), Bounds::default(), inheritance, now);
-    engine.evacuate(Evacuation::default(), now, now);
+    engine.set_evacuation(Evacuation::default(), now, now);
     let worker = WorkerId::from("w1");
     engine.register(
         Registration {
--- a/crates/cell/tests/cell/takeover.rs
+++ b/crates/cell/tests/cell/takeover.rs
@@ -111,7 +111,7 @@
     };
     let bounds = Bounds::default();
     let mut engine = Engine::new(Epoch(2), bounds, inheritance, takeover);
-    engine.evacuate(Evacuation::default(), takeover, takeover);
+    engine.set_evacuation(Evacuation::default(), takeover, takeover);
     engine.register(registration(&healthy), takeover);
     let mut now = takeover;
     let start_delay = loop {
@@ -176,7 +176,7 @@
         ..Inheritance::default()
     };
     let mut engine = Engine::new(Epoch(2), Bounds::default(), inheritance, now);
-    engine.evacuate(Evacuation::default(), now, now);
+    engine.set_evacuation(Evacuation::default(), now, now);
     let effects = engine.advance(now);
     let asked = effects.iter().find_map(|effect| match effect {
         Effect::Heartbeat(hold) => Some(hold.asked),
--- a/crates/cell/tests/cell/world/evacuate.rs
+++ b/crates/cell/tests/cell/world/evacuate.rs
@@ -88,7 +88,7 @@
     pub(super) fn send_evacuation(&mut self) {
         let (evacuation, read) = self.read_evacuation.clone();
         self.owner_evacuation = Some(evacuation.clone());
-        self.engine.evacuate(evacuation, read, self.now);
+        self.engine.set_evacuation(evacuation, read, self.now);
     }
 
     /// Clears what the owner was told, as there is a new owner.
--- a/crates/node/src/evacuation.rs
+++ b/crates/node/src/evacuation.rs
@@ -28,7 +28,7 @@
     /// Applies the reading to the owner's engine.
     pub(crate) fn tell(self, engine: &mut Engine, now: Timestamp) {
         let read = now.saturating_sub(self.at.elapsed());
-        engine.evacuate(self.evacuation, read, now);
+        engine.set_evacuation(self.evacuation, read, now);
     }
 }
 
