--- a/crates/cell/src/engine/forget.rs
+++ b/crates/cell/src/engine/forget.rs
@@ -31,7 +31,7 @@
 
 impl Engine {
     /// Queues a job that is over for removal.
-    pub(super) fn note_over(&mut self, id: JobId, now: Timestamp) {
+    pub(super) fn schedule_removal(&mut self, id: JobId, now: Timestamp) {
         self.over.push((now, id));
     }
 
--- a/crates/cell/src/engine/keep.rs
+++ b/crates/cell/src/engine/keep.rs
@@ -249,7 +249,7 @@
                 },
                 after,
             });
-            self.note_over(snapshot.job, now);
+            self.schedule_removal(snapshot.job, now);
         }
         self.open_steps(snapshot.job, now);
     }
--- a/crates/cell/src/engine/submit.rs
+++ b/crates/cell/src/engine/submit.rs
@@ -85,7 +85,7 @@
         let schedule = job.spec().schedule;
         self.jobs.insert(id, job);
         if is_over {
-            self.note_over(id, now);
+            self.schedule_removal(id, now);
             return;
         }
         match schedule {
@@ -171,7 +171,7 @@
             return true;
         }
         job.is_cancelled = true;
-        self.note_over(id, now);
+        self.schedule_removal(id, now);
         self.close(id, "cancelled", now);
         true
     }
