--- a/crates/cell/src/engine/forget.rs
+++ b/crates/cell/src/engine/forget.rs
@@ -42,7 +42,7 @@
     /// and values; two tasks and 250 bytes of text a job).
     ///
     /// A job that a worker may still run is kept, since its sizes are needed to count the room that it takes.
-    pub(super) fn forget_ended(&mut self, now: Timestamp) {
+    pub(super) fn remove_ended(&mut self, now: Timestamp) {
         let left = self.dropped.len().saturating_sub(MAX_JOBS_FREED_AT_ONCE);
         self.dropped.truncate(left);
         if now < self.next_sweep {
--- a/crates/cell/src/engine/mod.rs
+++ b/crates/cell/src/engine/mod.rs
@@ -363,7 +363,7 @@
             self.schedule(now);
         }
         self.write_record(now);
-        self.forget_ended(now);
+        self.remove_ended(now);
         self.call_workers(now);
         std::mem::take(&mut self.outbox)
     }
