--- a/crates/cell/examples/fleet.rs
+++ b/crates/cell/examples/fleet.rs
@@ -26,7 +26,7 @@
     effect::Effect,
     engine::{
         Engine,
-        Inheritance, //
+        StoredState, //
     },
     evacuation::Evacuation,
     event::{
@@ -236,7 +236,7 @@
     fn new(workers: u32) -> Self {
         let now = Timestamp::from_millis(1_000_000);
         let mut simulation = Self {
-            engine: Engine::new(Epoch(1), Bounds::default(), Inheritance::default(), now),
+            engine: Engine::new(Epoch(1), Bounds::default(), StoredState::default(), now),
             now,
             simulated_workers: HashMap::default(),
             events: BTreeMap::new(),
--- a/crates/cell/src/engine/mod.rs
+++ b/crates/cell/src/engine/mod.rs
@@ -147,7 +147,7 @@
 
 /// The state that a new owner has read from the store.
 #[derive(Clone, Debug, Default)]
-pub struct Inheritance {
+pub struct StoredState {
     /// The accepted jobs.
     pub accepted: Vec<Accepted>,
     /// The cancelled jobs.
@@ -249,7 +249,7 @@
     ///
     /// A task that a worker may still be running on an order of a former owner is restarted only after that worker has
     /// answered or all its leases have lapsed.
-    pub fn new(epoch: Epoch, bounds: Bounds, inheritance: Inheritance, now: Timestamp) -> Self {
+    pub fn new(epoch: Epoch, bounds: Bounds, inheritance: StoredState, now: Timestamp) -> Self {
         let mut engine = Self {
             epoch,
             fence: Fence::first(epoch),
--- a/crates/cell/tests/cell/forget.rs
+++ b/crates/cell/tests/cell/forget.rs
@@ -10,8 +10,8 @@
     },
     engine::{
         Engine,
-        Inheritance,
-        State, //
+        State,
+        StoredState, //
     },
     id::{
         Epoch,
@@ -76,7 +76,7 @@
 fn a_job_that_was_cancelled_before_it_was_known_never_starts_and_is_shown_as_cancelled() {
     let now = Timestamp::from_millis(2_000);
     let id = accepted(7).job;
-    let mut engine = Engine::new(Epoch(1), Bounds::default(), Inheritance::default(), now);
+    let mut engine = Engine::new(Epoch(1), Bounds::default(), StoredState::default(), now);
     engine.cancel(&cancelled(id, Cancellation::UnknownJob), now);
     assert_eq!(
         engine.state(id),
@@ -109,7 +109,7 @@
 fn a_cancelled_job_that_was_only_announced_is_neither_shown_nor_removed() {
     let start = Timestamp::from_millis(2_000);
     let id = accepted(7).job;
-    let mut engine = Engine::new(Epoch(1), Bounds::default(), Inheritance::default(), start);
+    let mut engine = Engine::new(Epoch(1), Bounds::default(), StoredState::default(), start);
     engine.advance(start);
     let now = start + Duration::from_millis(500);
     engine.announce(accepted(7), now);
@@ -136,12 +136,12 @@
 ) {
     let now = Timestamp::from_millis(2_000);
     let id = accepted(7).job;
-    let inheritance = Inheritance {
+    let inheritance = StoredState {
         cancelled: vec![
             cancelled(id, cancellation),
             cancelled(id, Cancellation::UnknownJob),
         ],
-        ..Inheritance::default()
+        ..StoredState::default()
     };
     let mut engine = Engine::new(Epoch(2), Bounds::default(), inheritance, now);
     assert_eq!(engine.state(id), shown);
@@ -188,10 +188,10 @@
     };
     let all: Vec<Accepted> = (0..DAILY_JOBS).map(accepted).collect();
     let ended = all.iter().map(|accepted| (accepted.job, finished.clone()));
-    let inheritance = Inheritance {
+    let inheritance = StoredState {
         accepted: all.clone(),
         progress: ended.clone().collect(),
-        ..Inheritance::default()
+        ..StoredState::default()
     };
     let now = Timestamp::from_millis(2_000);
     let mut engine = Engine::new(Epoch(2), Bounds::default(), inheritance, now);
--- a/crates/cell/tests/cell/incarnation.rs
+++ b/crates/cell/tests/cell/incarnation.rs
@@ -17,7 +17,7 @@
     },
     engine::{
         Engine,
-        Inheritance, //
+        StoredState, //
     },
     evacuation::Evacuation,
     event::{
@@ -99,14 +99,14 @@
 impl Harness {
     /// Creates a harness whose worker has answered as the first incarnation.
     fn new() -> Self {
-        let mut harness = Self::inheriting(Inheritance::default());
+        let mut harness = Self::inheriting(StoredState::default());
         harness.register(FIRST);
         harness.send_inventory(FIRST, &[]);
         harness
     }
 
     /// Creates a harness of a new owner whose worker has not answered yet.
-    fn inheriting(inheritance: Inheritance) -> Self {
+    fn inheriting(inheritance: StoredState) -> Self {
         let now = Timestamp::from_millis(1_000);
         let mut engine = Engine::new(Epoch(1), Bounds::default(), inheritance, now);
         engine.set_evacuation(Evacuation::default(), now, now);
@@ -457,7 +457,7 @@
 }
 
 /// Returns what a new owner finds of a task that has crashed the worker's first incarnation, or may have.
-fn inherited(job: JobId, is_doubted: bool) -> Inheritance {
+fn inherited(job: JobId, is_doubted: bool) -> StoredState {
     let crash = Crash {
         run: Run(1),
         worker: WorkerId::from("w1"),
@@ -482,11 +482,11 @@
         incarnation: Some(FIRST),
         runs: Vec::new(),
     };
-    Inheritance {
+    StoredState {
         accepted: vec![accepted(job, 1, Timestamp::from_millis(1_000))],
         progress: vec![(job, read_back(&progress))],
         workers: vec![(WorkerId::from("w1"), usage)],
-        ..Inheritance::default()
+        ..StoredState::default()
     }
 }
 
--- a/crates/cell/tests/cell/overtaking.rs
+++ b/crates/cell/tests/cell/overtaking.rs
@@ -14,7 +14,7 @@
     },
     engine::{
         Engine,
-        Inheritance, //
+        StoredState, //
     },
     evacuation::Evacuation,
     event::{
@@ -99,7 +99,7 @@
 #[test]
 fn an_outdated_inventory_does_not_revive_an_ended_run() {
     let mut now = Timestamp::from_millis(1_000);
-    let mut engine = Engine::new(Epoch(1), Bounds::default(), Inheritance::default(), now);
+    let mut engine = Engine::new(Epoch(1), Bounds::default(), StoredState::default(), now);
     engine.set_evacuation(Evacuation::default(), now, now);
     let worker = WorkerId::from("w1");
     engine.register(
--- a/crates/cell/tests/cell/pace.rs
+++ b/crates/cell/tests/cell/pace.rs
@@ -13,7 +13,7 @@
     },
     engine::{
         Engine,
-        Inheritance, //
+        StoredState, //
     },
     evacuation::Evacuation,
     event::{
@@ -66,7 +66,7 @@
     fn new(workers: usize) -> Self {
         let now = Timestamp::from_millis(100_000);
         let ids: Vec<WorkerId> = (0..workers).map(|n| format!("w{n}").into()).collect();
-        let mut engine = Engine::new(Epoch(1), Bounds::default(), Inheritance::default(), now);
+        let mut engine = Engine::new(Epoch(1), Bounds::default(), StoredState::default(), now);
         engine.set_evacuation(Evacuation::default(), now, now);
         for id in &ids {
             let registration = Registration {
--- a/crates/cell/tests/cell/pending.rs
+++ b/crates/cell/tests/cell/pending.rs
@@ -7,8 +7,8 @@
     effect::Effect,
     engine::{
         Engine,
-        Inheritance,
-        State, //
+        State,
+        StoredState, //
     },
     evacuation::Evacuation,
     event::{
@@ -107,9 +107,9 @@
 
 /// Creates the engine of a new owner with one worker and jobs with ids from 1 on, some of which are over, and has the
 /// worker answer with this inventory.
-fn take_over(over: Inheritance, listed: Inventory) -> Engine {
+fn take_over(over: StoredState, listed: Inventory) -> Engine {
     let now = Timestamp::from_millis(2_000);
-    let inheritance = Inheritance {
+    let inheritance = StoredState {
         accepted: (1..=2 * JOBS_EACH).map(accepted).collect(),
         ..over
     };
@@ -148,11 +148,11 @@
         outcome: Some(Outcome::Completed),
         ..Progress::default()
     };
-    let over = Inheritance {
+    let over = StoredState {
         progress: (1..=JOBS_EACH)
             .map(|job| (JobId(job), completed.clone()))
             .collect(),
-        ..Inheritance::default()
+        ..StoredState::default()
     };
     let ended = (1..=JOBS_EACH).map(|job| {
         let (task, run) = first_run(job);
@@ -180,7 +180,7 @@
 // The same for jobs that were cancelled before the takeover and whose tasks the worker still lists.
 #[test]
 fn runs_of_cancelled_jobs_do_not_lower_the_pending_count() {
-    let over = Inheritance {
+    let over = StoredState {
         cancelled: (1..=JOBS_EACH)
             .map(|job| Cancelled {
                 job: JobId(job),
@@ -188,7 +188,7 @@
                 cancellation: Cancellation::KnownJob,
             })
             .collect(),
-        ..Inheritance::default()
+        ..StoredState::default()
     };
     let running = (1..=JOBS_EACH).map(|job| {
         let (task, run) = first_run(job);
--- a/crates/cell/tests/cell/takeover.rs
+++ b/crates/cell/tests/cell/takeover.rs
@@ -10,8 +10,8 @@
     effect::Effect,
     engine::{
         Engine,
-        Inheritance,
-        State, //
+        State,
+        StoredState, //
     },
     evacuation::Evacuation,
     event::{
@@ -104,10 +104,10 @@
         address: "127.0.0.1:1".parse().unwrap(),
         runs: vec![(step.task(0), Run(1))],
     };
-    let inheritance = Inheritance {
+    let inheritance = StoredState {
         accepted: vec![accepted],
         workers: vec![(silent.clone(), usage)],
-        ..Inheritance::default()
+        ..StoredState::default()
     };
     let bounds = Bounds::default();
     let mut engine = Engine::new(Epoch(2), bounds, inheritance, takeover);
@@ -170,10 +170,10 @@
         address: "127.0.0.1:1".parse().unwrap(),
         runs: vec![(task, Run(1))],
     };
-    let inheritance = Inheritance {
+    let inheritance = StoredState {
         accepted: vec![recurring_job(now)],
         workers: vec![(worker.clone(), usage)],
-        ..Inheritance::default()
+        ..StoredState::default()
     };
     let mut engine = Engine::new(Epoch(2), Bounds::default(), inheritance, now);
     engine.set_evacuation(Evacuation::default(), now, now);
--- a/crates/cell/tests/cell/world/mod.rs
+++ b/crates/cell/tests/cell/world/mod.rs
@@ -39,8 +39,8 @@
     },
     engine::{
         Engine,
-        Inheritance,
         State,
+        StoredState,
         WaitReason, //
     },
     evacuation::Evacuation,
@@ -360,7 +360,7 @@
             engine: Engine::new(
                 epoch,
                 evacuate::bounds(&faults),
-                Inheritance::default(),
+                StoredState::default(),
                 now,
             ),
             workers: BTreeMap::new(),
@@ -708,7 +708,7 @@
     /// Replaces the owner by another one, which takes over with the records in the store.
     pub(crate) fn take_over(&mut self) {
         self.epoch = self.epoch.next();
-        let mut inheritance = Inheritance {
+        let mut inheritance = StoredState {
             accepted: self.on_record().cloned().collect(),
             cancelled: self
                 .cancelled
@@ -719,7 +719,7 @@
                     cancellation: *cancellation,
                 })
                 .collect(),
-            ..Inheritance::default()
+            ..StoredState::default()
         };
         // A job that was submitted at two nodes is stored in two partitions.
         let duplicates = self.on_record().step_by(3).cloned();
--- a/crates/node/src/owner/takeover.rs
+++ b/crates/node/src/owner/takeover.rs
@@ -8,7 +8,7 @@
 use fulmarpier_cell::{
     engine::{
         Engine,
-        Inheritance, //
+        StoredState, //
     },
     id::JobId,
     record::{
@@ -117,7 +117,7 @@
     let list = workers::start_initial_read(shared);
     let ((progress, progress_took), ((partitions, found), jobs_took)) =
         futures::join!(timed(read_progress(shared)), timed(jobs::read_all(shared)));
-    let mut inheritance = Inheritance::default();
+    let mut inheritance = StoredState::default();
     for entry in progress {
         match entry {
             Entry::Job(job, progress) => inheritance.progress.push((job, progress)),
