--- a/crates/cell/src/engine/forget.rs
+++ b/crates/cell/src/engine/forget.rs
@@ -32,7 +32,7 @@
 impl Engine {
     /// Queues a job that is over for removal.
     pub(super) fn schedule_removal(&mut self, id: JobId, now: Timestamp) {
-        self.over.push((now, id));
+        self.ended_at.push((now, id));
     }
 
     /// Removes the specifications of jobs that are over, from memory and from the store.
@@ -51,7 +51,7 @@
         self.next_sweep = now + FORGET_INTERVAL;
         let claims = self.workers.values().flat_map(|worker| &worker.allocations);
         let claimed: HashSet<JobId> = claims.map(|((task, _), _)| task.step.job).collect();
-        let over = std::mem::take(&mut self.over);
+        let over = std::mem::take(&mut self.ended_at);
         for (since, id) in over {
             // The acceptance of an announced job is not on record yet, so there is nothing to remove.
             let is_due = now.since(since) >= FORGET_DELAY
@@ -60,7 +60,7 @@
             if is_due && self.is_end_recorded(id) {
                 self.forget(id);
             } else {
-                self.over.push((since, id));
+                self.ended_at.push((since, id));
             }
         }
         self.forget_crashes();
--- a/crates/cell/src/engine/mod.rs
+++ b/crates/cell/src/engine/mod.rs
@@ -181,7 +181,7 @@
     /// The resources in use by each workspace, and its limit.
     quotas: quota::Ledger,
     /// Jobs that are over, with the time at which this became known.
-    over: Vec<(Timestamp, JobId)>,
+    ended_at: Vec<(Timestamp, JobId)>,
     /// Forgotten jobs whose memory is freed incrementally.
     dropped: Vec<Job>,
     /// Acceptances to be deleted from the record, with their partitions.
@@ -258,7 +258,7 @@
             jobs: HashMap::default(),
             cancelled: BTreeMap::new(),
             ended: HashMap::default(),
-            over: Vec::new(),
+            ended_at: Vec::new(),
             quotas: quota::Ledger::default(),
             dropped: Vec::new(),
             forgotten: Vec::new(),
