--- a/crates/cell/src/engine/forget.rs
+++ b/crates/cell/src/engine/forget.rs
@@ -43,8 +43,11 @@
     ///
     /// A job that a worker may still run is kept, since its sizes are needed to count the room that it takes.
     pub(super) fn remove_ended(&mut self, now: Timestamp) {
-        let left = self.dropped.len().saturating_sub(MAX_JOBS_FREED_AT_ONCE);
-        self.dropped.truncate(left);
+        let left = self
+            .pending_drops
+            .len()
+            .saturating_sub(MAX_JOBS_FREED_AT_ONCE);
+        self.pending_drops.truncate(left);
         if now < self.next_sweep {
             return;
         }
@@ -91,7 +94,7 @@
         }
         let is_cancelled = job.is_cancelled;
         let partition = job.accepted.partition;
-        self.dropped.push(job);
+        self.pending_drops.push(job);
         let seen = is_cancelled.then(|| {
             let noted = self.cancelled.entry((id, workspace.clone()));
             noted.or_insert(Cancellation::UnknownJob)
--- a/crates/cell/src/engine/mod.rs
+++ b/crates/cell/src/engine/mod.rs
@@ -183,7 +183,7 @@
     /// Jobs that are over, with the time at which this became known.
     ended_at: Vec<(Timestamp, JobId)>,
     /// Forgotten jobs whose memory is freed incrementally.
-    dropped: Vec<Job>,
+    pending_drops: Vec<Job>,
     /// Acceptances to be deleted from the record, with their partitions.
     forgotten: Vec<Removal>,
     /// When the jobs that are over are checked next.
@@ -260,7 +260,7 @@
             ended: HashMap::default(),
             ended_at: Vec::new(),
             quotas: quota::Ledger::default(),
-            dropped: Vec::new(),
+            pending_drops: Vec::new(),
             forgotten: Vec::new(),
             next_sweep: now,
             workers: BTreeMap::new(),
