--- a/crates/cell/src/engine/forget.rs
+++ b/crates/cell/src/engine/forget.rs
@@ -67,7 +67,7 @@
             }
         }
         self.forget_crashes();
-        let forgotten = std::mem::take(&mut self.forgotten);
+        let forgotten = std::mem::take(&mut self.pending_removals);
         if !forgotten.is_empty() {
             self.outbox.push(Effect::Remove(forgotten));
         }
@@ -100,7 +100,7 @@
             noted.or_insert(Cancellation::UnknownJob)
         });
         let unseen = seen.filter(|noted| **noted == Cancellation::UnknownJob);
-        self.forgotten.push(Removal {
+        self.pending_removals.push(Removal {
             job: id,
             workspace,
             partition,
--- a/crates/cell/src/engine/mod.rs
+++ b/crates/cell/src/engine/mod.rs
@@ -185,7 +185,7 @@
     /// Forgotten jobs whose memory is freed incrementally.
     pending_drops: Vec<Job>,
     /// Acceptances to be deleted from the record, with their partitions.
-    forgotten: Vec<Removal>,
+    pending_removals: Vec<Removal>,
     /// When the jobs that are over are checked next.
     next_sweep: Timestamp,
     workers: BTreeMap<Slot, Worker>,
@@ -261,7 +261,7 @@
             ended_at: Vec::new(),
             quotas: quota::Ledger::default(),
             pending_drops: Vec::new(),
-            forgotten: Vec::new(),
+            pending_removals: Vec::new(),
             next_sweep: now,
             workers: BTreeMap::new(),
             slots: HashMap::default(),
--- a/crates/cell/src/engine/submit.rs
+++ b/crates/cell/src/engine/submit.rs
@@ -42,7 +42,7 @@
 
     /// Schedules the deletion of a recorded acceptance whose job must not run.
     fn reject(&mut self, accepted: &Accepted) {
-        self.forgotten.push(Removal {
+        self.pending_removals.push(Removal {
             job: accepted.job,
             workspace: accepted.workspace_name().cloned(),
             partition: accepted.partition,
