--- a/crates/cell/src/engine/announce.rs
+++ b/crates/cell/src/engine/announce.rs
@@ -56,7 +56,7 @@
         }
         self.jobs.remove(&id);
         self.agenda.remove_job(id);
-        self.aside.retain(|step| step.job != id);
+        self.unschedulable.retain(|step| step.job != id);
     }
 
     /// Withdraws the announced jobs whose acceptance was not confirmed in time.
--- a/crates/cell/src/engine/mod.rs
+++ b/crates/cell/src/engine/mod.rs
@@ -196,7 +196,7 @@
     /// Open steps that have tasks to start.
     agenda: OpenSteps,
     /// Open steps that no known worker could run.
-    aside: BTreeSet<StepId>,
+    unschedulable: BTreeSet<StepId>,
     /// The workers, indexed by their free resources.
     rooms: FreeCapacity,
     /// Which data centres are evacuated. Nothing is started until this is known.
@@ -268,7 +268,7 @@
             reports: ReportValidity::default(),
             next_slot: 0,
             agenda: OpenSteps::default(),
-            aside: BTreeSet::new(),
+            unschedulable: BTreeSet::new(),
             rooms: FreeCapacity::default(),
             evacuation: None,
             calls: Timers::default(),
--- a/crates/cell/src/engine/submit.rs
+++ b/crates/cell/src/engine/submit.rs
@@ -192,7 +192,7 @@
     /// Removes a job that is over from the open steps and stops its runs.
     pub(super) fn close(&mut self, id: JobId, why: &'static str, now: Timestamp) {
         self.agenda.remove_job(id);
-        self.aside.retain(|step| step.job != id);
+        self.unschedulable.retain(|step| step.job != id);
         let mut active = Vec::new();
         if let Some(job) = self.jobs.get(&id) {
             for (occurrence, stages) in &job.occurrences {
--- a/crates/cell/src/engine/view.rs
+++ b/crates/cell/src/engine/view.rs
@@ -182,8 +182,8 @@
         Counts {
             jobs: self.jobs.len() + self.ended.len(),
             waiting: self.waiting().count(),
-            open_steps: self.agenda.len() + self.aside.len(),
-            steps_aside: self.aside.len(),
+            open_steps: self.agenda.len() + self.unschedulable.len(),
+            steps_aside: self.unschedulable.len(),
             claims: self
                 .workers
                 .values()
--- a/crates/cell/src/engine/wait.rs
+++ b/crates/cell/src/engine/wait.rs
@@ -181,14 +181,14 @@
             return false;
         };
         self.agenda.remove(id);
-        self.aside.insert(id);
+        self.unschedulable.insert(id);
         self.set_wait_reason(id, WaitReason::from(&lack), WaitSurvey::default(), now);
         true
     }
 
     /// Reopens all parked steps, because new or changed workers may run them.
     pub(super) fn reopen_unschedulable(&mut self) {
-        for id in std::mem::take(&mut self.aside) {
+        for id in std::mem::take(&mut self.unschedulable) {
             let job = self.jobs.get(&id.job).filter(|job| !job.is_over());
             let stage = job.and_then(|job| job.stage(id));
             if stage.is_some_and(|stage| !stage.waiting.is_empty()) {
