--- a/crates/cell/src/engine/contact.rs
+++ b/crates/cell/src/engine/contact.rs
@@ -178,7 +178,7 @@
     /// Both times may turn out to be too early and are then set again.
     pub(super) fn update_indexes(&mut self, slot: Slot) {
         let worker = self.workers.get(&slot);
-        self.rooms.set(slot, worker);
+        self.free_capacity.set(slot, worker);
         self.calls.set(slot, worker.and_then(Worker::next_call));
         self.expiries
             .set(slot, worker.and_then(Worker::next_expiry));
--- a/crates/cell/src/engine/mod.rs
+++ b/crates/cell/src/engine/mod.rs
@@ -198,7 +198,7 @@
     /// Open steps that no known worker could run.
     unschedulable: BTreeSet<StepId>,
     /// The workers, indexed by their free resources.
-    rooms: FreeCapacity,
+    free_capacity: FreeCapacity,
     /// Which data centres are evacuated. Nothing is started until this is known.
     evacuation: Option<evacuate::Reading>,
     /// When each worker is called next.
@@ -269,7 +269,7 @@
             next_slot: 0,
             agenda: OpenSteps::default(),
             unschedulable: BTreeSet::new(),
-            rooms: FreeCapacity::default(),
+            free_capacity: FreeCapacity::default(),
             evacuation: None,
             calls: Timers::default(),
             expiries: Timers::default(),
--- a/crates/cell/src/engine/place.rs
+++ b/crates/cell/src/engine/place.rs
@@ -216,7 +216,7 @@
     ) -> impl Iterator<Item = (Slot, &'a Worker)> {
         let size = demand.size;
         let slots = self.slots_for(demand, stage, size.cpu);
-        let slots = slots.filter(move |slot| self.rooms.fits(*slot, &size));
+        let slots = slots.filter(move |slot| self.free_capacity.fits(*slot, &size));
         slots.filter_map(|slot| Some((slot, self.workers.get(&slot)?)))
     }
 
@@ -230,7 +230,10 @@
     ) -> impl Iterator<Item = Slot> + use<'a> {
         let (advised, others) = match demand.queue.advice {
             Some(_) => (Some(stage.advice.allowed.slots()), None),
-            None => (None, Some(self.rooms.from(&demand.queue.pool, least))),
+            None => (
+                None,
+                Some(self.free_capacity.from(&demand.queue.pool, least)),
+            ),
         };
         let advised = advised.into_iter().flatten();
         advised.chain(others.into_iter().flatten())
--- a/crates/cell/src/engine/wait.rs
+++ b/crates/cell/src/engine/wait.rs
@@ -148,7 +148,7 @@
         index: usize,
         queue: &Queue,
     ) -> Option<UnmetRequirement> {
-        if self.rooms.members(&queue.pool) == 0 {
+        if self.free_capacity.members(&queue.pool) == 0 {
             return None;
         }
         let mut workers = self.workers.values();
@@ -246,7 +246,7 @@
 
     /// Returns whether any worker accepts tasks of a step, regardless of room and advice.
     fn has_open_worker(&self, demand: &Demand<'_>, now: Timestamp) -> bool {
-        let slots = self.rooms.from(&demand.queue.pool, Millicores(0));
+        let slots = self.free_capacity.from(&demand.queue.pool, Millicores(0));
         let mut workers = slots.filter_map(|slot| self.workers.get(&slot));
         workers.any(|worker| demand.admits(worker, now))
     }
