--- a/crates/cell/src/engine/keep.rs
+++ b/crates/cell/src/engine/keep.rs
@@ -219,7 +219,8 @@
             return;
         };
         self.ledger.last_duration = now.since(flight.since);
-        self.reports.note_record(self.ledger.last_duration, now);
+        self.report_validity
+            .note_record(self.ledger.last_duration, now);
         self.send_starts(flight.starts, now);
         for snapshot in flight.jobs {
             self.apply_recorded(snapshot, now);
--- a/crates/cell/src/engine/mod.rs
+++ b/crates/cell/src/engine/mod.rs
@@ -191,7 +191,7 @@
     workers: BTreeMap<Slot, Worker>,
     slots: HashMap<WorkerId, Slot>,
     /// Which worker reports are recent enough to trust their capacity.
-    reports: ReportValidity,
+    report_validity: ReportValidity,
     next_slot: u32,
     /// Open steps that have tasks to start.
     agenda: OpenSteps,
@@ -265,7 +265,7 @@
             next_sweep: now,
             workers: BTreeMap::new(),
             slots: HashMap::default(),
-            reports: ReportValidity::default(),
+            report_validity: ReportValidity::default(),
             next_slot: 0,
             agenda: OpenSteps::default(),
             unschedulable: BTreeSet::new(),
@@ -348,7 +348,7 @@
 
     /// Handles everything that is due and returns the effects to carry out. The caller must not drop any of them.
     pub fn advance(&mut self, now: Timestamp) -> Vec<Effect> {
-        self.reports.update(now);
+        self.report_validity.update(now);
         self.is_stirred |= self.desk.end_backoffs(now);
         self.begin_due_occurrences(now);
         self.expire_workers(now);
--- a/crates/cell/src/engine/order.rs
+++ b/crates/cell/src/engine/order.rs
@@ -285,7 +285,7 @@
         if self.is_over_limit(start.1.step.job) {
             return Some("over-limit");
         }
-        (worker.registered < self.reports.valid_from).then_some("room-unknown")
+        (worker.registered < self.report_validity.valid_from).then_some("room-unknown")
     }
 
     /// Holds the starts of jobs whose acceptance is not on record yet. Returns the other starts that are still pending.
--- a/crates/cell/src/engine/place.rs
+++ b/crates/cell/src/engine/place.rs
@@ -73,7 +73,7 @@
             step,
             queue: self.queue_of(job),
             size: worker_share(step),
-            min_report_time: self.reports.valid_from,
+            min_report_time: self.report_validity.valid_from,
         })
     }
 
--- a/crates/cell/src/engine/shrink.rs
+++ b/crates/cell/src/engine/shrink.rs
@@ -70,7 +70,7 @@
     ///
     /// Tasks that run there already go on until they end by themselves.
     pub(super) fn shrink(&mut self, slot: Slot, now: Timestamp) {
-        self.reports.has_shrunk = true;
+        self.report_validity.has_shrunk = true;
         self.note_worker(slot, "shrunk", now);
         for (task, run) in self.unsent(slot) {
             if !self
