--- a/crates/cell/src/engine/ask.rs
+++ b/crates/cell/src/engine/ask.rs
@@ -268,7 +268,7 @@
         let terms = demand.queue.advice;
         let is_long = terms.is_some_and(|terms| terms.call_duration(1) > LONG_CALL_THRESHOLD);
         let is_free = stage.advice.calls_in_flight == 0 && stage.advice.retry_at <= now;
-        is_free && self.desk.idle(is_long).is_some()
+        is_free && self.advice_nodes.idle(is_long).is_some()
     }
 
     /// Plans calls about workers, split over several nodes if there are too many workers for one call.
@@ -310,7 +310,7 @@
             && let Some(mut named) = stage.advice.planned.pop()
         {
             let is_long = terms.call_duration(named.len()) > LONG_CALL_THRESHOLD;
-            let Some(node) = self.desk.idle(is_long).cloned() else {
+            let Some(node) = self.advice_nodes.idle(is_long).cloned() else {
                 stage.advice.planned.push(named);
                 return;
             };
@@ -331,7 +331,7 @@
                 since: now,
                 is_long,
             };
-            self.desk.begin(node.clone(), call);
+            self.advice_nodes.begin(node.clone(), call);
             self.outbox.push(Effect::Advise {
                 node,
                 step: id,
@@ -355,7 +355,7 @@
         answer: Option<Vec<Grant>>,
         now: Timestamp,
     ) {
-        let Some(call) = self.desk.finish(node, id, answer.is_some(), now) else {
+        let Some(call) = self.advice_nodes.finish(node, id, answer.is_some(), now) else {
             return;
         };
         self.is_stirred = true;
--- a/crates/cell/src/engine/mod.rs
+++ b/crates/cell/src/engine/mod.rs
@@ -212,7 +212,7 @@
     /// The tasks suspected of crashing a worker, by worker. The suspicion is withdrawn if the worker answers again.
     crashed: HashMap<WorkerId, Vec<TaskId>>,
     /// The nodes that can ask for advice, and their calls in progress.
-    desk: Nodes,
+    advice_nodes: Nodes,
     /// The share of workers that advice has allowed, by queue.
     experience: AllowedShares,
     /// What has to be put on record, and what waits for that.
@@ -276,7 +276,7 @@
             stops: Timers::default(),
             due: BTreeSet::new(),
             crashed: HashMap::default(),
-            desk: Nodes::default(),
+            advice_nodes: Nodes::default(),
             experience: AllowedShares::default(),
             ledger: RecordQueue::default(),
             announced: BTreeMap::new(),
@@ -340,7 +340,7 @@
 
     /// Sets the nodes that can ask for advice.
     pub fn set_hands(&mut self, nodes: &[NodeName], now: Timestamp) {
-        for call in self.desk.set_nodes(nodes) {
+        for call in self.advice_nodes.set_nodes(nodes) {
             self.handle_unanswered_call(&call, now);
         }
         self.is_stirred = true;
@@ -349,7 +349,7 @@
     /// Handles everything that is due and returns the effects to carry out. The caller must not drop any of them.
     pub fn advance(&mut self, now: Timestamp) -> Vec<Effect> {
         self.report_validity.update(now);
-        self.is_stirred |= self.desk.end_backoffs(now);
+        self.is_stirred |= self.advice_nodes.end_backoffs(now);
         self.begin_due_occurrences(now);
         self.expire_workers(now);
         self.expire_announced(now);
