--- a/crates/cell/src/engine/ask.rs
+++ b/crates/cell/src/engine/ask.rs
@@ -116,7 +116,7 @@
             return;
         }
         let tasks = stage.waiting.len() as f64;
-        let share = self.experience.share(&demand.queue.name);
+        let share = self.allowed_shares.share(&demand.queue.name);
         let is_selective = is_selective(&demand);
         let mut named = Vec::new();
         let (mut room, mut fits) = (0.0, 0.0);
@@ -239,7 +239,7 @@
             if missing <= 0.0 {
                 return Vec::new();
             }
-            let missing = missing / self.experience.share(&demand.queue.name);
+            let missing = missing / self.allowed_shares.share(&demand.queue.name);
             let worthwhile = demand
                 .queue
                 .advice
@@ -374,7 +374,7 @@
             return;
         };
         let queue = self.queue_of(job).clone();
-        self.experience
+        self.allowed_shares
             .learn(&queue.name, call.asked.len(), answer.len());
         let validity = queue.advice.map(|terms| terms.ticket_validity);
         let until = now + validity.unwrap_or_default();
--- a/crates/cell/src/engine/mod.rs
+++ b/crates/cell/src/engine/mod.rs
@@ -214,7 +214,7 @@
     /// The nodes that can ask for advice, and their calls in progress.
     advice_nodes: Nodes,
     /// The share of workers that advice has allowed, by queue.
-    experience: AllowedShares,
+    allowed_shares: AllowedShares,
     /// What has to be put on record, and what waits for that.
     ledger: RecordQueue,
     /// Jobs whose acceptance is not on record yet, and how long to wait for it.
@@ -277,7 +277,7 @@
             due: BTreeSet::new(),
             crashed: HashMap::default(),
             advice_nodes: Nodes::default(),
-            experience: AllowedShares::default(),
+            allowed_shares: AllowedShares::default(),
             ledger: RecordQueue::default(),
             announced: BTreeMap::new(),
             strangers: HashMap::default(),
