--- a/crates/cell/src/engine/crash.rs
+++ b/crates/cell/src/engine/crash.rs
@@ -260,7 +260,7 @@
 
     /// Returns the doubted crashes of a worker, with their tasks.
     fn doubted_crashes(&self, worker: &WorkerId) -> Vec<(TaskId, Crash)> {
-        let tasks = self.crashed.get(worker).into_iter().flatten();
+        let tasks = self.crash_suspects.get(worker).into_iter().flatten();
         let doubts = tasks.flat_map(|task| {
             let crashes = self.task(*task).map(|state| state.crashes.iter());
             let crashes = crashes.into_iter().flatten();
@@ -313,7 +313,7 @@
 
     /// Indexes a task by the worker of one of its crashes, in case the worker answers again or turns out to be gone.
     fn index_crash(&mut self, worker: &WorkerId, task: TaskId) {
-        let suspects = self.crashed.entry(worker.clone()).or_default();
+        let suspects = self.crash_suspects.entry(worker.clone()).or_default();
         if !suspects.contains(&task) {
             suspects.push(task);
         }
@@ -343,7 +343,7 @@
             return;
         };
         let (id, incarnation) = (worker.registration.id.clone(), worker.incarnation);
-        for task in self.crashed.remove(&id).unwrap_or_default() {
+        for task in self.crash_suspects.remove(&id).unwrap_or_default() {
             if let Some(state) = self.task_mut(task) {
                 state
                     .crashes
@@ -374,7 +374,7 @@
     /// Removes workers from the crash index that no open task has a crash of.
     pub(super) fn forget_crashes(&mut self) {
         let jobs = &self.jobs;
-        self.crashed.retain(|id, tasks| {
+        self.crash_suspects.retain(|id, tasks| {
             tasks.iter().any(|task| {
                 let job = jobs.get(&task.step.job).filter(|job| !job.is_over());
                 let stage = job.and_then(|job| job.stage(task.step));
--- a/crates/cell/src/engine/mod.rs
+++ b/crates/cell/src/engine/mod.rs
@@ -210,7 +210,7 @@
     /// When occurrences of scheduled jobs are due.
     due: BTreeSet<(Timestamp, JobId, u32)>,
     /// The tasks suspected of crashing a worker, by worker. The suspicion is withdrawn if the worker answers again.
-    crashed: HashMap<WorkerId, Vec<TaskId>>,
+    crash_suspects: HashMap<WorkerId, Vec<TaskId>>,
     /// The nodes that can ask for advice, and their calls in progress.
     advice_nodes: Nodes,
     /// The share of workers that advice has allowed, by queue.
@@ -275,7 +275,7 @@
             expiries: Timers::default(),
             stops: Timers::default(),
             due: BTreeSet::new(),
-            crashed: HashMap::default(),
+            crash_suspects: HashMap::default(),
             advice_nodes: Nodes::default(),
             allowed_shares: AllowedShares::default(),
             ledger: RecordQueue::default(),
