--- a/crates/cell/src/engine/announce.rs
+++ b/crates/cell/src/engine/announce.rs
@@ -86,7 +86,7 @@
     /// The orders of these runs never left, but the runs are on record, and a task must not have two runs there: the
     /// next owner could not tell which of them may be under way.
     pub(super) fn assign_unknown_runs(&mut self, id: JobId) {
-        for (slot, task, run) in self.strangers.remove(&id).unwrap_or_default() {
+        for (slot, task, run) in self.unknown_runs.remove(&id).unwrap_or_default() {
             let stage = self.jobs.get_mut(&id);
             let Some(stage) = stage.and_then(|job| job.stage_mut(task.step)) else {
                 continue;
@@ -102,12 +102,12 @@
 
     /// Notes that a run of an unknown job is gone.
     pub(super) fn remove_unknown_run(&mut self, slot: Slot, task: TaskId, run: Run) {
-        let Some(strangers) = self.strangers.get_mut(&task.step.job) else {
+        let Some(strangers) = self.unknown_runs.get_mut(&task.step.job) else {
             return;
         };
         strangers.retain(|stranger| *stranger != (slot, task, run));
         if strangers.is_empty() {
-            self.strangers.remove(&task.step.job);
+            self.unknown_runs.remove(&task.step.job);
         }
     }
 
--- a/crates/cell/src/engine/contact.rs
+++ b/crates/cell/src/engine/contact.rs
@@ -412,7 +412,7 @@
                 is_wanted = true;
             }
         } else {
-            let strangers = self.strangers.entry(task.step.job).or_default();
+            let strangers = self.unknown_runs.entry(task.step.job).or_default();
             strangers.push((slot, task, run));
         }
         let Some(worker) = self.workers.get_mut(&slot) else {
--- a/crates/cell/src/engine/mod.rs
+++ b/crates/cell/src/engine/mod.rs
@@ -220,7 +220,7 @@
     /// Jobs whose acceptance is not on record yet, and how long to wait for it.
     announced: BTreeMap<JobId, Timestamp>,
     /// Runs of unknown jobs, which a former owner learned of before their acceptance was on record.
-    strangers: HashMap<JobId, Vec<(Slot, TaskId, Run)>>,
+    unknown_runs: HashMap<JobId, Vec<(Slot, TaskId, Run)>>,
     /// Recorded starts that wait until the acceptance of their job is on record too.
     held: Vec<(Slot, TaskId, Run)>,
     /// Start orders by run, kept until the worker has answered.
@@ -280,7 +280,7 @@
             allowed_shares: AllowedShares::default(),
             ledger: RecordQueue::default(),
             announced: BTreeMap::new(),
-            strangers: HashMap::default(),
+            unknown_runs: HashMap::default(),
             held: Vec::new(),
             orders: HashMap::default(),
             gangs_started: HashMap::default(),
