--- a/crates/cell/src/engine/announce.rs
+++ b/crates/cell/src/engine/announce.rs
@@ -113,10 +113,10 @@
 
     /// Removes and returns the starts of a job that wait for its acceptance.
     fn take_held(&mut self, id: JobId) -> Vec<(Slot, TaskId, Run)> {
-        let (held, others) = std::mem::take(&mut self.held)
+        let (held, others) = std::mem::take(&mut self.held_starts)
             .into_iter()
             .partition(|(_, task, _)| task.step.job == id);
-        self.held = others;
+        self.held_starts = others;
         held
     }
 
--- a/crates/cell/src/engine/mod.rs
+++ b/crates/cell/src/engine/mod.rs
@@ -222,7 +222,7 @@
     /// Runs of unknown jobs, which a former owner learned of before their acceptance was on record.
     unknown_runs: HashMap<JobId, Vec<(Slot, TaskId, Run)>>,
     /// Recorded starts that wait until the acceptance of their job is on record too.
-    held: Vec<(Slot, TaskId, Run)>,
+    held_starts: Vec<(Slot, TaskId, Run)>,
     /// Start orders by run, kept until the worker has answered.
     orders: HashMap<(Slot, TaskId, Run), Order>,
     /// The number of gangs started in each queue.
@@ -281,7 +281,7 @@
             ledger: RecordQueue::default(),
             announced: BTreeMap::new(),
             unknown_runs: HashMap::default(),
-            held: Vec::new(),
+            held_starts: Vec::new(),
             orders: HashMap::default(),
             gangs_started: HashMap::default(),
             promoted: HashMap::default(),
--- a/crates/cell/src/engine/order.rs
+++ b/crates/cell/src/engine/order.rs
@@ -299,8 +299,8 @@
             waiting.partition(|(_, task, _)| self.announced.contains_key(&task.step.job));
         for start in held {
             // A start can be here already: each later record of the same worker lists it again.
-            if !self.held.contains(&start) {
-                self.held.push(start);
+            if !self.held_starts.contains(&start) {
+                self.held_starts.push(start);
             }
         }
         ready
