--- a/crates/cell/src/engine/ask.rs
+++ b/crates/cell/src/engine/ask.rs
@@ -358,7 +358,7 @@
         let Some(call) = self.advice_nodes.finish(node, id, answer.is_some(), now) else {
             return;
         };
-        self.is_stirred = true;
+        self.needs_pass = true;
         self.note(LogRecord::Advised {
             step: id,
             node: node.clone(),
--- a/crates/cell/src/engine/contact.rs
+++ b/crates/cell/src/engine/contact.rs
@@ -56,7 +56,7 @@
 impl Engine {
     /// Handles the registration of a new worker, or a change to a known one.
     pub fn register(&mut self, registration: Registration, now: Timestamp) {
-        self.is_stirred = true;
+        self.needs_pass = true;
         if let Some(slot) = self.slots.get(&registration.id).copied() {
             let Some(worker) = self.workers.get_mut(&slot) else {
                 return;
@@ -328,7 +328,7 @@
             self.note_worker(slot, "heard", now);
             self.retract_crashes(slot);
         }
-        self.is_stirred = true;
+        self.needs_pass = true;
         let mut listed: Vec<(TaskId, Run)> = Vec::new();
         for running in &inventory.running {
             self.mark_begun(running.task.step.job);
--- a/crates/cell/src/engine/evacuate.rs
+++ b/crates/cell/src/engine/evacuate.rs
@@ -38,7 +38,7 @@
                 self.mark_evacuated(slot);
             }
         }
-        self.is_stirred |= has_changed || !was_known;
+        self.needs_pass |= has_changed || !was_known;
     }
 
     /// Returns whether the last reading of the evacuated data centres is recent enough for an order to start that
--- a/crates/cell/src/engine/loss.rs
+++ b/crates/cell/src/engine/loss.rs
@@ -27,7 +27,7 @@
 impl Engine {
     /// Frees the resources of a run that is certainly gone, and lets its task be restarted.
     pub(super) fn release(&mut self, slot: Slot, task: TaskId, run: Run, now: Timestamp) {
-        self.is_stirred = true;
+        self.needs_pass = true;
         if let Some(worker) = self.workers.get_mut(&slot) {
             worker.end(task, run, now);
             let charge = worker.release(task, run).and_then(|claim| claim.charge);
--- a/crates/cell/src/engine/mod.rs
+++ b/crates/cell/src/engine/mod.rs
@@ -232,7 +232,7 @@
     /// For each step with tasks that have to run alone, the worker that is being drained for it.
     emptying: BTreeMap<StepId, Slot>,
     /// Whether a change may allow a waiting task to start, so that a scheduling pass is needed.
-    is_stirred: bool,
+    needs_pass: bool,
     /// The last step that the previous pass examined in addition to the most urgent ones. The next pass continues
     /// after it.
     resume_after: Option<Rank>,
@@ -286,7 +286,7 @@
             gangs_started: HashMap::default(),
             promoted: HashMap::default(),
             emptying: BTreeMap::new(),
-            is_stirred: true,
+            needs_pass: true,
             resume_after: None,
             retry_skipped_at: None,
             next_pass: now,
@@ -333,7 +333,7 @@
             self.config = config;
             self.set_limits();
             self.agenda.mark_all_unranked();
-            self.is_stirred = true;
+            self.needs_pass = true;
             self.reopen_unschedulable();
         }
     }
@@ -343,23 +343,23 @@
         for call in self.advice_nodes.set_nodes(nodes) {
             self.handle_unanswered_call(&call, now);
         }
-        self.is_stirred = true;
+        self.needs_pass = true;
     }
 
     /// Handles everything that is due and returns the effects to carry out. The caller must not drop any of them.
     pub fn advance(&mut self, now: Timestamp) -> Vec<Effect> {
         self.report_validity.update(now);
-        self.is_stirred |= self.advice_nodes.end_backoffs(now);
+        self.needs_pass |= self.advice_nodes.end_backoffs(now);
         self.begin_due_occurrences(now);
         self.expire_workers(now);
         self.expire_announced(now);
         self.send_stops(now);
         if self.retry_skipped_at.is_some_and(|at| at <= now) {
             self.retry_skipped_at = None;
-            self.is_stirred = true;
+            self.needs_pass = true;
         }
-        if self.is_stirred && now >= self.next_pass {
-            self.is_stirred = false;
+        if self.needs_pass && now >= self.next_pass {
+            self.needs_pass = false;
             self.schedule(now);
         }
         self.write_record(now);
@@ -370,7 +370,7 @@
 
     /// Returns when [`Self::advance`] next has a scheduling pass or a record to make, if any.
     pub fn next_pass(&self) -> Option<Timestamp> {
-        let pass = self.is_stirred.then_some(self.next_pass);
+        let pass = self.needs_pass.then_some(self.next_pass);
         [pass, self.ledger.due()].into_iter().flatten().min()
     }
 
--- a/crates/cell/src/engine/submit.rs
+++ b/crates/cell/src/engine/submit.rs
@@ -150,7 +150,7 @@
                     occurrence: *occurrence,
                     step: u16::try_from(index).unwrap_or(u16::MAX),
                 });
-                self.is_stirred = true;
+                self.needs_pass = true;
             }
         }
     }
--- a/crates/cell/src/engine/wait.rs
+++ b/crates/cell/src/engine/wait.rs
@@ -193,7 +193,7 @@
             let stage = job.and_then(|job| job.stage(id));
             if stage.is_some_and(|stage| !stage.waiting.is_empty()) {
                 self.agenda.insert(id);
-                self.is_stirred = true;
+                self.needs_pass = true;
             }
         }
     }
