--- a/crates/cell/examples/fleet.rs
+++ b/crates/cell/examples/fleet.rs
@@ -253,7 +253,7 @@
         let nodes: Vec<NodeName> = (0..NODES)
             .map(|n| NodeName::from(format!("n{n}")))
             .collect();
-        simulation.engine.set_hands(&nodes, now);
+        simulation.engine.set_advice_nodes(&nodes, now);
         for nth in 0..workers {
             let id = WorkerId::from(format!("w{nth}"));
             simulation.engine.register(registration(&id, nth), now);
--- a/crates/cell/src/engine/mod.rs
+++ b/crates/cell/src/engine/mod.rs
@@ -339,7 +339,7 @@
     }
 
     /// Sets the nodes that can ask for advice.
-    pub fn set_hands(&mut self, nodes: &[NodeName], now: Timestamp) {
+    pub fn set_advice_nodes(&mut self, nodes: &[NodeName], now: Timestamp) {
         for call in self.advice_nodes.set_nodes(nodes) {
             self.handle_unanswered_call(&call, now);
         }
--- a/crates/cell/tests/cell/world/mod.rs
+++ b/crates/cell/tests/cell/world/mod.rs
@@ -449,7 +449,7 @@
         if !self.is_new_owner_blank {
             self.send_evacuation();
         }
-        self.engine.set_hands(&self.nodes, self.now);
+        self.engine.set_advice_nodes(&self.nodes, self.now);
         for worker in self.workers.values() {
             match worker.overwritten_until {
                 None => self.engine.register(worker.entry(self.now), self.now),
--- a/crates/node/src/owner/control.rs
+++ b/crates/node/src/owner/control.rs
@@ -248,7 +248,7 @@
                 let own_peer = self.shared.peer();
                 let names = peers.iter().map(|peer| peer.node.clone());
                 let names: Vec<NodeName> = names.chain([own_peer.node.clone()]).collect();
-                engine.set_hands(&names, now);
+                engine.set_advice_nodes(&names, now);
                 self.share.renew(own_peer, peers);
             }
             Event::Tick(due) => {
