--- a/crates/cell/src/engine/ask.rs
+++ b/crates/cell/src/engine/ask.rs
@@ -359,7 +359,7 @@
             return;
         };
         self.needs_pass = true;
-        self.note(LogRecord::Advised {
+        self.log(LogRecord::Advised {
             step: id,
             node: node.clone(),
             named: call.asked.len(),
--- a/crates/cell/src/engine/contact.rs
+++ b/crates/cell/src/engine/contact.rs
@@ -437,7 +437,7 @@
         }
         let worker = worker.registration.id.clone();
         self.update_indexes(slot);
-        self.note(LogRecord::Adopted { task, run, worker });
+        self.log(LogRecord::Adopted { task, run, worker });
         match is_wanted {
             true => self.save_checkpoint(task, running.checkpoint.as_ref()),
             false => self.stop(slot, task, run, "unwanted", now),
@@ -491,7 +491,7 @@
             belief,
             heard: worker.heard.map(|heard| now.since(heard)),
         };
-        self.note(note);
+        self.log(note);
     }
 }
 
--- a/crates/cell/src/engine/crash.rs
+++ b/crates/cell/src/engine/crash.rs
@@ -299,7 +299,7 @@
         // The count is recorded before the next start, which waits until it is recorded itself.
         self.ledger.add_job(id);
         self.index_crash(&crash.worker, task);
-        self.note(LogRecord::Crashed {
+        self.log(LogRecord::Crashed {
             task,
             run: crash.run,
             worker: crash.worker,
--- a/crates/cell/src/engine/end.rs
+++ b/crates/cell/src/engine/end.rs
@@ -40,7 +40,7 @@
         } = ended;
         if let Some(worker) = self.workers.get(&slot) {
             let worker = worker.registration.id.clone();
-            self.note(LogRecord::Ended {
+            self.log(LogRecord::Ended {
                 task,
                 run,
                 worker,
--- a/crates/cell/src/engine/keep.rs
+++ b/crates/cell/src/engine/keep.rs
@@ -242,7 +242,7 @@
         job.recorded_outcome = job.recorded_outcome.or(snapshot.outcome);
         if let Some(outcome) = snapshot.outcome.filter(|_| is_new) {
             let after = now.since(job.accepted.received);
-            self.note(LogRecord::Finished {
+            self.log(LogRecord::Finished {
                 job: snapshot.job,
                 outcome: match outcome {
                     Outcome::Completed => "completed",
--- a/crates/cell/src/engine/loss.rs
+++ b/crates/cell/src/engine/loss.rs
@@ -93,7 +93,7 @@
                 other_runs: others,
             })
             .collect();
-        notes.into_iter().for_each(|note| self.note(note));
+        notes.into_iter().for_each(|note| self.log(note));
     }
 
     /// Returns the runs of a worker whose resource allocations meet a condition.
--- a/crates/cell/src/engine/mod.rs
+++ b/crates/cell/src/engine/mod.rs
@@ -375,7 +375,7 @@
     }
 
     /// Emits a log record.
-    fn note(&mut self, note: LogRecord) {
+    fn log(&mut self, note: LogRecord) {
         self.outbox.push(Effect::Log(note));
     }
 }
--- a/crates/cell/src/engine/order.rs
+++ b/crates/cell/src/engine/order.rs
@@ -63,7 +63,7 @@
             return;
         };
         if answer != StartAnswer::Started {
-            self.note(LogRecord::NotStarted {
+            self.log(LogRecord::NotStarted {
                 task,
                 run,
                 worker: worker.clone(),
@@ -341,7 +341,7 @@
         claim.phase = Phase::Stopping { confirmed: None };
         let worker = worker.registration.id.clone();
         self.stops.set((slot, task, run), Some(now));
-        self.note(LogRecord::Stopping {
+        self.log(LogRecord::Stopping {
             task,
             run,
             worker,
--- a/crates/cell/src/engine/place.rs
+++ b/crates/cell/src/engine/place.rs
@@ -432,7 +432,7 @@
             task.waits_for_empty_since = None;
             checkpoint = task.checkpoint.clone();
         }
-        self.note(LogRecord::Placed {
+        self.log(LogRecord::Placed {
             task,
             run,
             worker,
--- a/crates/cell/src/engine/reserve.rs
+++ b/crates/cell/src/engine/reserve.rs
@@ -336,7 +336,7 @@
             victims,
             ticket: ticket.map(|ticket| now.until(ticket.until)),
         };
-        self.note(note);
+        self.log(note);
     }
 }
 
--- a/crates/cell/src/engine/shrink.rs
+++ b/crates/cell/src/engine/shrink.rs
@@ -132,7 +132,7 @@
             return;
         };
         let worker = worker.registration.id.clone();
-        self.note(LogRecord::NotStarted {
+        self.log(LogRecord::NotStarted {
             task,
             run,
             worker,
--- a/crates/cell/src/engine/wait.rs
+++ b/crates/cell/src/engine/wait.rs
@@ -303,7 +303,7 @@
         let waited = stage.opened_at.map(|opened| now.since(opened));
         let step = self.jobs.get(&id.job).and_then(|job| job.step(id));
         let label = step.and_then(|step| step.requires.clone());
-        self.note(LogRecord::Waiting {
+        self.log(LogRecord::Waiting {
             step: id,
             why,
             label,
