--- a/crates/cell/src/engine/crash.rs
+++ b/crates/cell/src/engine/crash.rs
@@ -446,7 +446,7 @@
             demand.size.fits(&worker.exclusive_capacity(id))
                 && self.spread_left(&demand, worker) > 0
                 && !reserved.holds(*slot, id)
-                && self.suits(job, &demand, *slot, worker, now)
+                && self.may_run_on(job, &demand, *slot, worker, now)
         });
         empty.map(|(slot, _)| slot)
     }
--- a/crates/cell/src/engine/place.rs
+++ b/crates/cell/src/engine/place.rs
@@ -78,7 +78,7 @@
     }
 
     /// Returns whether a worker may run tasks of a step, regardless of free resources.
-    pub(super) fn suits(
+    pub(super) fn may_run_on(
         &self,
         job: &Job,
         demand: &Demand<'_>,
@@ -181,7 +181,7 @@
         let avoid = stage.task(index)?.avoided_worker;
         let fitting = self.roomy(&demand, stage).filter(|(slot, worker)| {
             !reserved.holds(*slot, id)
-                && self.suits(job, &demand, *slot, worker, now)
+                && self.may_run_on(job, &demand, *slot, worker, now)
                 && self.spread_left(&demand, worker) > 0
         });
         let best = fitting.min_by_key(|(slot, worker)| {
@@ -336,7 +336,7 @@
         let (demand, stage) = (self.demand(job, id)?, job.stage(id)?);
         let mut rooms: Vec<(Slot, usize, &Worker)> = Vec::new();
         for (slot, worker) in self.roomy(&demand, stage) {
-            if reserved.holds(slot, id) || !self.suits(job, &demand, slot, worker, now) {
+            if reserved.holds(slot, id) || !self.may_run_on(job, &demand, slot, worker, now) {
                 continue;
             }
             let room = room_for(&worker.free, &demand.size).min(self.spread_left(&demand, worker));
