--- a/crates/cell/src/engine/crash.rs
+++ b/crates/cell/src/engine/crash.rs
@@ -444,7 +444,7 @@
         let mut candidates = self.candidates(&demand, stage);
         let empty = candidates.find(|(slot, worker)| {
             demand.size.fits(&worker.exclusive_capacity(id))
-                && self.spread_left(&demand, worker) > 0
+                && self.anti_affinity_left(&demand, worker) > 0
                 && !reserved.holds(*slot, id)
                 && self.may_run_on(job, &demand, *slot, worker, now)
         });
--- a/crates/cell/src/engine/place.rs
+++ b/crates/cell/src/engine/place.rs
@@ -96,7 +96,7 @@
     }
 
     /// Returns how many more tasks of a step its anti-affinity limit allows on a worker.
-    pub(super) fn spread_left(&self, demand: &Demand<'_>, worker: &Worker) -> usize {
+    pub(super) fn anti_affinity_left(&self, demand: &Demand<'_>, worker: &Worker) -> usize {
         let Some(max_per_worker) = demand.step.anti_affinity else {
             return usize::MAX;
         };
@@ -182,7 +182,7 @@
         let fitting = self.roomy(&demand, stage).filter(|(slot, worker)| {
             !reserved.holds(*slot, id)
                 && self.may_run_on(job, &demand, *slot, worker, now)
-                && self.spread_left(&demand, worker) > 0
+                && self.anti_affinity_left(&demand, worker) > 0
         });
         let best = fitting.min_by_key(|(slot, worker)| {
             let is_avoided = avoid == Some(*slot);
@@ -339,7 +339,8 @@
             if reserved.holds(slot, id) || !self.may_run_on(job, &demand, slot, worker, now) {
                 continue;
             }
-            let room = room_for(&worker.free, &demand.size).min(self.spread_left(&demand, worker));
+            let room =
+                room_for(&worker.free, &demand.size).min(self.anti_affinity_left(&demand, worker));
             if room > 0 {
                 rooms.push((slot, room, worker));
             }
