--- a/crates/cell/src/engine/crash.rs
+++ b/crates/cell/src/engine/crash.rs
@@ -410,7 +410,7 @@
         let suspects = stage.map(|stage| stage.suspects().collect());
         let suspects: Vec<u16> = suspects.unwrap_or_default();
         for index in suspects {
-            if !self.has_try(id, index, now) {
+            if !self.has_attempt_left(id, index, now) {
                 continue;
             }
             let found = self.find_worker(id, index, reserved, now);
--- a/crates/cell/src/engine/place.rs
+++ b/crates/cell/src/engine/place.rs
@@ -137,7 +137,7 @@
     }
 
     /// Returns whether a task has an attempt left even if all its lost runs have failed.
-    pub(super) fn has_try(&self, id: StepId, index: u16, now: Timestamp) -> bool {
+    pub(super) fn has_attempt_left(&self, id: StepId, index: u16, now: Timestamp) -> bool {
         let Some(job) = self.jobs.get(&id.job) else {
             return false;
         };
@@ -156,7 +156,7 @@
         let stage = self.jobs.get(&id.job)?.stage(id)?;
         let waiting = stage.waiting.iter().copied();
         let mut waiting = waiting.filter(|index| !stage.is_suspect(*index));
-        waiting.find(|index| self.has_try(id, *index, now))
+        waiting.find(|index| self.has_attempt_left(id, *index, now))
     }
 
     /// Returns the number of the next run of a task.
@@ -258,7 +258,10 @@
             return self.repair_gang(id, reserved, now);
         }
         let waiting: Vec<u16> = stage.waiting.iter().copied().collect();
-        if waiting.iter().any(|index| !self.has_try(id, *index, now)) {
+        if waiting
+            .iter()
+            .any(|index| !self.has_attempt_left(id, *index, now))
+        {
             return true;
         }
         let Some(places) = self.find_gang(id, &waiting, reserved, now) else {
