--- a/crates/cell/src/engine/crash.rs
+++ b/crates/cell/src/engine/crash.rs
@@ -433,7 +433,7 @@
     ) -> Option<Slot> {
         match self.must_run_alone(id, index, now) {
             true => self.find_empty(id, reserved, now),
-            false => self.find_beside(id, index, reserved, now),
+            false => self.find_shared_worker(id, index, reserved, now),
         }
     }
 
--- a/crates/cell/src/engine/place.rs
+++ b/crates/cell/src/engine/place.rs
@@ -120,7 +120,7 @@
                 }
                 return is_placed;
             };
-            let Some(slot) = self.find_beside(id, index, reserved, now) else {
+            let Some(slot) = self.find_shared_worker(id, index, reserved, now) else {
                 return false;
             };
             let run = self.next_run(id, index);
@@ -168,7 +168,7 @@
     }
 
     /// Returns the best worker for one task that may share it with other tasks.
-    pub(super) fn find_beside(
+    pub(super) fn find_shared_worker(
         &self,
         id: StepId,
         index: u16,
