--- a/crates/cell/src/engine/ask.rs
+++ b/crates/cell/src/engine/ask.rs
@@ -166,7 +166,7 @@
             return;
         };
         let mut rooms: Vec<(Slot, usize)> = Vec::new();
-        for (slot, worker) in self.roomy(&demand, stage) {
+        for (slot, worker) in self.candidates_with_capacity(&demand, stage) {
             let room = room_for(&worker.free, &demand.size);
             if room > 0 && !reserved.holds(slot, id) && demand.admits(worker, now) {
                 rooms.push((slot, room));
--- a/crates/cell/src/engine/place.rs
+++ b/crates/cell/src/engine/place.rs
@@ -179,11 +179,13 @@
         let demand = self.demand(job, id)?;
         let stage = job.stage(id)?;
         let avoid = stage.task(index)?.avoided_worker;
-        let fitting = self.roomy(&demand, stage).filter(|(slot, worker)| {
-            !reserved.holds(*slot, id)
-                && self.may_run_on(job, &demand, *slot, worker, now)
-                && self.anti_affinity_left(&demand, worker) > 0
-        });
+        let fitting = self
+            .candidates_with_capacity(&demand, stage)
+            .filter(|(slot, worker)| {
+                !reserved.holds(*slot, id)
+                    && self.may_run_on(job, &demand, *slot, worker, now)
+                    && self.anti_affinity_left(&demand, worker) > 0
+            });
         let best = fitting.min_by_key(|(slot, worker)| {
             let is_avoided = avoid == Some(*slot);
             (
@@ -209,7 +211,7 @@
     }
 
     /// Returns the [candidates](Self::candidates) that have free resources for a task.
-    pub(super) fn roomy<'a>(
+    pub(super) fn candidates_with_capacity<'a>(
         &'a self,
         demand: &Demand<'_>,
         stage: &'a Stage,
@@ -338,7 +340,7 @@
         let job = self.jobs.get(&id.job)?;
         let (demand, stage) = (self.demand(job, id)?, job.stage(id)?);
         let mut rooms: Vec<(Slot, usize, &Worker)> = Vec::new();
-        for (slot, worker) in self.roomy(&demand, stage) {
+        for (slot, worker) in self.candidates_with_capacity(&demand, stage) {
             if reserved.holds(slot, id) || !self.may_run_on(job, &demand, slot, worker, now) {
                 continue;
             }
