--- a/crates/cell/src/engine/ask.rs
+++ b/crates/cell/src/engine/ask.rs
@@ -13,7 +13,7 @@
     job::Stage,
     place::{
         Demand,
-        room_for, //
+        fit_count, //
     },
     reserve::Reserved, //
 };
@@ -127,8 +127,8 @@
             if is_full || (is_selective && is_enough && named.len() >= MIN_NAMED_WORKERS) {
                 break;
             }
-            room += room_for(&worker.free, &demand.size) as f64;
-            fits += room_for(&worker.registration.capacity, &demand.size) as f64;
+            room += fit_count(&worker.free, &demand.size) as f64;
+            fits += fit_count(&worker.registration.capacity, &demand.size) as f64;
             named.push(slot);
         }
         self.plan_calls(id, named);
@@ -167,7 +167,7 @@
         };
         let mut rooms: Vec<(Slot, usize)> = Vec::new();
         for (slot, worker) in self.candidates_with_capacity(&demand, stage) {
-            let room = room_for(&worker.free, &demand.size);
+            let room = fit_count(&worker.free, &demand.size);
             if room > 0 && !reserved.holds(slot, id) && demand.admits(worker, now) {
                 rooms.push((slot, room));
             }
@@ -225,7 +225,7 @@
         reserved: &Reserved,
         now: Timestamp,
     ) -> Vec<Slot> {
-        let fits = |worker: &Worker| room_for(&worker.registration.capacity, &demand.size) as f64;
+        let fits = |worker: &Worker| fit_count(&worker.registration.capacity, &demand.size) as f64;
         let allowed = self.candidates(demand, stage);
         let allowed = allowed.filter(|(_, worker)| !worker.is_evacuated);
         let allowed: f64 = allowed.map(|(_, worker)| fits(worker)).sum();
--- a/crates/cell/src/engine/place.rs
+++ b/crates/cell/src/engine/place.rs
@@ -345,7 +345,7 @@
                 continue;
             }
             let room =
-                room_for(&worker.free, &demand.size).min(self.anti_affinity_left(&demand, worker));
+                fit_count(&worker.free, &demand.size).min(self.anti_affinity_left(&demand, worker));
             if room > 0 {
                 rooms.push((slot, room, worker));
             }
@@ -483,7 +483,7 @@
 }
 
 /// Returns how many tasks of a size fit into the free resources.
-pub(super) fn room_for(free: &Resources, size: &Resources) -> usize {
+pub(super) fn fit_count(free: &Resources, size: &Resources) -> usize {
     let of = |free: u64, size: u64| free.checked_div(size).unwrap_or(u64::MAX);
     let count = of(free.cpu.get().into(), size.cpu.get().into())
         .min(of(free.memory.get(), size.memory.get()))
--- a/crates/cell/src/engine/reserve.rs
+++ b/crates/cell/src/engine/reserve.rs
@@ -17,7 +17,7 @@
     Slot,
     place::{
         Demand,
-        room_for, //
+        fit_count, //
     },
     schedule::Rank, //
 };
@@ -244,8 +244,8 @@
             .unwrap_or(free_eventually);
         Offer {
             slot,
-            fits_soon: room_for(&free_soon, &demand.size),
-            fits_eventually: room_for(&free_eventually, &demand.size),
+            fits_soon: fit_count(&free_soon, &demand.size),
+            fits_eventually: fit_count(&free_eventually, &demand.size),
             idle_cpu: u64::from(worker.free.cpu.get()),
             victims: victims
                 .into_iter()
@@ -302,7 +302,7 @@
         });
         let mut victims = 0;
         for (task, run, freed) in &offer.victims {
-            if room_for(&room, &size) >= wanted {
+            if fit_count(&room, &size) >= wanted {
                 break;
             }
             victims += 1;
--- a/crates/cell/src/engine/wait.rs
+++ b/crates/cell/src/engine/wait.rs
@@ -14,7 +14,7 @@
     Engine,
     place::{
         Demand,
-        room_for, //
+        fit_count, //
     },
 };
 use crate::{
@@ -276,7 +276,7 @@
                 continue;
             }
             survey.open += 1;
-            let room = room_for(&worker.free, &demand.size);
+            let room = fit_count(&worker.free, &demand.size);
             survey.room += room;
             survey.room_with_ticket += if has_ticket(slot, worker) { room } else { 0 };
         }
