--- a/crates/cell/src/engine/contact.rs
+++ b/crates/cell/src/engine/contact.rs
@@ -398,7 +398,7 @@
         let size = job
             .as_ref()
             .and_then(|job| job.step(task.step))
-            .map_or(Resources::ZERO, super::place::worker_share);
+            .map_or(Resources::ZERO, super::place::worker_resources);
         let (mut is_wanted, mut alone) = (false, false);
         if let Some(job) = job
             && let Some(stage) = job.stage_mut(task.step)
--- a/crates/cell/src/engine/place.rs
+++ b/crates/cell/src/engine/place.rs
@@ -72,7 +72,7 @@
             id,
             step,
             queue: self.queue_of(job),
-            size: worker_share(step),
+            size: worker_resources(step),
             min_report_time: self.report_validity.valid_from,
         })
     }
@@ -406,7 +406,7 @@
             return false;
         };
         let claim = Allocation {
-            size: worker_share(step),
+            size: worker_resources(step),
             charge,
             phase: Phase::Recording,
             since: now,
@@ -458,7 +458,7 @@
 }
 
 /// Returns the resources that a task of a step takes on a worker. Best-effort tasks take no CPU.
-pub(super) fn worker_share(step: &Step) -> Resources {
+pub(super) fn worker_resources(step: &Step) -> Resources {
     let mut size = step.size;
     if step.is_best_effort {
         size.cpu = Millicores(0);
--- a/crates/cell/src/engine/wait.rs
+++ b/crates/cell/src/engine/wait.rs
@@ -116,7 +116,7 @@
 /// Returns whether an empty worker could run tasks of a step.
 fn fits_when_empty(step: &Step, queue: &Queue, worker: &Worker) -> bool {
     has_label(step, queue, worker)
-        && super::place::worker_share(step).fits(&worker.registration.capacity)
+        && super::place::worker_resources(step).fits(&worker.registration.capacity)
 }
 
 fn has_label(step: &Step, queue: &Queue, worker: &Worker) -> bool {
