--- a/crates/cell/src/engine/ask.rs
+++ b/crates/cell/src/engine/ask.rs
@@ -15,7 +15,7 @@
         Demand,
         fit_count, //
     },
-    reserve::Reserved, //
+    reserve::Reservations, //
 };
 use crate::{
     advice::{
@@ -155,7 +155,12 @@
     }
 
     /// Asks again about workers that have room but whose tickets have expired.
-    pub(super) fn refresh_advice(&mut self, id: StepId, reserved: &mut Reserved, now: Timestamp) {
+    pub(super) fn refresh_advice(
+        &mut self,
+        id: StepId,
+        reserved: &mut Reservations,
+        now: Timestamp,
+    ) {
         let Some(job) = self.jobs.get(&id.job) else {
             return;
         };
@@ -222,7 +227,7 @@
         &self,
         demand: &Demand<'_>,
         stage: &Stage,
-        reserved: &Reserved,
+        reserved: &Reservations,
         now: Timestamp,
     ) -> Vec<Slot> {
         let fits = |worker: &Worker| fit_count(&worker.registration.capacity, &demand.size) as f64;
--- a/crates/cell/src/engine/crash.rs
+++ b/crates/cell/src/engine/crash.rs
@@ -24,7 +24,7 @@
         Stage,
         Task, //
     },
-    reserve::Reserved, //
+    reserve::Reservations, //
 };
 use crate::{
     effect::LogRecord,
@@ -403,7 +403,7 @@
     pub(super) fn place_suspects(
         &mut self,
         id: StepId,
-        reserved: &mut Reserved,
+        reserved: &mut Reservations,
         now: Timestamp,
     ) -> bool {
         let stage = self.jobs.get(&id.job).and_then(|job| job.stage(id));
@@ -428,7 +428,7 @@
         &self,
         id: StepId,
         index: u16,
-        reserved: &Reserved,
+        reserved: &Reservations,
         now: Timestamp,
     ) -> Option<Slot> {
         match self.must_run_alone(id, index, now) {
@@ -438,7 +438,7 @@
     }
 
     /// Returns a worker that may run a task of a step and holds nothing, or only tasks of the step that run alone.
-    fn find_empty(&self, id: StepId, reserved: &Reserved, now: Timestamp) -> Option<Slot> {
+    fn find_empty(&self, id: StepId, reserved: &Reservations, now: Timestamp) -> Option<Slot> {
         let job = self.jobs.get(&id.job)?;
         let (demand, stage) = (self.demand(job, id)?, job.stage(id)?);
         let mut candidates = self.candidates(&demand, stage);
@@ -455,7 +455,7 @@
     ///
     /// A late step ranks behind all others in a pass; without these reservations, the others would take each piece of
     /// room as soon as it is free.
-    pub(super) fn reserve_emptying_workers(&mut self, reserved: &mut Reserved, now: Timestamp) {
+    pub(super) fn reserve_emptying_workers(&mut self, reserved: &mut Reservations, now: Timestamp) {
         let mut emptying = self.emptying.clone();
         emptying.retain(|id, slot| self.is_emptying_needed(*id, *slot, now));
         for (id, slot) in &emptying {
@@ -482,7 +482,7 @@
     pub(super) fn reserve_until_empty(
         &mut self,
         id: StepId,
-        reserved: &mut Reserved,
+        reserved: &mut Reservations,
         now: Timestamp,
     ) {
         if !self.emptying.contains_key(&id)
@@ -505,7 +505,7 @@
 
     /// Returns the worker likely to be empty first, among those that may run a step's suspects and hold no lasting
     /// tasks.
-    fn first_to_empty(&self, id: StepId, reserved: &Reserved, now: Timestamp) -> Option<Slot> {
+    fn first_to_empty(&self, id: StepId, reserved: &Reservations, now: Timestamp) -> Option<Slot> {
         let job = self.jobs.get(&id.job)?;
         let (demand, stage) = (self.demand(job, id)?, job.stage(id)?);
         let members = self.free_capacity.members(&demand.queue.pool);
--- a/crates/cell/src/engine/limit.rs
+++ b/crates/cell/src/engine/limit.rs
@@ -10,7 +10,7 @@
 use super::{
     Engine,
     job::Job,
-    reserve::Reserved, //
+    reserve::Reservations, //
 };
 use crate::{
     id::{
@@ -81,7 +81,7 @@
     /// If so, what the step needs is reserved from later steps of the same workspace. Otherwise smaller steps would use
     /// up each free part of the limit before there is enough for a wide gang. This costs other workspaces nothing, and
     /// no task is preempted for it. Nothing is reserved for a gang that is wider than the whole limit.
-    pub(super) fn is_limited(&self, id: StepId, reserved: &mut Reserved) -> bool {
+    pub(super) fn is_limited(&self, id: StepId, reserved: &mut Reservations) -> bool {
         let Some(charge) = self.charge(id) else {
             return false;
         };
@@ -102,7 +102,7 @@
     }
 
     /// Reserves what a gang needs of its workspace's limit while advice on its workers is awaited.
-    pub(super) fn reserve_quota(&self, id: StepId, reserved: &mut Reserved) {
+    pub(super) fn reserve_quota(&self, id: StepId, reserved: &mut Reservations) {
         let Some(job) = self.jobs.get(&id.job) else {
             return;
         };
--- a/crates/cell/src/engine/place.rs
+++ b/crates/cell/src/engine/place.rs
@@ -16,7 +16,7 @@
         Job,
         Stage, //
     },
-    reserve::Reserved, //
+    reserve::Reservations, //
 };
 use crate::{
     config::Queue,
@@ -109,7 +109,7 @@
     pub(super) fn place_singles(
         &mut self,
         id: StepId,
-        reserved: &mut Reserved,
+        reserved: &mut Reservations,
         now: Timestamp,
     ) -> bool {
         loop {
@@ -172,7 +172,7 @@
         &self,
         id: StepId,
         index: u16,
-        reserved: &Reserved,
+        reserved: &Reservations,
         now: Timestamp,
     ) -> Option<Slot> {
         let job = self.jobs.get(&id.job)?;
@@ -246,7 +246,7 @@
     pub(super) fn place_gang(
         &mut self,
         id: StepId,
-        reserved: &mut Reserved,
+        reserved: &mut Reservations,
         now: Timestamp,
     ) -> bool {
         let Some(stage) = self.jobs.get(&id.job).and_then(|job| job.stage(id)) else {
@@ -293,7 +293,7 @@
     }
 
     /// Starts missing members of a gang on other workers, or stops the members that wait for them in vain.
-    fn repair_gang(&mut self, id: StepId, reserved: &Reserved, now: Timestamp) -> bool {
+    fn repair_gang(&mut self, id: StepId, reserved: &Reservations, now: Timestamp) -> bool {
         let Some(stage) = self.jobs.get(&id.job).and_then(|job| job.stage(id)) else {
             return true;
         };
@@ -334,7 +334,7 @@
         &self,
         id: StepId,
         members: &[u16],
-        reserved: &Reserved,
+        reserved: &Reservations,
         now: Timestamp,
     ) -> Option<Vec<(u16, Slot)>> {
         let job = self.jobs.get(&id.job)?;
--- a/crates/cell/src/engine/reserve.rs
+++ b/crates/cell/src/engine/reserve.rs
@@ -44,7 +44,7 @@
 
 /// The workers, and the shares of workspace limits, that are reserved for steps during one scheduling pass.
 #[derive(Debug, Default)]
-pub(super) struct Reserved {
+pub(super) struct Reservations {
     /// The step that each reserved worker is reserved for.
     holders: HashMap<Slot, StepId>,
     /// The gangs with reserved workers.
@@ -55,7 +55,7 @@
     limits: HashMap<quota::Slot, Vec<(StepId, Resources)>>,
 }
 
-impl Reserved {
+impl Reservations {
     /// Returns whether a worker is reserved for another step.
     pub(super) fn holds(&self, slot: Slot, id: StepId) -> bool {
         self.holders.get(&slot).is_some_and(|holder| *holder != id)
@@ -135,7 +135,7 @@
     pub(super) fn reserve_workers(
         &mut self,
         id: StepId,
-        reserved: &mut Reserved,
+        reserved: &mut Reservations,
         now: Timestamp,
     ) -> bool {
         let Some(job) = self.jobs.get(&id.job) else {
--- a/crates/cell/src/engine/schedule.rs
+++ b/crates/cell/src/engine/schedule.rs
@@ -7,7 +7,7 @@
 use super::{
     Engine,
     WaitReason,
-    reserve::Reserved, //
+    reserve::Reservations, //
 };
 use crate::id::StepId;
 
@@ -96,7 +96,7 @@
                 self.agenda.rank(rank, change);
             }
         }
-        let mut reserved = Reserved::default();
+        let mut reserved = Reservations::default();
         self.reserve_emptying_workers(&mut reserved, now);
         let (last, cost) = self.schedule_from(None, MAX_PASS_CHECKS, &mut reserved, now);
         let more_cost = self.schedule_skipped(last, &mut reserved, now);
@@ -110,7 +110,7 @@
         &mut self,
         from: Option<Rank>,
         budget: usize,
-        reserved: &mut Reserved,
+        reserved: &mut Reservations,
         now: Timestamp,
     ) -> (Option<Rank>, usize) {
         let mut last = from;
@@ -132,7 +132,7 @@
     fn schedule_skipped(
         &mut self,
         last: Option<Rank>,
-        reserved: &mut Reserved,
+        reserved: &mut Reservations,
         now: Timestamp,
     ) -> usize {
         let Some(last) = last else {
@@ -170,7 +170,7 @@
     }
 
     /// Starts the tasks of a step that fit, or reserves workers for it. Returns the cost in worker checks.
-    fn schedule_step(&mut self, id: StepId, reserved: &mut Reserved, now: Timestamp) -> usize {
+    fn schedule_step(&mut self, id: StepId, reserved: &mut Reservations, now: Timestamp) -> usize {
         if !self.knows_evacuation(now) {
             self.update_known_wait_reason(id, WaitReason::EvacuationUnknown, now);
             return STEP_CHECKS;
@@ -231,7 +231,7 @@
     }
 
     /// Asks for advice if needed and starts the tasks of a step that fit. Returns false if some have to wait.
-    fn start_fitting(&mut self, id: StepId, reserved: &mut Reserved, now: Timestamp) -> bool {
+    fn start_fitting(&mut self, id: StepId, reserved: &mut Reservations, now: Timestamp) -> bool {
         if !self.has_advice(id) {
             self.request_advice(id, now);
             return false;
