--- a/crates/cell/src/engine/ask.rs
+++ b/crates/cell/src/engine/ask.rs
@@ -173,7 +173,7 @@
         let mut rooms: Vec<(Slot, usize)> = Vec::new();
         for (slot, worker) in self.candidates_with_capacity(&demand, stage) {
             let room = fit_count(&worker.free, &demand.size);
-            if room > 0 && !reserved.holds(slot, id) && demand.admits(worker, now) {
+            if room > 0 && !reserved.is_reserved_for_other(slot, id) && demand.admits(worker, now) {
                 rooms.push((slot, room));
             }
         }
@@ -237,7 +237,7 @@
         let tasks = stage.waiting.len() as f64;
         let unnamed = |min_cpu| {
             let unnamed = self.unnamed_workers(demand, stage, min_cpu, now);
-            unnamed.filter(|(slot, _)| !reserved.holds(*slot, demand.id))
+            unnamed.filter(|(slot, _)| !reserved.is_reserved_for_other(*slot, demand.id))
         };
         if demand.step.gang {
             let missing = tasks * GANG_CAPACITY_FACTOR - allowed;
--- a/crates/cell/src/engine/crash.rs
+++ b/crates/cell/src/engine/crash.rs
@@ -445,7 +445,7 @@
         let empty = candidates.find(|(slot, worker)| {
             demand.size.fits(&worker.exclusive_capacity(id))
                 && self.anti_affinity_left(&demand, worker) > 0
-                && !reserved.holds(*slot, id)
+                && !reserved.is_reserved_for_other(*slot, id)
                 && self.may_run_on(job, &demand, *slot, worker, now)
         });
         empty.map(|(slot, _)| slot)
@@ -517,7 +517,7 @@
         let candidates = self.candidates(&demand, stage);
         let emptied = candidates.filter(|(slot, worker)| {
             let mut tasks = worker.allocations.keys();
-            !reserved.holds(*slot, id)
+            !reserved.is_reserved_for_other(*slot, id)
                 && demand.admits(worker, now)
                 && demand.size.fits(&worker.registration.capacity)
                 && tasks.all(|(task, _)| self.ends(*task, true))
--- a/crates/cell/src/engine/place.rs
+++ b/crates/cell/src/engine/place.rs
@@ -182,7 +182,7 @@
         let fitting = self
             .candidates_with_capacity(&demand, stage)
             .filter(|(slot, worker)| {
-                !reserved.holds(*slot, id)
+                !reserved.is_reserved_for_other(*slot, id)
                     && self.may_run_on(job, &demand, *slot, worker, now)
                     && self.anti_affinity_left(&demand, worker) > 0
             });
@@ -341,7 +341,9 @@
         let (demand, stage) = (self.demand(job, id)?, job.stage(id)?);
         let mut rooms: Vec<(Slot, usize, &Worker)> = Vec::new();
         for (slot, worker) in self.candidates_with_capacity(&demand, stage) {
-            if reserved.holds(slot, id) || !self.may_run_on(job, &demand, slot, worker, now) {
+            if reserved.is_reserved_for_other(slot, id)
+                || !self.may_run_on(job, &demand, slot, worker, now)
+            {
                 continue;
             }
             let room =
--- a/crates/cell/src/engine/reserve.rs
+++ b/crates/cell/src/engine/reserve.rs
@@ -57,7 +57,7 @@
 
 impl Reservations {
     /// Returns whether a worker is reserved for another step.
-    pub(super) fn holds(&self, slot: Slot, id: StepId) -> bool {
+    pub(super) fn is_reserved_for_other(&self, slot: Slot, id: StepId) -> bool {
         self.holders.get(&slot).is_some_and(|holder| *holder != id)
     }
 
@@ -168,7 +168,9 @@
         }
         let mut offers: Vec<Offer> = self
             .candidates(&demand, stage)
-            .filter(|(slot, worker)| !reserved.holds(*slot, id) && demand.admits(worker, now))
+            .filter(|(slot, worker)| {
+                !reserved.is_reserved_for_other(*slot, id) && demand.admits(worker, now)
+            })
             .map(|(slot, worker)| self.offer(&demand, slot, worker, rank, now))
             .collect();
         offers.sort_by_key(|offer| {
