--- a/crates/cell/src/engine/ask.rs
+++ b/crates/cell/src/engine/ask.rs
@@ -208,7 +208,7 @@
         let slots: Vec<Slot> = rooms.into_iter().map(|(slot, _)| slot).collect();
         let stale: Vec<Slot> = slots.iter().copied().filter(is_stale).collect();
         if is_gang {
-            reserved.keep_for_gang(slots.into_iter(), id);
+            reserved.reserve_for_gang(slots.into_iter(), id);
         }
         if self.may_call(&demand, stage, now) {
             self.plan_calls(id, stale);
--- a/crates/cell/src/engine/reserve.rs
+++ b/crates/cell/src/engine/reserve.rs
@@ -87,7 +87,7 @@
     }
 
     /// Reserves the workers on which a gang fits, or will fit.
-    pub(super) fn keep_for_gang(&mut self, slots: impl Iterator<Item = Slot>, id: StepId) {
+    pub(super) fn reserve_for_gang(&mut self, slots: impl Iterator<Item = Slot>, id: StepId) {
         self.gangs.insert(id);
         self.reserve(slots, id);
     }
@@ -187,7 +187,7 @@
         };
         let slots = chosen.iter().map(|(offer, _)| offer.slot);
         match is_gang {
-            true => reserved.keep_for_gang(slots, id),
+            true => reserved.reserve_for_gang(slots, id),
             false => reserved.reserve(slots, id),
         }
         if must_preempt || self.is_preemption_worthwhile(&chosen) {
