--- a/crates/cell/src/engine/crash.rs
+++ b/crates/cell/src/engine/crash.rs
@@ -510,7 +510,7 @@
         let (demand, stage) = (self.demand(job, id)?, job.stage(id)?);
         let members = self.free_capacity.members(&demand.queue.pool);
         if stage.suspects().next().is_none()
-            || reserved.emptied() * WORKERS_PER_EMPTIED_WORKER >= members
+            || reserved.emptying_count() * WORKERS_PER_EMPTIED_WORKER >= members
         {
             return None;
         }
--- a/crates/cell/src/engine/reserve.rs
+++ b/crates/cell/src/engine/reserve.rs
@@ -99,7 +99,7 @@
     }
 
     /// Returns the number of workers that are reserved until they are empty.
-    pub(super) const fn emptied(&self) -> usize {
+    pub(super) const fn emptying_count(&self) -> usize {
         self.draining_count
     }
 
