--- a/crates/cell/src/engine/crash.rs
+++ b/crates/cell/src/engine/crash.rs
@@ -520,7 +520,7 @@
             !reserved.is_reserved_for_other(*slot, id)
                 && demand.admits(worker, now)
                 && demand.size.fits(&worker.registration.capacity)
-                && tasks.all(|(task, _)| self.ends(*task, true))
+                && tasks.all(|(task, _)| self.ends_soon(*task, true))
         });
         let first = emptied.min_by_key(|(slot, worker)| (worker.allocations.len(), *slot));
         first.map(|(slot, _)| slot)
--- a/crates/cell/src/engine/reserve.rs
+++ b/crates/cell/src/engine/reserve.rs
@@ -232,7 +232,7 @@
                 && self.is_preemptible_by(*task, demand, rank, now)
             {
                 victims.push((*task, *run, claim.size, claim.since));
-            } else if self.ends(*task, is_promoted) {
+            } else if self.ends_soon(*task, is_promoted) {
                 free_later = free_later.checked_add(claim.size).unwrap_or(free_later);
             }
         }
@@ -258,7 +258,7 @@
 
     /// Returns whether a running task can be expected to end soon by itself: long-running services are excluded, and
     /// members of gangs are too unless `with_gangs` is set.
-    pub(super) fn ends(&self, task: TaskId, with_gangs: bool) -> bool {
+    pub(super) fn ends_soon(&self, task: TaskId, with_gangs: bool) -> bool {
         let job = self.jobs.get(&task.step.job);
         let step = job.and_then(|job| job.step(task.step));
         step.is_some_and(|step| (with_gangs || !step.gang) && !step.long_running)
