--- a/crates/cell/src/engine/contact.rs
+++ b/crates/cell/src/engine/contact.rs
@@ -346,7 +346,7 @@
         }
         self.release_absent(slot, &listed, asked, now);
         if !was_heard {
-            self.send_held_back(slot, now);
+            self.send_deferred_starts(slot, now);
         }
         self.pace(slot, &inventory.running, now);
         let Some(worker) = self.workers.get_mut(&slot) else {
--- a/crates/cell/src/engine/order.rs
+++ b/crates/cell/src/engine/order.rs
@@ -183,7 +183,7 @@
 
     /// Sends the start orders that were deferred while a worker was silent, if the same incarnation has answered. For a
     /// new incarnation the raised fence makes the old orders void.
-    pub(super) fn send_held_back(&mut self, slot: Slot, now: Timestamp) {
+    pub(super) fn send_deferred_starts(&mut self, slot: Slot, now: Timestamp) {
         let Some(worker) = self.workers.get_mut(&slot) else {
             return;
         };
