--- a/crates/cell/src/engine/announce.rs
+++ b/crates/cell/src/engine/announce.rs
@@ -38,7 +38,7 @@
             return false;
         }
         self.announced.insert(id, now + ANNOUNCEMENT_TIMEOUT);
-        self.insert(Job::new(accepted, &Progress::default()), now);
+        self.add_job(Job::new(accepted, &Progress::default()), now);
         true
     }
 
--- a/crates/cell/src/engine/submit.rs
+++ b/crates/cell/src/engine/submit.rs
@@ -36,7 +36,7 @@
             self.reject(&accepted);
             return false;
         }
-        self.insert(Job::new(accepted, &Progress::default()), now);
+        self.add_job(Job::new(accepted, &Progress::default()), now);
         true
     }
 
@@ -71,13 +71,13 @@
             _ => {
                 let progress = progress.remove(&id).unwrap_or_default();
                 self.inherit_crashes(id, &progress);
-                self.insert(Job::new(accepted, &progress), now);
+                self.add_job(Job::new(accepted, &progress), now);
             }
         }
     }
 
     /// Adds a job and begins its occurrences that are due.
-    pub(super) fn insert(&mut self, mut job: Job, now: Timestamp) {
+    pub(super) fn add_job(&mut self, mut job: Job, now: Timestamp) {
         let id = job.accepted.job;
         job.is_cancelled = self.is_cancelled(&job);
         self.open_account(&mut job);
