--- a/crates/cell/src/engine/crash.rs
+++ b/crates/cell/src/engine/crash.rs
@@ -307,7 +307,7 @@
             verdict,
         });
         if is_given_up {
-            self.close(id, "crashes-workers", now);
+            self.stop_job(id, "crashes-workers", now);
         }
     }
 
--- a/crates/cell/src/engine/end.rs
+++ b/crates/cell/src/engine/end.rs
@@ -172,7 +172,7 @@
         self.ledger.add_job(task.step.job);
         if is_exhausted {
             job.outcome = Some(Outcome::Failed);
-            self.close(task.step.job, "job-failed", now);
+            self.stop_job(task.step.job, "job-failed", now);
         }
     }
 
--- a/crates/cell/src/engine/submit.rs
+++ b/crates/cell/src/engine/submit.rs
@@ -172,7 +172,7 @@
         }
         job.is_cancelled = true;
         self.schedule_removal(id, now);
-        self.close(id, "cancelled", now);
+        self.stop_job(id, "cancelled", now);
         true
     }
 
@@ -190,7 +190,7 @@
     }
 
     /// Removes a job that is over from the open steps and stops its runs.
-    pub(super) fn close(&mut self, id: JobId, why: &'static str, now: Timestamp) {
+    pub(super) fn stop_job(&mut self, id: JobId, why: &'static str, now: Timestamp) {
         self.agenda.remove_job(id);
         self.unschedulable.retain(|step| step.job != id);
         let mut active = Vec::new();
