--- a/crates/cell/src/engine/contact.rs
+++ b/crates/cell/src/engine/contact.rs
@@ -80,7 +80,7 @@
             self.update_indexes(slot);
             self.mark_evacuated(slot);
             if shrinks && !has_new_incarnation {
-                self.shrink(slot, now);
+                self.revoke_excess_starts(slot, now);
             }
             if is_changed {
                 self.reopen_unschedulable();
--- a/crates/cell/src/engine/shrink.rs
+++ b/crates/cell/src/engine/shrink.rs
@@ -69,7 +69,7 @@
     /// Revokes starts that exceed the decreased capacity of a worker, if their orders are unsent or unanswered.
     ///
     /// Tasks that run there already go on until they end by themselves.
-    pub(super) fn shrink(&mut self, slot: Slot, now: Timestamp) {
+    pub(super) fn revoke_excess_starts(&mut self, slot: Slot, now: Timestamp) {
         self.report_validity.has_shrunk = true;
         self.note_worker(slot, "shrunk", now);
         for (task, run) in self.unsent(slot) {
