--- a/crates/cell/src/engine/crash.rs
+++ b/crates/cell/src/engine/crash.rs
@@ -508,7 +508,7 @@
     fn first_to_empty(&self, id: StepId, reserved: &Reservations, now: Timestamp) -> Option<Slot> {
         let job = self.jobs.get(&id.job)?;
         let (demand, stage) = (self.demand(job, id)?, job.stage(id)?);
-        let members = self.free_capacity.members(&demand.queue.pool);
+        let members = self.free_capacity.worker_count(&demand.queue.pool);
         if stage.suspects().next().is_none()
             || reserved.emptying_count() * WORKERS_PER_EMPTIED_WORKER >= members
         {
--- a/crates/cell/src/engine/room.rs
+++ b/crates/cell/src/engine/room.rs
@@ -83,7 +83,7 @@
     }
 
     /// Returns how many workers of a pool are known, whether they accept tasks or not.
-    pub(super) fn members(&self, pool: &PoolName) -> usize {
+    pub(super) fn worker_count(&self, pool: &PoolName) -> usize {
         self.pools.get(pool).map_or(0, |pool| pool.members)
     }
 
--- a/crates/cell/src/engine/wait.rs
+++ b/crates/cell/src/engine/wait.rs
@@ -148,7 +148,7 @@
         index: usize,
         queue: &Queue,
     ) -> Option<UnmetRequirement> {
-        if self.free_capacity.members(&queue.pool) == 0 {
+        if self.free_capacity.worker_count(&queue.pool) == 0 {
             return None;
         }
         let mut workers = self.workers.values();
