--- a/crates/cell/src/engine/ask.rs
+++ b/crates/cell/src/engine/ask.rs
@@ -146,7 +146,10 @@
         min_cpu: Millicores,
         now: Timestamp,
     ) -> impl Iterator<Item = (Slot, &'a Worker)> {
-        let slots = self.free_capacity.from(&demand.queue.pool, min_cpu).rev();
+        let slots = self
+            .free_capacity
+            .with_free_cpu(&demand.queue.pool, min_cpu)
+            .rev();
         let slots = slots.filter(|slot| !stage.advice.was_asked(*slot));
         let workers = slots.filter_map(|slot| Some((slot, self.workers.get(&slot)?)));
         workers.filter(move |(_, worker)| {
--- a/crates/cell/src/engine/place.rs
+++ b/crates/cell/src/engine/place.rs
@@ -234,7 +234,7 @@
             Some(_) => (Some(stage.advice.allowed.slots()), None),
             None => (
                 None,
-                Some(self.free_capacity.from(&demand.queue.pool, least)),
+                Some(self.free_capacity.with_free_cpu(&demand.queue.pool, least)),
             ),
         };
         let advised = advised.into_iter().flatten();
--- a/crates/cell/src/engine/room.rs
+++ b/crates/cell/src/engine/room.rs
@@ -89,7 +89,7 @@
 
     /// Returns the workers of a pool that accept tasks and have at least so much CPU free, those with the least first.
     /// Doesn't check for backoff after a rejection.
-    pub(super) fn from(
+    pub(super) fn with_free_cpu(
         &self,
         pool: &PoolName,
         least: Millicores,
--- a/crates/cell/src/engine/wait.rs
+++ b/crates/cell/src/engine/wait.rs
@@ -246,7 +246,9 @@
 
     /// Returns whether any worker accepts tasks of a step, regardless of room and advice.
     fn has_open_worker(&self, demand: &Demand<'_>, now: Timestamp) -> bool {
-        let slots = self.free_capacity.from(&demand.queue.pool, Millicores(0));
+        let slots = self
+            .free_capacity
+            .with_free_cpu(&demand.queue.pool, Millicores(0));
         let mut workers = slots.filter_map(|slot| self.workers.get(&slot));
         workers.any(|worker| demand.admits(worker, now))
     }
