--- a/crates/cell/src/engine/mod.rs
+++ b/crates/cell/src/engine/mod.rs
@@ -74,7 +74,7 @@
 };
 pub use self::{
     limit::Usage as WorkspaceUsage,
-    pace::Pacing,
+    pace::Throttling,
     view::{
         Counts,
         State, //
--- a/crates/cell/src/engine/pace.rs
+++ b/crates/cell/src/engine/pace.rs
@@ -49,7 +49,7 @@
 
 /// The CPU share of the best-effort tasks on a worker.
 #[derive(Clone, Debug)]
-pub struct Pacing {
+pub struct Throttling {
     share: u8,
     /// When the share was last changed.
     last_change: Timestamp,
@@ -59,7 +59,7 @@
     confirmed_shares: BTreeMap<(TaskId, Run), u8>,
 }
 
-impl Default for Pacing {
+impl Default for Throttling {
     fn default() -> Self {
         Self {
             share: FULL_SHARE_PERCENT,
@@ -70,7 +70,7 @@
     }
 }
 
-impl Pacing {
+impl Throttling {
     /// Adjusts the share to the highest ratio of load to target among the latency-sensitive tasks; `None` if there are
     /// no such tasks. A ratio of 1 means that the target is reached.
     fn adjust(&mut self, load_ratio: Option<f64>, now: Timestamp) {
--- a/crates/cell/src/worker.rs
+++ b/crates/cell/src/worker.rs
@@ -18,7 +18,7 @@
 use crate::{
     bounds::Bounds,
     effect::Destination,
-    engine::Pacing,
+    engine::Throttling,
     event::Registration,
     id::{
         Fence,
@@ -197,7 +197,7 @@
     /// The number of consecutive failures of tasks that it started.
     pub failures: u32,
     /// The share of the processor time that its best-effort tasks may use.
-    pub pacing: Pacing,
+    pub pacing: Throttling,
     clock_reading: Option<ClockReading>,
     leases_end: Timestamp,
 }
@@ -235,7 +235,7 @@
             ended_runs: VecDeque::new(),
             backoff_until: Timestamp::ZERO,
             failures: 0,
-            pacing: Pacing::default(),
+            pacing: Throttling::default(),
             clock_reading: None,
             leases_end,
         }
@@ -315,7 +315,7 @@
         self.clock_reading = None;
         self.ended_runs.clear();
         self.failures = 0;
-        self.pacing = Pacing::default();
+        self.pacing = Throttling::default();
     }
 
     /// Returns whether an inventory requested at `asked` proves that no order to start a run can be carried out any
