--- a/crates/cell/src/engine/contact.rs
+++ b/crates/cell/src/engine/contact.rs
@@ -348,7 +348,7 @@
         if !was_heard {
             self.send_deferred_starts(slot, now);
         }
-        self.pace(slot, &inventory.running, now);
+        self.throttle(slot, &inventory.running, now);
         let Some(worker) = self.workers.get_mut(&slot) else {
             return;
         };
--- a/crates/cell/src/engine/pace.rs
+++ b/crates/cell/src/engine/pace.rs
@@ -99,7 +99,7 @@
 
 impl Engine {
     /// Sets the share of a worker's best-effort tasks according to its inventory.
-    pub(super) fn pace(&mut self, slot: Slot, running: &[Running], now: Timestamp) {
+    pub(super) fn throttle(&mut self, slot: Slot, running: &[Running], now: Timestamp) {
         let mut load_ratio: Option<f64> = None;
         let mut best_effort_runs = Vec::new();
         for run in running {
