--- a/crates/cell/src/engine/pace.rs
+++ b/crates/cell/src/engine/pace.rs
@@ -149,7 +149,7 @@
     }
 
     /// Handles the answer to an order that sets a share. An unanswered order is sent again with the next inventory.
-    pub fn paced(
+    pub fn throttled(
         &mut self,
         worker: &WorkerId,
         task: TaskId,
--- a/crates/cell/tests/cell/pace.rs
+++ b/crates/cell/tests/cell/pace.rs
@@ -172,7 +172,7 @@
                     }
                 };
                 self.engine
-                    .paced(&worker, task, run, order.percent, answer, now);
+                    .throttled(&worker, task, run, order.percent, answer, now);
             }
             _ => {}
         }
--- a/crates/node/src/owner/orders.rs
+++ b/crates/node/src/owner/orders.rs
@@ -166,7 +166,7 @@
                 engine.stopped(&worker, task, run, answer, now);
             }
             Report::Paced(worker, task, run, percent, answer) => {
-                engine.paced(&worker, task, run, percent, answer, now);
+                engine.throttled(&worker, task, run, percent, answer, now);
             }
             Report::Held(worker, asked, answer) => {
                 engine.handle_heartbeat_answer(&worker, asked, answer, now)
