--- a/crates/cell/src/engine/contact.rs
+++ b/crates/cell/src/engine/contact.rs
@@ -212,7 +212,7 @@
             Some(_) => None,
         };
         let wait = match worker.heard {
-            Some(_) if worker.silent_since.is_none() && worker.pacing.is_mixed => {
+            Some(_) if worker.silent_since.is_none() && worker.pacing.is_shared => {
                 MIXED_LOAD_INVENTORY_WAIT
             }
             Some(_) if worker.silent_since.is_none() => INVENTORY_WAIT,
--- a/crates/cell/src/engine/pace.rs
+++ b/crates/cell/src/engine/pace.rs
@@ -54,7 +54,7 @@
     /// When the share was last changed.
     last_change: Timestamp,
     /// Whether best-effort and latency-sensitive tasks share the worker.
-    pub is_mixed: bool,
+    pub is_shared: bool,
     /// The share that the worker has confirmed for each run; a run without an entry has the full share.
     confirmed_shares: BTreeMap<(TaskId, Run), u8>,
 }
@@ -64,7 +64,7 @@
         Self {
             share: FULL_SHARE_PERCENT,
             last_change: Timestamp::ZERO,
-            is_mixed: false,
+            is_shared: false,
             confirmed_shares: BTreeMap::new(),
         }
     }
@@ -119,7 +119,7 @@
             return;
         };
         let pacing = &mut worker.pacing;
-        pacing.is_mixed = load_ratio.is_some() && !best_effort_runs.is_empty();
+        pacing.is_shared = load_ratio.is_some() && !best_effort_runs.is_empty();
         pacing
             .confirmed_shares
             .retain(|run, _| best_effort_runs.contains(run));
