--- a/crates/cell/src/engine/view.rs
+++ b/crates/cell/src/engine/view.rs
@@ -62,7 +62,7 @@
     /// Open steps with tasks that wait to be started.
     pub open_steps: usize,
     /// Open steps that no known worker could run.
-    pub steps_aside: usize,
+    pub unschedulable_steps: usize,
     /// Runs that may use resources of a worker.
     pub claims: usize,
     /// Runs that workers have listed in their last inventories.
@@ -183,7 +183,7 @@
             jobs: self.jobs.len() + self.ended.len(),
             waiting: self.waiting().count(),
             open_steps: self.agenda.len() + self.unschedulable.len(),
-            steps_aside: self.unschedulable.len(),
+            unschedulable_steps: self.unschedulable.len(),
             claims: self
                 .workers
                 .values()
--- a/crates/cell/tests/cell/wait.rs
+++ b/crates/cell/tests/cell/wait.rs
@@ -125,7 +125,7 @@
     let job = world.submit("urgent", vec![step]);
     world.run(Duration::from_millis(50));
     assert_eq!(reported_waits(&world, job), [why]);
-    assert_eq!(world.engine.counts().steps_aside, 1);
+    assert_eq!(world.engine.counts().unschedulable_steps, 1);
     world.run(Duration::from_secs(60));
     assert_eq!(reported_waits(&world, job), [why]);
 }
--- a/crates/node/src/report.rs
+++ b/crates/node/src/report.rs
@@ -256,7 +256,7 @@
             ("jobs", counts.jobs),
             ("waiting", counts.waiting),
             ("open_steps", counts.open_steps),
-            ("steps_aside", counts.steps_aside),
+            ("steps_aside", counts.unschedulable_steps),
             ("claims", counts.claims),
             ("listed", counts.listed_runs),
             ("workers_heard", counts.workers_heard),
