--- a/crates/cell/src/engine/view.rs
+++ b/crates/cell/src/engine/view.rs
@@ -72,7 +72,7 @@
     /// Workers that don't answer.
     pub workers_silent: usize,
     /// Workers that may run tasks started by former owners and have not answered this owner yet.
-    pub workers_unheard: usize,
+    pub workers_not_yet_heard: usize,
     /// Workers in data centres that are evacuated.
     pub workers_evacuated: usize,
 }
@@ -192,7 +192,7 @@
             listed_runs: self.workers.values().map(|worker| worker.listed_runs).sum(),
             workers_heard: heard.count(),
             workers_silent: silent,
-            workers_unheard: unheard.count(),
+            workers_not_yet_heard: unheard.count(),
             workers_evacuated: evacuated.count(),
         }
     }
--- a/crates/node/src/owner/control.rs
+++ b/crates/node/src/owner/control.rs
@@ -433,7 +433,7 @@
                 "view_ms" => millis(view),
                 "workers_heard" => counts.workers_heard,
                 "workers_silent" => counts.workers_silent,
-                "workers_unheard" => counts.workers_unheard,
+                "workers_unheard" => counts.workers_not_yet_heard,
                 "workers_evacuated" => counts.workers_evacuated);
         }
     }
--- a/crates/node/src/report.rs
+++ b/crates/node/src/report.rs
@@ -261,7 +261,7 @@
             ("listed", counts.listed_runs),
             ("workers_heard", counts.workers_heard),
             ("workers_silent", counts.workers_silent),
-            ("workers_unheard", counts.workers_unheard),
+            ("workers_unheard", counts.workers_not_yet_heard),
             ("workers_evacuated", counts.workers_evacuated),
         ];
         for (kind, value) in gauges {
