--- a/crates/cell/src/engine/contact.rs
+++ b/crates/cell/src/engine/contact.rs
@@ -255,7 +255,7 @@
                 self.update_indexes(slot);
             }
             HeartbeatAnswer::Fenced => self.outbox.push(Effect::Deposed),
-            HeartbeatAnswer::Replaced => self.lose_worker(slot, "replaced", now),
+            HeartbeatAnswer::Replaced => self.remove_lost_worker(slot, "replaced", now),
             HeartbeatAnswer::NoAnswer
             | HeartbeatAnswer::ConnectionLost
             | HeartbeatAnswer::Refused
--- a/crates/cell/src/engine/loss.rs
+++ b/crates/cell/src/engine/loss.rs
@@ -60,7 +60,7 @@
     }
 
     /// Removes an incarnation that is gone, with all its runs.
-    pub(super) fn lose_worker(&mut self, slot: Slot, why: &'static str, now: Timestamp) {
+    pub(super) fn remove_lost_worker(&mut self, slot: Slot, why: &'static str, now: Timestamp) {
         self.note_worker(slot, why, now);
         self.note_losses(slot, why, now);
         self.count_crashes(slot, now);
@@ -142,7 +142,7 @@
         let is_listed = worker.is_listed();
         if !worker.has_expired(now) {
             if worker.is_forgettable(now) {
-                self.lose_worker(slot, "gone", now);
+                self.remove_lost_worker(slot, "gone", now);
             }
             return;
         }
@@ -153,7 +153,7 @@
             self.add_doubted_crashes(slot, now);
             self.release_all(slot, now);
         } else {
-            self.lose_worker(slot, "gone", now);
+            self.remove_lost_worker(slot, "gone", now);
         }
     }
 }
--- a/crates/cell/src/engine/order.rs
+++ b/crates/cell/src/engine/order.rs
@@ -78,7 +78,7 @@
             StartAnswer::Fenced if !self.may_have_stale_orders(slot) => {
                 self.outbox.push(Effect::Deposed)
             }
-            StartAnswer::Replaced => self.lose_worker(slot, "replaced", now),
+            StartAnswer::Replaced => self.remove_lost_worker(slot, "replaced", now),
             StartAnswer::NoAnswer => self.retry_start(slot, task, run, now),
             // The run has ended there already, or its stop order arrived first. The inventory shows which.
             StartAnswer::Stale => self.confirm(slot, task, run, now),
@@ -399,7 +399,7 @@
                 self.stops
                     .set((slot, task, run), Some(now + STOP_RETRY_DELAY));
             }
-            StopAnswer::Replaced => self.lose_worker(slot, "replaced", now),
+            StopAnswer::Replaced => self.remove_lost_worker(slot, "replaced", now),
         }
     }
 }
