--- a/crates/cell/src/engine/announce.rs
+++ b/crates/cell/src/engine/announce.rs
@@ -55,7 +55,7 @@
             self.release(slot, task, run, now);
         }
         self.jobs.remove(&id);
-        self.agenda.remove_job(id);
+        self.open_steps.remove_job(id);
         self.unschedulable.retain(|step| step.job != id);
     }
 
--- a/crates/cell/src/engine/end.rs
+++ b/crates/cell/src/engine/end.rs
@@ -121,7 +121,7 @@
             }
         }
         if stage.waiting.is_empty() {
-            self.agenda.remove(task.step);
+            self.open_steps.remove(task.step);
         }
         if job.is_done() {
             job.outcome = Some(Outcome::Completed);
--- a/crates/cell/src/engine/loss.rs
+++ b/crates/cell/src/engine/loss.rs
@@ -56,7 +56,7 @@
         }
         stage.waiting.insert(task.index);
         stage.opened_at.get_or_insert(now);
-        self.agenda.insert(task.step);
+        self.open_steps.insert(task.step);
     }
 
     /// Removes an incarnation that is gone, with all its runs.
--- a/crates/cell/src/engine/mod.rs
+++ b/crates/cell/src/engine/mod.rs
@@ -194,7 +194,7 @@
     report_validity: ReportValidity,
     next_slot: u32,
     /// Open steps that have tasks to start.
-    agenda: OpenSteps,
+    open_steps: OpenSteps,
     /// Open steps that no known worker could run.
     unschedulable: BTreeSet<StepId>,
     /// The workers, indexed by their free resources.
@@ -267,7 +267,7 @@
             slots: HashMap::default(),
             report_validity: ReportValidity::default(),
             next_slot: 0,
-            agenda: OpenSteps::default(),
+            open_steps: OpenSteps::default(),
             unschedulable: BTreeSet::new(),
             free_capacity: FreeCapacity::default(),
             evacuation: None,
@@ -332,7 +332,7 @@
         if config.version >= self.config.version {
             self.config = config;
             self.set_limits();
-            self.agenda.mark_all_unranked();
+            self.open_steps.mark_all_unranked();
             self.needs_pass = true;
             self.reopen_unschedulable();
         }
--- a/crates/cell/src/engine/place.rs
+++ b/crates/cell/src/engine/place.rs
@@ -116,7 +116,7 @@
             let Some(index) = self.first_startable(id, now) else {
                 let is_placed = self.place_suspects(id, reserved, now);
                 if self.first_waiting(id).is_none() {
-                    self.agenda.remove(id);
+                    self.open_steps.remove(id);
                 }
                 return is_placed;
             };
@@ -253,7 +253,7 @@
             return true;
         };
         if stage.waiting.is_empty() {
-            self.agenda.remove(id);
+            self.open_steps.remove(id);
             return true;
         }
         if stage.active_count() > 0 {
@@ -280,7 +280,7 @@
             // `find_gang` has checked the free resources for all members.
             self.start(id, index, slot, run, now);
         }
-        self.agenda.remove(id);
+        self.open_steps.remove(id);
         true
     }
 
@@ -319,7 +319,7 @@
                 }
             }
             if self.first_waiting(id).is_none() {
-                self.agenda.remove(id);
+                self.open_steps.remove(id);
             }
             return true;
         }
--- a/crates/cell/src/engine/schedule.rs
+++ b/crates/cell/src/engine/schedule.rs
@@ -91,9 +91,9 @@
 impl Engine {
     /// Runs a scheduling pass: examines the open steps in order of urgency and starts the tasks that fit.
     pub(super) fn schedule(&mut self, now: Timestamp) {
-        for id in self.agenda.take_unranked(now) {
+        for id in self.open_steps.take_unranked(now) {
             if let Some((rank, change)) = self.rank(id, now) {
-                self.agenda.rank(rank, change);
+                self.open_steps.rank(rank, change);
             }
         }
         let mut reserved = Reservations::default();
@@ -115,7 +115,7 @@
     ) -> (Option<Rank>, usize) {
         let mut last = from;
         let mut cost = 0;
-        while let Some(rank) = self.agenda.next_after(last) {
+        while let Some(rank) = self.open_steps.next_after(last) {
             if cost >= budget {
                 return (last, cost);
             }
@@ -160,12 +160,12 @@
         let queue = &self.queue_of(job).name;
         let started = self.gangs_started.get(queue).copied().unwrap_or_default();
         let promoted = self.promoted.get(queue);
-        let promoted = promoted.and_then(|promoted| self.agenda.rank_of(*promoted));
+        let promoted = promoted.and_then(|promoted| self.open_steps.rank_of(*promoted));
         let is_free = promoted.is_none_or(|rank| rank.lateness == Lateness::Worthless);
         let others = started.saturating_sub(stage.gangs_started_before);
         if is_free && others >= MAX_OVERTAKING_GANGS {
             self.promoted.insert(queue.clone(), id);
-            self.agenda.mark_unranked(id);
+            self.open_steps.mark_unranked(id);
         }
     }
 
--- a/crates/cell/src/engine/submit.rs
+++ b/crates/cell/src/engine/submit.rs
@@ -145,7 +145,7 @@
                     stage.opened_at = Some(now);
                     stage.gangs_started_before = started;
                 }
-                self.agenda.insert(StepId {
+                self.open_steps.insert(StepId {
                     job: id,
                     occurrence: *occurrence,
                     step: u16::try_from(index).unwrap_or(u16::MAX),
@@ -191,7 +191,7 @@
 
     /// Removes a job that is over from the open steps and stops its runs.
     pub(super) fn stop_job(&mut self, id: JobId, why: &'static str, now: Timestamp) {
-        self.agenda.remove_job(id);
+        self.open_steps.remove_job(id);
         self.unschedulable.retain(|step| step.job != id);
         let mut active = Vec::new();
         if let Some(job) = self.jobs.get(&id) {
--- a/crates/cell/src/engine/view.rs
+++ b/crates/cell/src/engine/view.rs
@@ -182,7 +182,7 @@
         Counts {
             jobs: self.jobs.len() + self.ended.len(),
             waiting: self.waiting().count(),
-            open_steps: self.agenda.len() + self.unschedulable.len(),
+            open_steps: self.open_steps.len() + self.unschedulable.len(),
             unschedulable_steps: self.unschedulable.len(),
             claims: self
                 .workers
--- a/crates/cell/src/engine/wait.rs
+++ b/crates/cell/src/engine/wait.rs
@@ -180,7 +180,7 @@
         let Some(lack) = self.unmet_requirement_of(demand.step, index, demand.queue) else {
             return false;
         };
-        self.agenda.remove(id);
+        self.open_steps.remove(id);
         self.unschedulable.insert(id);
         self.set_wait_reason(id, WaitReason::from(&lack), WaitSurvey::default(), now);
         true
@@ -192,7 +192,7 @@
             let job = self.jobs.get(&id.job).filter(|job| !job.is_over());
             let stage = job.and_then(|job| job.stage(id));
             if stage.is_some_and(|stage| !stage.waiting.is_empty()) {
-                self.agenda.insert(id);
+                self.open_steps.insert(id);
                 self.needs_pass = true;
             }
         }
