--- a/crates/cell/src/engine/contact.rs
+++ b/crates/cell/src/engine/contact.rs
@@ -361,7 +361,7 @@
         }
         let seen = worker.last_processed_end;
         self.update_indexes(slot);
-        self.ledger.add_ends(slot, seen);
+        self.record_queue.add_ends(slot, seen);
     }
 
     /// Applies a run that a worker lists as running.
--- a/crates/cell/src/engine/crash.rs
+++ b/crates/cell/src/engine/crash.rs
@@ -297,7 +297,7 @@
             job.outcome = Some(Outcome::Failed);
         }
         // The count is recorded before the next start, which waits until it is recorded itself.
-        self.ledger.add_job(id);
+        self.record_queue.add_job(id);
         self.index_crash(&crash.worker, task);
         self.log(LogRecord::Crashed {
             task,
@@ -348,7 +348,7 @@
                 state
                     .crashes
                     .retain(|crash| crash.worker != id || crash.incarnation != incarnation);
-                self.ledger.add_job(task.step.job);
+                self.record_queue.add_job(task.step.job);
             }
         }
     }
@@ -367,7 +367,7 @@
         let state = self.task_mut(task);
         if let Some(state) = state.filter(|state| !state.crashes.is_empty()) {
             state.crashes.clear();
-            self.ledger.add_job(task.step.job);
+            self.record_queue.add_job(task.step.job);
         }
     }
 
--- a/crates/cell/src/engine/end.rs
+++ b/crates/cell/src/engine/end.rs
@@ -126,7 +126,7 @@
         if job.is_done() {
             job.outcome = Some(Outcome::Completed);
         }
-        self.ledger.add_job(task.step.job);
+        self.record_queue.add_job(task.step.job);
         for (slot, index, run) in others {
             self.stop(slot, task.step.task(index), run, "done-elsewhere", now);
         }
@@ -169,7 +169,7 @@
         state.failures.push(run);
         let failures = u32::try_from(state.failures.len()).unwrap_or(u32::MAX);
         let is_exhausted = failures >= tries.max(1);
-        self.ledger.add_job(task.step.job);
+        self.record_queue.add_job(task.step.job);
         if is_exhausted {
             job.outcome = Some(Outcome::Failed);
             self.stop_job(task.step.job, "job-failed", now);
--- a/crates/cell/src/engine/keep.rs
+++ b/crates/cell/src/engine/keep.rs
@@ -135,24 +135,24 @@
     /// Its ticket has to be usable then. Without this estimate, if a write takes 0.4 s, steps that have waited for room
     /// take it with tickets that expire before their orders leave, and take it again after another call for advice.
     pub(super) fn expected_departure(&self, now: Timestamp) -> Timestamp {
-        now + self.ledger.expected_delay(now)
+        now + self.record_queue.expected_delay(now)
     }
 
     /// Writes all changes that wait to be recorded, unless a write is in flight.
     ///
     /// Changes that arrive meanwhile go into the next write, so that the store's latency determines the batch size.
     pub(super) fn write_record(&mut self, now: Timestamp) {
-        if self.ledger.in_flight.is_some()
-            || (self.ledger.is_waiting() && now < self.ledger.next_write)
+        if self.record_queue.in_flight.is_some()
+            || (self.record_queue.is_waiting() && now < self.record_queue.next_write)
         {
             return;
         }
-        let jobs = std::mem::take(&mut self.ledger.jobs);
-        let workers = std::mem::take(&mut self.ledger.workers);
-        let ends = std::mem::take(&mut self.ledger.ends);
+        let jobs = std::mem::take(&mut self.record_queue.jobs);
+        let workers = std::mem::take(&mut self.record_queue.workers);
+        let ends = std::mem::take(&mut self.record_queue.ends);
         // Removals come before the usage of a worker that has returned under the same id: the last entry of a key wins,
         // and a new owner would start runs elsewhere that it doesn't find on record.
-        let gone = std::mem::take(&mut self.ledger.gone);
+        let gone = std::mem::take(&mut self.record_queue.gone);
         let mut entries: Vec<Entry> = gone.into_iter().map(Entry::RemovedWorker).collect();
         let mut snapshots = Vec::new();
         for id in jobs {
@@ -187,8 +187,8 @@
             self.acknowledge(&flight.ends, None);
             return;
         }
-        self.ledger.in_flight = Some(flight);
-        self.ledger.next_write = now + MIN_RECORD_INTERVAL;
+        self.record_queue.in_flight = Some(flight);
+        self.record_queue.next_write = now + MIN_RECORD_INTERVAL;
         self.outbox.push(Effect::Record(entries));
     }
 
@@ -215,12 +215,12 @@
 
     /// Handles the completion of the record write in flight.
     pub fn handle_recorded(&mut self, now: Timestamp) {
-        let Some(flight) = self.ledger.in_flight.take() else {
+        let Some(flight) = self.record_queue.in_flight.take() else {
             return;
         };
-        self.ledger.last_duration = now.since(flight.since);
+        self.record_queue.last_duration = now.since(flight.since);
         self.report_validity
-            .note_record(self.ledger.last_duration, now);
+            .note_record(self.record_queue.last_duration, now);
         self.send_starts(flight.starts, now);
         for snapshot in flight.jobs {
             self.apply_recorded(snapshot, now);
--- a/crates/cell/src/engine/loss.rs
+++ b/crates/cell/src/engine/loss.rs
@@ -35,7 +35,7 @@
                 self.quotas.credit(charge.account, charge.size);
             }
             // A record that lists the run at another worker must not be written before one that removes it here.
-            self.ledger.add_worker(slot);
+            self.record_queue.add_worker(slot);
         }
         self.orders.remove(&(slot, task, run));
         self.stops.set((slot, task, run), None);
@@ -69,7 +69,7 @@
         self.fence = self.fence.next();
         if let Some(worker) = self.workers.remove(&slot) {
             self.slots.remove(&worker.registration.id);
-            self.ledger.remove_worker(worker.registration.id);
+            self.record_queue.remove_worker(worker.registration.id);
         }
         self.update_indexes(slot);
     }
--- a/crates/cell/src/engine/mod.rs
+++ b/crates/cell/src/engine/mod.rs
@@ -216,7 +216,7 @@
     /// The share of workers that advice has allowed, by queue.
     allowed_shares: AllowedShares,
     /// What has to be put on record, and what waits for that.
-    ledger: RecordQueue,
+    record_queue: RecordQueue,
     /// Jobs whose acceptance is not on record yet, and how long to wait for it.
     announced: BTreeMap<JobId, Timestamp>,
     /// Runs of unknown jobs, which a former owner learned of before their acceptance was on record.
@@ -278,7 +278,7 @@
             crash_suspects: HashMap::default(),
             advice_nodes: Nodes::default(),
             allowed_shares: AllowedShares::default(),
-            ledger: RecordQueue::default(),
+            record_queue: RecordQueue::default(),
             announced: BTreeMap::new(),
             unknown_runs: HashMap::default(),
             held_starts: Vec::new(),
@@ -371,7 +371,7 @@
     /// Returns when [`Self::advance`] next has a scheduling pass or a record to make, if any.
     pub fn next_pass(&self) -> Option<Timestamp> {
         let pass = self.needs_pass.then_some(self.next_pass);
-        [pass, self.ledger.due()].into_iter().flatten().min()
+        [pass, self.record_queue.due()].into_iter().flatten().min()
     }
 
     /// Emits a log record.
--- a/crates/cell/src/engine/place.rs
+++ b/crates/cell/src/engine/place.rs
@@ -454,7 +454,7 @@
         };
         self.orders.insert((slot, task, run), order);
         self.update_indexes(slot);
-        self.ledger.add_worker(slot);
+        self.record_queue.add_worker(slot);
         true
     }
 }
--- a/crates/cell/src/engine/restart.rs
+++ b/crates/cell/src/engine/restart.rs
@@ -74,7 +74,7 @@
         };
         worker.begin_incarnation(inventory.incarnation, self.fence, now);
         worker.probe = Some(CallState::Due(now));
-        self.ledger.drop_ends(slot);
+        self.record_queue.drop_ends(slot);
         self.resend_stops(slot, now);
         self.note_worker(slot, "reborn", now);
     }
