--- a/crates/cell/tests/cell/history.rs
+++ b/crates/cell/tests/cell/history.rs
@@ -88,7 +88,7 @@
 /// The faults of most kinds together.
 pub(crate) const ALL: Faults = Faults {
     lost_orders: 60,
-    lost_holds: 30,
+    lost_heartbeats: 30,
     crashes: 10,
     disconnections: 30,
     takeovers: 120,
@@ -125,7 +125,7 @@
 /// detect.
 const CRASHING_TASKS: Faults = Faults {
     lost_orders: 40,
-    lost_holds: 0,
+    lost_heartbeats: 0,
     crashes: 0,
     disconnections: 0,
     takeovers: 60,
@@ -180,7 +180,7 @@
 /// Workers that restart under their ids, with orders that are lost or late.
 const RESTARTS: Faults = Faults {
     lost_orders: 60,
-    lost_holds: 0,
+    lost_heartbeats: 0,
     crashes: 0,
     disconnections: 0,
     takeovers: 0,
@@ -244,7 +244,7 @@
 
     #[test]
     fn invariants_hold_when_orders_are_lost_or_late(seed in any::<u64>()) {
-        let faults = Faults { lost_orders: 80, lost_holds: 30, failures: 50, announced: 300, ..Faults::default() };
+        let faults = Faults { lost_orders: 80, lost_heartbeats: 30, failures: 50, announced: 300, ..Faults::default() };
         prop_assert_eq!(run_history(seed, faults), Vec::<String>::new());
     }
 
--- a/crates/cell/tests/cell/world/deliver.rs
+++ b/crates/cell/tests/cell/world/deliver.rs
@@ -112,7 +112,7 @@
         is_current: bool,
     ) {
         let (now, id) = (self.now, order.to.worker.clone());
-        let is_lost = self.chance(self.faults.lost_holds);
+        let is_lost = self.chance(self.faults.lost_heartbeats);
         let asked = order.asked;
         if !is_current || !self.heartbeats.contains(&(id.clone(), asked)) {
             return;
--- a/crates/cell/tests/cell/world/mod.rs
+++ b/crates/cell/tests/cell/world/mod.rs
@@ -107,7 +107,7 @@
     /// Orders that get no answer. Half of the orders to start are executed 2 to 12 s later.
     pub lost_orders: u32,
     /// Heartbeats that get no answer.
-    pub lost_holds: u32,
+    pub lost_heartbeats: u32,
     /// A worker crashes, per second and worker.
     pub crashes: u32,
     /// A worker is unreachable for 1 to 12 s and keeps running, per second and worker.
