--- a/crates/cell/tests/cell/history.rs
+++ b/crates/cell/tests/cell/history.rs
@@ -96,7 +96,7 @@
     outages: 60,
     cancels: 100,
     announced: 300,
-    foreign: 0,
+    overwritten_entries: 0,
     releases: 0,
     crashers: 0,
     capacity_changes: 0,
@@ -105,7 +105,10 @@
 };
 
 /// [`ALL`], while another writer overwrites the entry of some worker about every two seconds.
-const OVERWRITTEN_ENTRIES: Faults = Faults { foreign: 60, ..ALL };
+const OVERWRITTEN_ENTRIES: Faults = Faults {
+    overwritten_entries: 60,
+    ..ALL
+};
 
 /// Seeds of histories that violated an invariant. The names of the cases say how.
 #[rstest]
@@ -133,7 +136,7 @@
     outages: 30,
     cancels: 0,
     announced: 300,
-    foreign: 0,
+    overwritten_entries: 0,
     releases: 0,
     crashers: 150,
     capacity_changes: 0,
@@ -188,7 +191,7 @@
     outages: 0,
     cancels: 0,
     announced: 300,
-    foreign: 0,
+    overwritten_entries: 0,
     releases: 0,
     crashers: 0,
     capacity_changes: 0,
@@ -332,7 +335,7 @@
 
     #[test]
     fn invariants_hold_when_entries_are_overwritten(seed in any::<u64>()) {
-        let faults = Faults { foreign: 150, failures: 50, announced: 300, ..Faults::default() };
+        let faults = Faults { overwritten_entries: 150, failures: 50, announced: 300, ..Faults::default() };
         prop_assert_eq!(run_history(seed, faults), Vec::<String>::new());
     }
 
--- a/crates/cell/tests/cell/limit.rs
+++ b/crates/cell/tests/cell/limit.rs
@@ -423,7 +423,7 @@
 
 /// All faults together, with entries of other writers and workers that are replaced.
 const ALL_FAULTS: Faults = Faults {
-    foreign: 30,
+    overwritten_entries: 30,
     releases: 30,
     ..history::ALL
 };
--- a/crates/cell/tests/cell/world/mod.rs
+++ b/crates/cell/tests/cell/world/mod.rs
@@ -123,7 +123,7 @@
     /// Jobs that are announced to the owner before their acceptance is stored. A third of them are never accepted.
     pub announced: u32,
     /// Another writer overwrites a worker's entry for 1 to 15 s, per second and worker.
-    pub foreign: u32,
+    pub overwritten_entries: u32,
     /// A worker is replaced, per second and worker: a new one registers, and the old one announces that it leaves and
     /// is gone 2 to 4 s later.
     pub releases: u32,
@@ -663,7 +663,7 @@
                 }
             }
             // Draws no random number if the rate is zero, so that older seeds still give the same histories.
-            if self.faults.foreign > 0 && self.chance(self.faults.foreign) {
+            if self.faults.overwritten_entries > 0 && self.chance(self.faults.overwritten_entries) {
                 let span = Duration::from_millis(self.rng.random_range(1_000..15_000));
                 self.turn_foreign(&id, span);
             }
