--- a/crates/cell/tests/cell/history.rs
+++ b/crates/cell/tests/cell/history.rs
@@ -97,7 +97,7 @@
     cancels: 100,
     announced: 300,
     overwritten_entries: 0,
-    releases: 0,
+    replacements: 0,
     crashers: 0,
     capacity_changes: 0,
     restarts: 0,
@@ -137,7 +137,7 @@
     cancels: 0,
     announced: 300,
     overwritten_entries: 0,
-    releases: 0,
+    replacements: 0,
     crashers: 150,
     capacity_changes: 0,
     restarts: 0,
@@ -165,7 +165,7 @@
 /// [`ALL`], with replacements of workers and tasks that crash their workers.
 const ALL_AND_CRASHING_TASKS: Faults = Faults {
     crashers: 100,
-    releases: 30,
+    replacements: 30,
     ..ALL
 };
 
@@ -192,7 +192,7 @@
     cancels: 0,
     announced: 300,
     overwritten_entries: 0,
-    releases: 0,
+    replacements: 0,
     crashers: 0,
     capacity_changes: 0,
     restarts: 60,
@@ -275,13 +275,13 @@
 
     #[test]
     fn invariants_hold_when_workers_are_replaced(seed in any::<u64>()) {
-        let faults = Faults { releases: 100, lost_orders: 40, failures: 50, announced: 300, ..Faults::default() };
+        let faults = Faults { replacements: 100, lost_orders: 40, failures: 50, announced: 300, ..Faults::default() };
         prop_assert_eq!(run_history(seed, faults), Vec::<String>::new());
     }
 
     #[test]
     fn invariants_hold_when_workers_are_replaced_with_all_faults(seed in any::<u64>()) {
-        prop_assert_eq!(run_history(seed, Faults { releases: 60, ..ALL }), Vec::<String>::new());
+        prop_assert_eq!(run_history(seed, Faults { replacements: 60, ..ALL }), Vec::<String>::new());
     }
 
     #[test]
@@ -318,7 +318,7 @@
     #[test]
     fn no_task_is_given_up_for_crashes_that_it_does_not_cause(seed in any::<u64>()) {
         // Each worker crashes once in 100 s on average.
-        let faults = Faults { crashes: 10, disconnections: 40, takeovers: 50, lost_orders: 60, releases: 30, ..Faults::default() };
+        let faults = Faults { crashes: 10, disconnections: 40, takeovers: 50, lost_orders: 60, replacements: 30, ..Faults::default() };
         prop_assert_eq!(run_history(seed, faults), Vec::<String>::new());
     }
 
--- a/crates/cell/tests/cell/limit.rs
+++ b/crates/cell/tests/cell/limit.rs
@@ -424,7 +424,7 @@
 /// All faults together, with entries of other writers and workers that are replaced.
 const ALL_FAULTS: Faults = Faults {
     overwritten_entries: 30,
-    releases: 30,
+    replacements: 30,
     ..history::ALL
 };
 
--- a/crates/cell/tests/cell/world/fault.rs
+++ b/crates/cell/tests/cell/world/fault.rs
@@ -159,7 +159,7 @@
                     self.engine.unregister(&id, self.now);
                 }
                 Some(_) => {}
-                None if self.chance(self.faults.releases) => {
+                None if self.chance(self.faults.replacements) => {
                     self.add_worker(slot);
                     let span = Duration::from_millis(self.rng.random_range(2_000..4_000));
                     let leaves = self.now + span;
--- a/crates/cell/tests/cell/world/mod.rs
+++ b/crates/cell/tests/cell/world/mod.rs
@@ -126,7 +126,7 @@
     pub overwritten_entries: u32,
     /// A worker is replaced, per second and worker: a new one registers, and the old one announces that it leaves and
     /// is gone 2 to 4 s later.
-    pub releases: u32,
+    pub replacements: u32,
     /// Jobs with a task that crashes each worker that starts it.
     pub crashers: u32,
     /// The capacity of a worker changes to one to four tasks, per second and worker.
@@ -668,7 +668,7 @@
                 self.turn_foreign(&id, span);
             }
         }
-        if self.faults.releases > 0 {
+        if self.faults.replacements > 0 {
             self.replace_workers();
         }
         if self.faults.capacity_changes > 0 {
