--- a/crates/cell/tests/cell/history.rs
+++ b/crates/cell/tests/cell/history.rs
@@ -95,7 +95,7 @@
     failures: 80,
     outages: 60,
     cancels: 100,
-    announced: 300,
+    announcements: 300,
     overwritten_entries: 0,
     replacements: 0,
     crashers: 0,
@@ -135,7 +135,7 @@
     failures: 0,
     outages: 30,
     cancels: 0,
-    announced: 300,
+    announcements: 300,
     overwritten_entries: 0,
     replacements: 0,
     crashers: 150,
@@ -190,7 +190,7 @@
     failures: 50,
     outages: 0,
     cancels: 0,
-    announced: 300,
+    announcements: 300,
     overwritten_entries: 0,
     replacements: 0,
     crashers: 0,
@@ -247,19 +247,19 @@
 
     #[test]
     fn invariants_hold_when_orders_are_lost_or_late(seed in any::<u64>()) {
-        let faults = Faults { lost_orders: 80, lost_heartbeats: 30, failures: 50, announced: 300, ..Faults::default() };
+        let faults = Faults { lost_orders: 80, lost_heartbeats: 30, failures: 50, announcements: 300, ..Faults::default() };
         prop_assert_eq!(run_history(seed, faults), Vec::<String>::new());
     }
 
     #[test]
     fn invariants_hold_when_owners_die(seed in any::<u64>()) {
-        let faults = Faults { takeovers: 200, failures: 50, outages: 50, announced: 300, ..Faults::default() };
+        let faults = Faults { takeovers: 200, failures: 50, outages: 50, announcements: 300, ..Faults::default() };
         prop_assert_eq!(run_history(seed, faults), Vec::<String>::new());
     }
 
     #[test]
     fn invariants_hold_when_workers_crash_or_are_unreachable(seed in any::<u64>()) {
-        let faults = Faults { crashes: 15, disconnections: 40, failures: 50, announced: 300, ..Faults::default() };
+        let faults = Faults { crashes: 15, disconnections: 40, failures: 50, announcements: 300, ..Faults::default() };
         prop_assert_eq!(run_history(seed, faults), Vec::<String>::new());
     }
 
@@ -275,7 +275,7 @@
 
     #[test]
     fn invariants_hold_when_workers_are_replaced(seed in any::<u64>()) {
-        let faults = Faults { replacements: 100, lost_orders: 40, failures: 50, announced: 300, ..Faults::default() };
+        let faults = Faults { replacements: 100, lost_orders: 40, failures: 50, announcements: 300, ..Faults::default() };
         prop_assert_eq!(run_history(seed, faults), Vec::<String>::new());
     }
 
@@ -296,7 +296,7 @@
 
     #[test]
     fn invariants_hold_when_capacities_change(seed in any::<u64>()) {
-        let faults = Faults { capacity_changes: 150, lost_orders: 60, failures: 50, outages: 60, announced: 300, ..Faults::default() };
+        let faults = Faults { capacity_changes: 150, lost_orders: 60, failures: 50, outages: 60, announcements: 300, ..Faults::default() };
         prop_assert_eq!(run_history(seed, faults), Vec::<String>::new());
     }
 
@@ -324,7 +324,7 @@
 
     #[test]
     fn invariants_hold_when_data_centres_are_evacuated(seed in any::<u64>()) {
-        let faults = Faults { evacuations: 250, lost_orders: 60, outages: 80, takeovers: 80, failures: 50, announced: 300, ..Faults::default() };
+        let faults = Faults { evacuations: 250, lost_orders: 60, outages: 80, takeovers: 80, failures: 50, announcements: 300, ..Faults::default() };
         prop_assert_eq!(run_history(seed, faults), Vec::<String>::new());
     }
 
@@ -335,7 +335,7 @@
 
     #[test]
     fn invariants_hold_when_entries_are_overwritten(seed in any::<u64>()) {
-        let faults = Faults { overwritten_entries: 150, failures: 50, announced: 300, ..Faults::default() };
+        let faults = Faults { overwritten_entries: 150, failures: 50, announcements: 300, ..Faults::default() };
         prop_assert_eq!(run_history(seed, faults), Vec::<String>::new());
     }
 
--- a/crates/cell/tests/cell/limit.rs
+++ b/crates/cell/tests/cell/limit.rs
@@ -438,13 +438,13 @@
 
     #[test]
     fn no_start_goes_above_a_limit_when_orders_are_lost_or_late(seed in any::<u64>()) {
-        let faults = Faults { lost_orders: 120, lost_heartbeats: 30, failures: 50, announced: 300, ..Faults::default() };
+        let faults = Faults { lost_orders: 120, lost_heartbeats: 30, failures: 50, announcements: 300, ..Faults::default() };
         prop_assert_eq!(run_history(seed, faults), Vec::<String>::new());
     }
 
     #[test]
     fn no_start_goes_above_a_limit_when_owners_die(seed in any::<u64>()) {
-        let faults = Faults { takeovers: 250, lost_orders: 40, outages: 60, announced: 300, ..Faults::default() };
+        let faults = Faults { takeovers: 250, lost_orders: 40, outages: 60, announcements: 300, ..Faults::default() };
         prop_assert_eq!(run_history(seed, faults), Vec::<String>::new());
     }
 
--- a/crates/cell/tests/cell/world/mod.rs
+++ b/crates/cell/tests/cell/world/mod.rs
@@ -121,7 +121,7 @@
     /// A job is cancelled, per second.
     pub cancels: u32,
     /// Jobs that are announced to the owner before their acceptance is stored. A third of them are never accepted.
-    pub announced: u32,
+    pub announcements: u32,
     /// Another writer overwrites a worker's entry for 1 to 15 s, per second and worker.
     pub overwritten_entries: u32,
     /// A worker is replaced, per second and worker: a new one registers, and the old one announces that it leaves and
@@ -516,7 +516,7 @@
         if self.faults.crashers > 0 && self.chance(self.faults.crashers) {
             self.choose_crashing_task(job, &accepted.spec);
         }
-        if self.chance(self.faults.announced) {
+        if self.chance(self.faults.announcements) {
             self.announce(accepted);
         } else {
             self.keep(accepted);
