--- a/crates/cell/tests/cell/crash.rs
+++ b/crates/cell/tests/cell/crash.rs
@@ -277,7 +277,7 @@
 /// Runs 40 s at two thirds of the load that 48 workers can handle: 20 jobs of four tasks per second.
 fn run_fleet(seed: u64, crashers: u32) -> Summary {
     let faults = Faults {
-        crashers,
+        crashing_tasks: crashers,
         ..Faults::default()
     };
     let mut world = World::sized(seed, faults, 48, &["a", "b", "c", "d", "e", "f"]);
--- a/crates/cell/tests/cell/history.rs
+++ b/crates/cell/tests/cell/history.rs
@@ -98,7 +98,7 @@
     announcements: 300,
     overwritten_entries: 0,
     replacements: 0,
-    crashers: 0,
+    crashing_tasks: 0,
     capacity_changes: 0,
     restarts: 0,
     evacuations: 0,
@@ -138,7 +138,7 @@
     announcements: 300,
     overwritten_entries: 0,
     replacements: 0,
-    crashers: 150,
+    crashing_tasks: 150,
     capacity_changes: 0,
     restarts: 0,
     evacuations: 0,
@@ -164,7 +164,7 @@
 
 /// [`ALL`], with replacements of workers and tasks that crash their workers.
 const ALL_AND_CRASHING_TASKS: Faults = Faults {
-    crashers: 100,
+    crashing_tasks: 100,
     replacements: 30,
     ..ALL
 };
@@ -193,7 +193,7 @@
     announcements: 300,
     overwritten_entries: 0,
     replacements: 0,
-    crashers: 0,
+    crashing_tasks: 0,
     capacity_changes: 0,
     restarts: 60,
     evacuations: 0,
--- a/crates/cell/tests/cell/world/mod.rs
+++ b/crates/cell/tests/cell/world/mod.rs
@@ -128,7 +128,7 @@
     /// is gone 2 to 4 s later.
     pub replacements: u32,
     /// Jobs with a task that crashes each worker that starts it.
-    pub crashers: u32,
+    pub crashing_tasks: u32,
     /// The capacity of a worker changes to one to four tasks, per second and worker.
     pub capacity_changes: u32,
     /// A worker restarts under its id, per second and worker. So do half of the workers that a task crashes.
@@ -513,7 +513,7 @@
     /// Stores the acceptance of a job, or first announces the job to the owner.
     fn accept_or_announce(&mut self, accepted: Accepted) -> JobId {
         let job = accepted.job;
-        if self.faults.crashers > 0 && self.chance(self.faults.crashers) {
+        if self.faults.crashing_tasks > 0 && self.chance(self.faults.crashing_tasks) {
             self.choose_crashing_task(job, &accepted.spec);
         }
         if self.chance(self.faults.announcements) {
