--- a/crates/cell/tests/cell/crash.rs
+++ b/crates/cell/tests/cell/crash.rs
@@ -91,7 +91,7 @@
     let mut world = World::new(1, faults);
     world.run(Duration::from_secs(1));
     let job = world.submit(queue, steps.clone());
-    world.crashers.insert(last_task(job, &steps));
+    world.crashing_task_ids.insert(last_task(job, &steps));
     let mut others = Vec::new();
     for second in 0..60 {
         if second < 40 {
@@ -160,7 +160,7 @@
     });
     world.run(Duration::from_secs(1));
     let job = world.submit(queue, steps.clone());
-    world.crashers.insert(last_task(job, &steps));
+    world.crashing_task_ids.insert(last_task(job, &steps));
     for _ in 0..180 / seconds_between_takeovers {
         world.run(Duration::from_secs(seconds_between_takeovers));
         world.take_over();
@@ -176,11 +176,11 @@
     world.run(Duration::from_secs(1));
     let job = world.submit("batch", vec![long_running()]);
     let task = last_task(job, &[long_running()]);
-    world.crashers.insert(task);
+    world.crashing_task_ids.insert(task);
     while world.taken_along.len() < 2 {
         world.run(Duration::from_millis(25));
     }
-    world.crashers.clear();
+    world.crashing_task_ids.clear();
     world.run(Duration::from_secs(10));
     // The other job fits only if its tasks may also run on the worker of the long-running task.
     let others = world.submit(
@@ -211,7 +211,9 @@
     world.submit("batch", vec![service]);
     world.run(Duration::from_secs(1));
     let job = world.submit("urgent", vec![single_task()]);
-    world.crashers.insert(last_task(job, &[single_task()]));
+    world
+        .crashing_task_ids
+        .insert(last_task(job, &[single_task()]));
     world.run(Duration::from_secs(60));
     assert_eq!(world.violations, Vec::<String>::new());
     assert_eq!(world.engine.state(job), Some(State::Failed));
@@ -267,7 +269,7 @@
         own.map(|(_, others)| *others).collect()
     };
     Summary {
-        tasks_lost: world.crashers.iter().map(tasks_lost).collect(),
+        tasks_lost: world.crashing_task_ids.iter().map(tasks_lost).collect(),
         completed,
         violations: world.violations,
         wrongly_failed: world.wronged,
@@ -336,7 +338,9 @@
         world.submit("batch", vec![step.clone()]);
         if nth < 160 && nth % 20 == 10 {
             let job = world.submit("urgent", vec![single_task()]);
-            world.crashers.insert(last_task(job, &[single_task()]));
+            world
+                .crashing_task_ids
+                .insert(last_task(job, &[single_task()]));
         }
         world.run(Duration::from_millis(250));
     }
--- a/crates/cell/tests/cell/world/check.rs
+++ b/crates/cell/tests/cell/world/check.rs
@@ -154,7 +154,7 @@
         if !is_given_up {
             return;
         }
-        if !self.crashers.contains(&task) {
+        if !self.crashing_task_ids.contains(&task) {
             self.wronged += 1;
         }
         let under = self.crashes_under.get(&task).copied().unwrap_or_default();
@@ -167,7 +167,9 @@
 
     /// Returns whether a task of the job crashes its workers.
     pub(crate) fn crashes(&self, job: JobId) -> bool {
-        self.crashers.iter().any(|task| task.step.job == job)
+        self.crashing_task_ids
+            .iter()
+            .any(|task| task.step.job == job)
     }
 
     /// Checks that every job has ended in the state that it should, and that no claims are left.
--- a/crates/cell/tests/cell/world/deliver.rs
+++ b/crates/cell/tests/cell/world/deliver.rs
@@ -81,7 +81,7 @@
         if answer == StartAnswer::Started {
             self.starts += 1;
             self.started_jobs.insert(order.task.step.job);
-            if self.crashers.contains(&order.task) {
+            if self.crashing_task_ids.contains(&order.task) {
                 self.schedule(CRASH_DELAY, Event::Crash(id.clone(), order.task));
             }
             self.check_start(order, is_answered);
--- a/crates/cell/tests/cell/world/fault.rs
+++ b/crates/cell/tests/cell/world/fault.rs
@@ -43,7 +43,7 @@
             occurrence: 0,
             step: u16::try_from(step).unwrap(),
         };
-        self.crashers.insert(step.task(index));
+        self.crashing_task_ids.insert(step.task(index));
     }
 
     /// Crashes a worker because of a task that it has started; the worker restarts, or a new one starts in its slot
@@ -90,7 +90,7 @@
     /// Returns whether the members of a gang can never all run at once, since one of them crashes its workers.
     pub(super) fn can_never_assemble(&self, id: StepId) -> bool {
         let is_gang = self.step(id).is_some_and(|step| step.gang);
-        is_gang && self.crashers.iter().any(|task| task.step == id)
+        is_gang && self.crashing_task_ids.iter().any(|task| task.step == id)
     }
 
     pub(super) fn record_crash_under(&mut self, worker: &Worker) {
--- a/crates/cell/tests/cell/world/mod.rs
+++ b/crates/cell/tests/cell/world/mod.rs
@@ -209,7 +209,7 @@
     /// Whether the node of a new owner has read none of the operator's records yet.
     pub is_new_owner_blank: bool,
     /// Tasks that crash each worker that starts them.
-    pub crashers: BTreeSet<TaskId>,
+    pub crashing_task_ids: BTreeSet<TaskId>,
     /// How many workers each such task has crashed.
     pub crashed: BTreeMap<TaskId, u32>,
     /// How a worker restarts after a task has crashed it; random if `None`.
@@ -386,7 +386,7 @@
             is_list_unavailable: false,
             is_operator_away: false,
             is_new_owner_blank: false,
-            crashers: BTreeSet::new(),
+            crashing_task_ids: BTreeSet::new(),
             crashed: BTreeMap::new(),
             crash_restart: None,
             taken_along: Vec::new(),
