--- a/crates/cell/tests/cell/evacuate.rs
+++ b/crates/cell/tests/cell/evacuate.rs
@@ -177,7 +177,7 @@
 #[test]
 fn an_owner_that_can_t_read_what_is_evacuated_starts_nothing() {
     let mut world = world(bounded());
-    world.is_operator_away = true;
+    world.are_operator_records_unavailable = true;
     world.run(Duration::from_millis(500));
     let early = world.submit("batch", vec![wide_step(4)]);
     world.run(4 * SECOND);
@@ -191,14 +191,14 @@
         "{:?}",
         world.waits
     );
-    world.is_operator_away = false;
+    world.are_operator_records_unavailable = false;
     complete(&mut world, late);
 }
 
 #[test]
 fn without_a_bound_an_owner_relies_on_its_last_reading() {
     let mut world = world(Faults::default());
-    world.is_operator_away = true;
+    world.are_operator_records_unavailable = true;
     world.run(10 * SECOND);
     let job = world.submit("batch", vec![wide_step(4)]);
     assert!(complete(&mut world, job) < 5 * SECOND);
@@ -211,13 +211,13 @@
     let mut world = world(bounded());
     world.evacuate("north");
     world.run(SECOND);
-    world.is_operator_away = true;
+    world.are_operator_records_unavailable = true;
     world.is_new_owner_blank = !has_read;
     let job = world.submit("batch", vec![wide_step(32)]);
     world.take_over();
     world.run(Duration::from_millis(1_500));
     assert_eq!(world.engine.state(job) == Some(State::Queued), !has_read);
-    world.is_operator_away = false;
+    world.are_operator_records_unavailable = false;
     complete(&mut world, job);
 }
 
--- a/crates/cell/tests/cell/world/evacuate.rs
+++ b/crates/cell/tests/cell/world/evacuate.rs
@@ -76,7 +76,7 @@
 
     /// Reads which data centres are evacuated and tells the owner, unless the records are unavailable.
     pub(super) fn read_operator_records(&mut self) {
-        if self.now < self.outage_end || self.is_operator_away {
+        if self.now < self.outage_end || self.are_operator_records_unavailable {
             return;
         }
         let evacuation = self.evacuated.keys().cloned().collect();
--- a/crates/cell/tests/cell/world/mod.rs
+++ b/crates/cell/tests/cell/world/mod.rs
@@ -205,7 +205,7 @@
     /// Whether only the list of workers is unavailable, not the rest of the store.
     pub is_list_unavailable: bool,
     /// Whether only the operator's records are unavailable, not the rest of the store.
-    pub is_operator_away: bool,
+    pub are_operator_records_unavailable: bool,
     /// Whether the node of a new owner has read none of the operator's records yet.
     pub is_new_owner_blank: bool,
     /// Tasks that crash each worker that starts them.
@@ -384,7 +384,7 @@
             done: BTreeSet::new(),
             failed: BTreeMap::new(),
             is_list_unavailable: false,
-            is_operator_away: false,
+            are_operator_records_unavailable: false,
             is_new_owner_blank: false,
             crashing_task_ids: BTreeSet::new(),
             crashed: BTreeMap::new(),
