--- a/crates/cell/tests/cell/evacuate.rs
+++ b/crates/cell/tests/cell/evacuate.rs
@@ -212,7 +212,7 @@
     world.evacuate("north");
     world.run(SECOND);
     world.are_operator_records_unavailable = true;
-    world.is_new_owner_blank = !has_read;
+    world.is_new_owner_uninformed = !has_read;
     let job = world.submit("batch", vec![wide_step(32)]);
     world.take_over();
     world.run(Duration::from_millis(1_500));
--- a/crates/cell/tests/cell/world/mod.rs
+++ b/crates/cell/tests/cell/world/mod.rs
@@ -207,7 +207,7 @@
     /// Whether only the operator's records are unavailable, not the rest of the store.
     pub are_operator_records_unavailable: bool,
     /// Whether the node of a new owner has read none of the operator's records yet.
-    pub is_new_owner_blank: bool,
+    pub is_new_owner_uninformed: bool,
     /// Tasks that crash each worker that starts them.
     pub crashing_task_ids: BTreeSet<TaskId>,
     /// How many workers each such task has crashed.
@@ -385,7 +385,7 @@
             failed: BTreeMap::new(),
             is_list_unavailable: false,
             are_operator_records_unavailable: false,
-            is_new_owner_blank: false,
+            is_new_owner_uninformed: false,
             crashing_task_ids: BTreeSet::new(),
             crashed: BTreeMap::new(),
             crash_restart: None,
@@ -446,7 +446,7 @@
     /// Tells a new owner of the configuration, the nodes and the workers.
     fn brief_new_owner(&mut self) {
         self.engine.configure(self.config.clone());
-        if !self.is_new_owner_blank {
+        if !self.is_new_owner_uninformed {
             self.send_evacuation();
         }
         self.engine.set_advice_nodes(&self.nodes, self.now);
