--- a/crates/cell/tests/cell/crash.rs
+++ b/crates/cell/tests/cell/crash.rs
@@ -177,7 +177,7 @@
     let job = world.submit("batch", vec![long_running()]);
     let task = last_task(job, &[long_running()]);
     world.crashing_task_ids.insert(task);
-    while world.taken_along.len() < 2 {
+    while world.tasks_lost_with.len() < 2 {
         world.run(Duration::from_millis(25));
     }
     world.crashing_task_ids.clear();
@@ -264,7 +264,7 @@
     let completed = (world.completed(others), others.len());
     world.run(Duration::from_secs(30));
     let tasks_lost = |task: &TaskId| {
-        let crashes = world.taken_along.iter();
+        let crashes = world.tasks_lost_with.iter();
         let own = crashes.filter(|(crashed, _)| crashed == task);
         own.map(|(_, others)| *others).collect()
     };
--- a/crates/cell/tests/cell/world/fault.rs
+++ b/crates/cell/tests/cell/world/fault.rs
@@ -54,7 +54,7 @@
         };
         *self.crashed.entry(task).or_default() += 1;
         let others = worker.tasks().filter(|other| *other != task).count();
-        self.taken_along.push((task, others));
+        self.tasks_lost_with.push((task, others));
         if let Some(restart) = self.crash_restart {
             return self.go_down_for_restart(id, &worker, restart);
         }
--- a/crates/cell/tests/cell/world/mod.rs
+++ b/crates/cell/tests/cell/world/mod.rs
@@ -215,7 +215,7 @@
     /// How a worker restarts after a task has crashed it; random if `None`.
     pub crash_restart: Option<Restart>,
     /// How many other tasks ran on each worker that a task has crashed, in order.
-    pub taken_along: Vec<(TaskId, usize)>,
+    pub tasks_lost_with: Vec<(TaskId, usize)>,
     /// On how many workers each task was running when the worker went down.
     crashes_under: BTreeMap<TaskId, u32>,
     /// How many tasks were given up although they crash no worker.
@@ -389,7 +389,7 @@
             crashing_task_ids: BTreeSet::new(),
             crashed: BTreeMap::new(),
             crash_restart: None,
-            taken_along: Vec::new(),
+            tasks_lost_with: Vec::new(),
             crashes_under: BTreeMap::new(),
             wronged: 0,
             starts_after_proof: BTreeMap::new(),
