--- a/crates/cell/tests/cell/crash.rs
+++ b/crates/cell/tests/cell/crash.rs
@@ -244,7 +244,7 @@
     }
     world.run(Duration::from_secs(30));
     assert_eq!(world.violations, Vec::<String>::new());
-    assert_eq!(world.wronged, 0);
+    assert_eq!(world.wrongly_given_up, 0);
     assert_eq!(world.completed(&jobs), jobs.len());
 }
 
@@ -272,7 +272,7 @@
         tasks_lost: world.crashing_task_ids.iter().map(tasks_lost).collect(),
         completed,
         violations: world.violations,
-        wrongly_failed: world.wronged,
+        wrongly_failed: world.wrongly_given_up,
     }
 }
 
--- a/crates/cell/tests/cell/world/check.rs
+++ b/crates/cell/tests/cell/world/check.rs
@@ -155,7 +155,7 @@
             return;
         }
         if !self.crashing_task_ids.contains(&task) {
-            self.wronged += 1;
+            self.wrongly_given_up += 1;
         }
         let under = self.crashes_under.get(&task).copied().unwrap_or_default();
         if under < MIN_CRASHES_TO_GIVE_UP {
--- a/crates/cell/tests/cell/world/mod.rs
+++ b/crates/cell/tests/cell/world/mod.rs
@@ -219,7 +219,7 @@
     /// On how many workers each task was running when the worker went down.
     crashes_under: BTreeMap<TaskId, u32>,
     /// How many tasks were given up although they crash no worker.
-    pub wronged: u32,
+    pub wrongly_given_up: u32,
     /// How often each crashing task was started after [`CRASHES_TO_PROVE`] crashes.
     starts_after_proof: BTreeMap<TaskId, u32>,
     /// Until when nothing answers at the address of each worker that went down.
@@ -391,7 +391,7 @@
             crash_restart: None,
             tasks_lost_with: Vec::new(),
             crashes_under: BTreeMap::new(),
-            wronged: 0,
+            wrongly_given_up: 0,
             starts_after_proof: BTreeMap::new(),
             down_until: BTreeMap::new(),
             append: APPEND_DURATION,
