--- a/crates/cell/tests/cell/announce.rs
+++ b/crates/cell/tests/cell/announce.rs
@@ -19,7 +19,7 @@
 /// Returns the time from the submission of a job to its first start, with a store that takes 0.35 s per append.
 fn time_to_first_start(is_announced: bool) -> Duration {
     let mut world = World::new(1, Faults::default());
-    world.append = STORE_LATENCY;
+    world.append_duration = STORE_LATENCY;
     world.run(Duration::from_secs(1));
     let submitted = world.now;
     let accepted = world.hand_in("urgent", vec![quick_step()]);
--- a/crates/cell/tests/cell/evacuate.rs
+++ b/crates/cell/tests/cell/evacuate.rs
@@ -155,7 +155,7 @@
     #[case] step: Step,
 ) {
     let mut world = world(Faults::default());
-    world.append = Duration::from_millis(600);
+    world.append_duration = Duration::from_millis(600);
     let job = world.submit(queue, vec![step]);
     world.run(Duration::from_millis(75));
     world.evacuate("north");
--- a/crates/cell/tests/cell/slow.rs
+++ b/crates/cell/tests/cell/slow.rs
@@ -26,7 +26,7 @@
     #[values(90, 370, 500)] append_ms: u64,
 ) {
     let mut world = World::new(1, Faults::default());
-    world.append = Duration::from_millis(append_ms);
+    world.append_duration = Duration::from_millis(append_ms);
     world.run(2 * SECOND);
     let step = Step {
         gang: queue == "gang",
--- a/crates/cell/tests/cell/world/mod.rs
+++ b/crates/cell/tests/cell/world/mod.rs
@@ -225,7 +225,7 @@
     /// Until when nothing answers at the address of each worker that went down.
     down_until: BTreeMap<WorkerId, Timestamp>,
     /// How long an append to the store takes.
-    pub append: Duration,
+    pub append_duration: Duration,
     /// How many runs workers have started.
     pub starts: u32,
     /// The preempted tasks, each with the time of its preemption, in order.
@@ -394,7 +394,7 @@
             wrongly_given_up: 0,
             starts_after_proof: BTreeMap::new(),
             down_until: BTreeMap::new(),
-            append: APPEND_DURATION,
+            append_duration: APPEND_DURATION,
             starts: 0,
             preempted: Vec::new(),
             turned_away: 0,
@@ -836,7 +836,7 @@
                 self.schedule(call_duration, Event::Advised(node, step, workers));
             }
             Effect::Record(entries) => {
-                let wait = self.now.until(self.outage_end) + self.append;
+                let wait = self.now.until(self.outage_end) + self.append_duration;
                 self.schedule(wait, Event::Recorded(entries));
             }
             Effect::Remove(jobs) => jobs.into_iter().for_each(|job| self.remove_acceptance(job)),
