--- a/crates/cell/tests/cell/order.rs
+++ b/crates/cell/tests/cell/order.rs
@@ -78,7 +78,7 @@
     let job = world.submit("urgent", vec![step]);
     world.run(Duration::from_secs(12));
     assert_eq!(world.engine.state(job), Some(State::Completed));
-    assert_eq!((world.starts, world.turned_away), (4, 0));
+    assert_eq!((world.starts, world.refused_tickets), (4, 0));
 }
 
 /// Guards against an occurrence of a repeated job that is ranked by when the job was received rather than when it is
--- a/crates/cell/tests/cell/restart.rs
+++ b/crates/cell/tests/cell/restart.rs
@@ -199,5 +199,5 @@
     world.restart_all(Restart::default());
     world.run(Duration::from_secs(60));
     assert_eq!(world.completed(&jobs), jobs.len());
-    assert_eq!(world.turned_away, 0);
+    assert_eq!(world.refused_tickets, 0);
 }
--- a/crates/cell/tests/cell/world/deliver.rs
+++ b/crates/cell/tests/cell/world/deliver.rs
@@ -70,7 +70,7 @@
         let started_at = worker.started_at();
         let ticket = order.ticket.as_deref();
         if ticket.is_some_and(|ticket| has_expired(ticket, now) || issued_at(ticket) < started_at) {
-            self.turned_away += 1;
+            self.refused_tickets += 1;
             if is_current && is_answered {
                 let answer = Event::Started(id, order.task, order.run, StartAnswer::InvalidTicket);
                 self.schedule(NETWORK_DELAY, answer);
--- a/crates/cell/tests/cell/world/mod.rs
+++ b/crates/cell/tests/cell/world/mod.rs
@@ -231,7 +231,7 @@
     /// The preempted tasks, each with the time of its preemption, in order.
     pub preempted: Vec<(Timestamp, TaskId)>,
     /// How many orders to start were refused because of their ticket.
-    pub turned_away: u32,
+    pub refused_tickets: u32,
     /// The number of workers in each call for advice, in order.
     pub asked: Vec<usize>,
     /// How many starts were withdrawn because their ticket had expired by the time that their record was stored.
@@ -397,7 +397,7 @@
             append_duration: APPEND_DURATION,
             starts: 0,
             preempted: Vec::new(),
-            turned_away: 0,
+            refused_tickets: 0,
             asked: Vec::new(),
             expired_ticket_starts: 0,
             failed_advice_calls: 0,
