--- a/crates/cell/tests/cell/evacuate.rs
+++ b/crates/cell/tests/cell/evacuate.rs
@@ -267,10 +267,14 @@
     world.run(SECOND);
     let job = world.submit("gang", vec![gang(100)]);
     world.run(Duration::from_millis(50));
-    assert_eq!(world.asked.len(), 1, "the other calls are queued");
+    assert_eq!(
+        world.advice_call_sizes.len(),
+        1,
+        "the other calls are queued"
+    );
     world.evacuate_only(&["north"]);
     complete(&mut world, job);
-    assert!(world.asked.len() > 1);
+    assert!(world.advice_call_sizes.len() > 1);
 }
 
 /// A new owner knows which runs workers may have before it has read in which data centres the workers are.
--- a/crates/cell/tests/cell/wide.rs
+++ b/crates/cell/tests/cell/wide.rs
@@ -49,7 +49,7 @@
     world.submit("gang", vec![gang(200, 1_000)]);
     // A call about 100 workers takes 0.12 s.
     world.run(Duration::from_millis(700));
-    assert_eq!(world.asked, [100, 100, 100, 100]);
+    assert_eq!(world.advice_call_sizes, [100, 100, 100, 100]);
     assert_eq!(world.violations, Vec::<String>::new());
 }
 
--- a/crates/cell/tests/cell/world/mod.rs
+++ b/crates/cell/tests/cell/world/mod.rs
@@ -233,7 +233,7 @@
     /// How many orders to start were refused because of their ticket.
     pub refused_tickets: u32,
     /// The number of workers in each call for advice, in order.
-    pub asked: Vec<usize>,
+    pub advice_call_sizes: Vec<usize>,
     /// How many starts were withdrawn because their ticket had expired by the time that their record was stored.
     pub expired_ticket_starts: usize,
     /// How many calls for advice were sent to nodes that are down.
@@ -398,7 +398,7 @@
             starts: 0,
             preempted: Vec::new(),
             refused_tickets: 0,
-            asked: Vec::new(),
+            advice_call_sizes: Vec::new(),
             expired_ticket_starts: 0,
             failed_advice_calls: 0,
             waits: Vec::new(),
@@ -830,7 +830,7 @@
                 step,
                 workers,
             } => {
-                self.asked.push(workers.len());
+                self.advice_call_sizes.push(workers.len());
                 self.check_advice_call(&workers);
                 let call_duration = Duration::from_millis(20 + workers.len() as u64);
                 self.schedule(call_duration, Event::Advised(node, step, workers));
