--- a/crates/cell/tests/cell/evacuate.rs
+++ b/crates/cell/tests/cell/evacuate.rs
@@ -64,7 +64,7 @@
 }
 
 fn has_reported(world: &World, job: JobId, why: WaitReason) -> bool {
-    world.waits.contains(&(job, why))
+    world.reported_waits.contains(&(job, why))
 }
 
 #[rstest]
@@ -113,7 +113,7 @@
     assert!(
         has_reported(&world, job, WaitReason::Evacuated),
         "{:?}",
-        world.waits
+        world.reported_waits
     );
     assert_eq!(world.starts, 0);
     world.take_back("south");
@@ -189,7 +189,7 @@
     assert!(
         has_reported(&world, late, WaitReason::EvacuationUnknown),
         "{:?}",
-        world.waits
+        world.reported_waits
     );
     world.are_operator_records_unavailable = false;
     complete(&mut world, late);
--- a/crates/cell/tests/cell/limit.rs
+++ b/crates/cell/tests/cell/limit.rs
@@ -79,7 +79,7 @@
     }
     assert_eq!(peak, 4, "the whole limit is used and not exceeded");
     assert_eq!(world.engine.state(calm), Some(State::Completed));
-    assert!(world.waits.contains(&(hot, WaitReason::Limit)));
+    assert!(world.reported_waits.contains(&(hot, WaitReason::Limit)));
     world.run(20 * SECOND);
     assert_eq!(world.engine.state(hot), Some(State::Completed));
     assert_eq!(world.violations, Vec::<String>::new());
@@ -142,7 +142,7 @@
     world.run(10 * SECOND);
     assert_eq!(world.engine.state(gang), Some(State::Queued));
     assert_eq!(world.engine.state(other), Some(State::Completed));
-    assert!(world.waits.contains(&(gang, WaitReason::Limit)));
+    assert!(world.reported_waits.contains(&(gang, WaitReason::Limit)));
     world.set_limits(&[("hot", 8)]);
     world.run(10 * SECOND);
     assert_eq!(world.engine.state(gang), Some(State::Completed));
--- a/crates/cell/tests/cell/wait.rs
+++ b/crates/cell/tests/cell/wait.rs
@@ -81,7 +81,7 @@
 
 /// Returns the reasons to wait that were reported for a job.
 fn reported_waits(world: &World, job: JobId) -> Vec<WaitReason> {
-    let own = world.waits.iter().filter(|(id, _)| *id == job);
+    let own = world.reported_waits.iter().filter(|(id, _)| *id == job);
     own.map(|(_, why)| *why).collect()
 }
 
@@ -153,7 +153,7 @@
     world.submit("urgent", vec![quick_step()]);
     world.submit("batch", vec![labelled("a")]);
     world.run(Duration::from_secs(5));
-    assert_eq!(world.waits, []);
+    assert_eq!(world.reported_waits, []);
 }
 
 #[test]
--- a/crates/cell/tests/cell/world/mod.rs
+++ b/crates/cell/tests/cell/world/mod.rs
@@ -239,7 +239,7 @@
     /// How many calls for advice were sent to nodes that are down.
     pub failed_advice_calls: usize,
     /// The jobs that the engine reported as waiting, with the reason, in order.
-    pub waits: Vec<(JobId, WaitReason)>,
+    pub reported_waits: Vec<(JobId, WaitReason)>,
     /// The workspace and the specification of each job that belongs to a workspace.
     workspace_jobs: BTreeMap<JobId, (WorkspaceName, Arc<Spec>)>,
     /// The limits of all workspaces, with the time from which they apply. The last ones are in force.
@@ -401,7 +401,7 @@
             advice_call_sizes: Vec::new(),
             expired_ticket_starts: 0,
             failed_advice_calls: 0,
-            waits: Vec::new(),
+            reported_waits: Vec::new(),
             workspace_jobs: BTreeMap::new(),
             limit_history: Vec::new(),
             evacuated: BTreeMap::new(),
@@ -843,7 +843,9 @@
             Effect::Log(LogRecord::Placed { task, worker, .. }) => {
                 self.check_placement(task, &worker)
             }
-            Effect::Log(LogRecord::Waiting { step, why, .. }) => self.waits.push((step.job, why)),
+            Effect::Log(LogRecord::Waiting { step, why, .. }) => {
+                self.reported_waits.push((step.job, why))
+            }
             Effect::Log(LogRecord::Stopping {
                 task,
                 why: "preempted",
