--- a/crates/cell/tests/cell/foreign.rs
+++ b/crates/cell/tests/cell/foreign.rs
@@ -56,7 +56,7 @@
 fn with_foreign_entries_runs_continue_and_no_task_is_started() {
     let (mut world, job) = fully_loaded();
     for id in workers(&world) {
-        world.turn_foreign(&id, FOREVER);
+        world.overwrite_entry(&id, FOREVER);
     }
     let next = world.submit("batch", vec![step(1)]);
     // Longer than the leases last, so they must have been renewed.
@@ -72,7 +72,7 @@
 fn a_valid_entry_makes_a_worker_available_again() {
     let (mut world, _) = fully_loaded();
     for id in workers(&world) {
-        world.turn_foreign(&id, 5 * SECOND);
+        world.overwrite_entry(&id, 5 * SECOND);
     }
     let next = world.submit("batch", vec![step(1)]);
     world.run(4 * SECOND);
@@ -98,7 +98,7 @@
     let (mut world, job) = fully_loaded();
     let cut_off = workers(&world)[0].clone();
     world.workers.get_mut(&cut_off).unwrap().cut_until = world.now + FOREVER;
-    world.turn_foreign(&cut_off, FOREVER);
+    world.overwrite_entry(&cut_off, FOREVER);
     world.run(Bounds::default().lease_expiry_time() / 2);
     assert_eq!(
         world.engine.worker_count(),
@@ -117,7 +117,7 @@
 fn a_new_owner_finds_the_runs_of_a_worker_with_a_foreign_entry() {
     let (mut world, job) = fully_loaded();
     for id in workers(&world) {
-        world.turn_foreign(&id, FOREVER);
+        world.overwrite_entry(&id, FOREVER);
     }
     world.take_over();
     world.run(2 * (Bounds::default().lease_expiry_time() + MAX_FORMER_OWNER_ACTIVITY));
@@ -133,7 +133,7 @@
     world.run(SECOND);
     let lost = workers(&world)[0].clone();
     world.workers.get_mut(&lost).unwrap().cut_until = world.now + 10 * SECOND;
-    world.turn_foreign(&lost, 11 * SECOND);
+    world.overwrite_entry(&lost, 11 * SECOND);
     // One write stays in flight for the whole outage.
     world.lose_store(15 * SECOND);
     world.submit("batch", vec![step(1)]);
@@ -144,7 +144,7 @@
     world.submit("batch", vec![step(64)]);
     world.run(2 * SECOND + SECOND / 10);
     assert!(world.starts > 16, "tasks run on all workers");
-    world.turn_foreign(&lost, FOREVER);
+    world.overwrite_entry(&lost, FOREVER);
     world.take_over();
     world.run(30 * SECOND);
     assert_eq!(world.violations, Vec::<String>::new());
--- a/crates/cell/tests/cell/world/mod.rs
+++ b/crates/cell/tests/cell/world/mod.rs
@@ -459,7 +459,7 @@
     }
 
     /// Overwrites a worker's entry for some time, as another writer would.
-    pub(crate) fn turn_foreign(&mut self, id: &WorkerId, span: Duration) {
+    pub(crate) fn overwrite_entry(&mut self, id: &WorkerId, span: Duration) {
         if let Some(worker) = self.workers.get_mut(id) {
             worker.overwritten_until = Some(self.now + span);
             self.engine.mark_entry_unusable(id, self.now);
@@ -665,7 +665,7 @@
             // Draws no random number if the rate is zero, so that older seeds still give the same histories.
             if self.faults.overwritten_entries > 0 && self.chance(self.faults.overwritten_entries) {
                 let span = Duration::from_millis(self.rng.random_range(1_000..15_000));
-                self.turn_foreign(&id, span);
+                self.overwrite_entry(&id, span);
             }
         }
         if self.faults.replacements > 0 {
