--- a/crates/cell/tests/cell/announce.rs
+++ b/crates/cell/tests/cell/announce.rs
@@ -22,7 +22,7 @@
     world.append_duration = STORE_LATENCY;
     world.run(Duration::from_secs(1));
     let submitted = world.now;
-    let accepted = world.hand_in("urgent", vec![quick_step()]);
+    let accepted = world.new_job("urgent", vec![quick_step()]);
     if is_announced {
         world.engine.announce(accepted.clone(), world.now);
     }
@@ -46,7 +46,7 @@
 fn a_job_whose_acceptance_is_refused_never_starts_and_frees_its_capacity() {
     let mut world = World::new(1, Faults::default());
     world.run(Duration::from_secs(1));
-    let accepted = world.hand_in("urgent", vec![quick_step()]);
+    let accepted = world.new_job("urgent", vec![quick_step()]);
     let (job, queue) = (accepted.job, QueueName::from("urgent"));
     world.engine.announce(accepted, world.now);
     world.run(Duration::from_millis(300));
@@ -67,7 +67,7 @@
 fn a_job_accepted_after_its_announcement_expired_runs_once() {
     let mut world = World::new(1, Faults::default());
     world.run(Duration::from_secs(1));
-    let accepted = world.hand_in("urgent", vec![quick_step()]);
+    let accepted = world.new_job("urgent", vec![quick_step()]);
     let job = accepted.job;
     world.engine.announce(accepted.clone(), world.now);
     world.run(Duration::from_secs(4));
--- a/crates/cell/tests/cell/world/limit.rs
+++ b/crates/cell/tests/cell/world/limit.rs
@@ -43,7 +43,7 @@
         let size = limits.get(&name).copied().unwrap_or(Resources::ZERO);
         Accepted {
             workspace: Some(workspace(name, size).into()),
-            ..self.hand_in(queue, steps)
+            ..self.new_job(queue, steps)
         }
     }
 
--- a/crates/cell/tests/cell/world/mod.rs
+++ b/crates/cell/tests/cell/world/mod.rs
@@ -525,7 +525,7 @@
     }
 
     /// Creates a job that is received now and whose acceptance is not stored yet.
-    pub(crate) fn hand_in(&mut self, queue: &str, steps: Vec<Step>) -> Accepted {
+    pub(crate) fn new_job(&mut self, queue: &str, steps: Vec<Step>) -> Accepted {
         self.create_job(queue, steps, None, self.now)
     }
 
