--- a/crates/cell/tests/cell/announce.rs
+++ b/crates/cell/tests/cell/announce.rs
@@ -28,7 +28,7 @@
     }
     world.run(STORE_LATENCY);
     assert_eq!(world.starts, 0, "nothing starts before its acceptance");
-    world.keep(accepted);
+    world.store_acceptance(accepted);
     while world.starts == 0 {
         world.run(Duration::from_millis(1));
     }
@@ -76,7 +76,7 @@
         0,
         "the announcement has expired"
     );
-    world.keep(accepted);
+    world.store_acceptance(accepted);
     world.run(Duration::from_secs(8));
     assert_eq!(world.engine.state(job), Some(State::Completed));
     assert_eq!(world.starts, 2);
--- a/crates/cell/tests/cell/limit.rs
+++ b/crates/cell/tests/cell/limit.rs
@@ -283,9 +283,9 @@
     };
     if is_early {
         world.engine.cancel(&cancelled, world.now);
-        world.keep(accepted);
+        world.store_acceptance(accepted);
     } else {
-        world.keep(accepted);
+        world.store_acceptance(accepted);
         assert!(!world.engine.cancel(&cancelled, world.now));
     }
     world.run(3 * SECOND);
@@ -299,7 +299,7 @@
     let first = world.hand_in_for("hot", "batch", vec![step(2)]);
     let mut second = world.hand_in_for("calm", "batch", vec![step(4)]);
     second.job = first.job;
-    world.keep(first.clone());
+    world.store_acceptance(first.clone());
     world.engine.submit(second, world.now);
     world.run(3 * SECOND);
     let state = |viewer: &str| world.engine.state_for(first.job, Some(&name(viewer)));
@@ -320,7 +320,7 @@
     };
     let first = world.hand_in_for("hot", "batch", vec![step(2), then]);
     late.job = first.job;
-    world.keep(first.clone());
+    world.store_acceptance(first.clone());
     while world.starts < 4 {
         world.run(SECOND / 10);
     }
--- a/crates/cell/tests/cell/world/mod.rs
+++ b/crates/cell/tests/cell/world/mod.rs
@@ -519,7 +519,7 @@
         if self.chance(self.faults.announcements) {
             self.announce(accepted);
         } else {
-            self.keep(accepted);
+            self.store_acceptance(accepted);
         }
         job
     }
@@ -530,7 +530,7 @@
     }
 
     /// Stores the acceptance of a job and tells the owner of it.
-    pub(crate) fn keep(&mut self, accepted: Accepted) {
+    pub(crate) fn store_acceptance(&mut self, accepted: Accepted) {
         if let Some(name) = accepted.workspace_name() {
             let holder = (name.clone(), accepted.spec.clone());
             self.workspace_jobs.insert(accepted.job, holder);
@@ -877,7 +877,7 @@
             Event::Heartbeat(order) => self.deliver_heartbeat(*order, is_current),
             Event::AcceptanceStored(accepted) => {
                 // Tells the current owner, which may be another one than at the time of the announcement.
-                self.keep(*accepted);
+                self.store_acceptance(*accepted);
             }
             Event::Crash(worker, task) => self.crash(worker, task),
             Event::NewWorker(slot) => {
