--- a/crates/cell/tests/cell/forget.rs
+++ b/crates/cell/tests/cell/forget.rs
@@ -55,7 +55,7 @@
     assert_eq!(world.on_record().count(), 1, "only the unfinished job");
     world.take_over();
     for job in &completed {
-        world.hand_in_again(*job);
+        world.resubmit(*job);
     }
     world.run(Duration::from_secs(12));
     let state = |job| world.engine.state(job);
--- a/crates/cell/tests/cell/world/mod.rs
+++ b/crates/cell/tests/cell/world/mod.rs
@@ -574,7 +574,7 @@
     }
 
     /// Submits a job once more, which stores its acceptance again.
-    pub(crate) fn hand_in_again(&mut self, job: JobId) {
+    pub(crate) fn resubmit(&mut self, job: JobId) {
         let mut accepted = self.accepted.iter();
         if let Some(accepted) = accepted.find(|accepted| accepted.job == job).cloned() {
             self.removed.remove(&job);
