--- a/crates/cell/tests/cell/evacuate.rs
+++ b/crates/cell/tests/cell/evacuate.rs
@@ -233,7 +233,7 @@
     world.run(Duration::from_millis(100));
     world.evacuate("north");
     world.run(5 * SECOND);
-    world.calm();
+    world.end_faults();
     world.evacuate("north");
     complete(&mut world, job);
 }
--- a/crates/cell/tests/cell/history.rs
+++ b/crates/cell/tests/cell/history.rs
@@ -41,7 +41,7 @@
         }
         world.run(Duration::from_secs(2));
     }
-    world.calm();
+    world.end_faults();
     world.run(Duration::from_secs(60));
     if world.violations.is_empty() {
         world.check_ends();
@@ -68,7 +68,7 @@
         }
         world.run(Duration::from_secs(2));
     }
-    world.calm();
+    world.end_faults();
     for id in world.workers.keys().cloned().collect::<Vec<_>>() {
         // The advice service allows two of three workers, so all of them get the label.
         world.replace_worker(&id, "rare");
--- a/crates/cell/tests/cell/limit.rs
+++ b/crates/cell/tests/cell/limit.rs
@@ -413,7 +413,7 @@
         }
         world.run(2 * SECOND);
     }
-    world.calm();
+    world.end_faults();
     world.run(90 * SECOND);
     if world.violations.is_empty() {
         world.check_ends();
--- a/crates/cell/tests/cell/pending.rs
+++ b/crates/cell/tests/cell/pending.rs
@@ -70,7 +70,7 @@
     let batch = QueueName::from("batch");
     assert_eq!(world.engine.pending(&batch), 1);
     assert_eq!(world.engine.state(job), Some(State::Queued));
-    world.calm();
+    world.end_faults();
     world.run(Duration::from_secs(15));
     assert_eq!(world.engine.pending(&batch), 0);
     assert_eq!(world.violations, Vec::<String>::new());
--- a/crates/cell/tests/cell/restart.rs
+++ b/crates/cell/tests/cell/restart.rs
@@ -100,7 +100,7 @@
         }
         world.run(Duration::from_secs(1));
     }
-    world.calm();
+    world.end_faults();
     world.run(Duration::from_secs(60));
     (world, jobs)
 }
@@ -165,7 +165,7 @@
         world.restart(&ids[second % (ids.len() - 2)], restart);
         world.run(Duration::from_secs(1));
     }
-    world.calm();
+    world.end_faults();
     world.run(Duration::from_secs(120));
     assert_eq!(world.violations, Vec::<String>::new());
     assert_eq!(world.completed(&jobs), jobs.len());
--- a/crates/cell/tests/cell/world/mod.rs
+++ b/crates/cell/tests/cell/world/mod.rs
@@ -622,7 +622,7 @@
     }
 
     /// Ends all faults except failing runs.
-    pub(crate) fn calm(&mut self) {
+    pub(crate) fn end_faults(&mut self) {
         let failures = self.faults.failures;
         self.faults = Faults {
             failures,
