--- a/crates/cell/tests/cell/crash.rs
+++ b/crates/cell/tests/cell/crash.rs
@@ -106,7 +106,7 @@
         }
         match disturbance {
             Disturbance::Takeovers if second % 3 == 1 => world.take_over(),
-            Disturbance::Outages if second % 5 == 1 => world.lose_store(Duration::from_secs(2)),
+            Disturbance::Outages if second % 5 == 1 => world.start_outage(Duration::from_secs(2)),
             _ => {}
         }
         world.run(Duration::from_secs(1));
--- a/crates/cell/tests/cell/evacuate.rs
+++ b/crates/cell/tests/cell/evacuate.rs
@@ -166,7 +166,7 @@
 #[test]
 fn no_order_that_waited_through_an_outage_is_sent_to_an_evacuated_data_centre() {
     let mut world = world(bounded());
-    world.lose_store(7 * SECOND);
+    world.start_outage(7 * SECOND);
     let job = world.submit("batch", vec![wide_step(32)]);
     world.run(SECOND);
     world.evacuate("north");
--- a/crates/cell/tests/cell/foreign.rs
+++ b/crates/cell/tests/cell/foreign.rs
@@ -135,7 +135,7 @@
     world.workers.get_mut(&lost).unwrap().cut_until = world.now + 10 * SECOND;
     world.overwrite_entry(&lost, 11 * SECOND);
     // One write stays in flight for the whole outage.
-    world.lose_store(15 * SECOND);
+    world.start_outage(15 * SECOND);
     world.submit("batch", vec![step(1)]);
     world.run(10 * SECOND);
     assert_eq!(world.engine.worker_count(), 7, "the worker is given up");
--- a/crates/cell/tests/cell/limit.rs
+++ b/crates/cell/tests/cell/limit.rs
@@ -177,7 +177,7 @@
 #[test]
 fn an_order_that_waited_for_its_record_is_not_sent_above_a_lowered_limit() {
     let mut world = world(&[("hot", 12)]);
-    world.lose_store(3 * SECOND);
+    world.start_outage(3 * SECOND);
     let job = world.submit_for("hot", "batch", vec![step(12)]);
     world.run(SECOND);
     world.set_limits(&[("hot", 4)]);
--- a/crates/cell/tests/cell/order.rs
+++ b/crates/cell/tests/cell/order.rs
@@ -68,7 +68,7 @@
 fn a_ticket_that_expired_during_an_outage_is_not_used(#[case] gang: bool) {
     let mut world = World::new(1, Faults::default());
     world.run(Duration::from_secs(1));
-    world.lose_store(Duration::from_secs(4));
+    world.start_outage(Duration::from_secs(4));
     let step = Step {
         count: 4,
         size: size(1_000, 1_024),
--- a/crates/cell/tests/cell/restart.rs
+++ b/crates/cell/tests/cell/restart.rs
@@ -95,7 +95,7 @@
         world.restart(&ids[second % ids.len()], restart);
         match disturbance {
             Disturbance::Takeovers if second % 3 == 1 => world.take_over(),
-            Disturbance::Outages if second % 5 == 1 => world.lose_store(Duration::from_secs(2)),
+            Disturbance::Outages if second % 5 == 1 => world.start_outage(Duration::from_secs(2)),
             _ => {}
         }
         world.run(Duration::from_secs(1));
@@ -158,7 +158,7 @@
             jobs.push(world.submit("batch", vec![step]));
         }
         if disturbance == Disturbance::Outages {
-            world.lose_store(Duration::from_millis(2_500));
+            world.start_outage(Duration::from_millis(2_500));
             world.run(Duration::from_millis(100));
         }
         // The last two workers are never restarted, so that some workers keep the label and the room.
@@ -178,7 +178,7 @@
         let mut world = world_with_ended_runs(Faults::default());
         let first = world.submit("batch", tasks(32));
         world.run(Duration::from_millis(400));
-        world.lose_store(Duration::from_secs(4));
+        world.start_outage(Duration::from_secs(4));
         world.run(restart_after);
         world.restart_all(Restart::default());
         world.run(Duration::from_secs(3));
--- a/crates/cell/tests/cell/shrink.rs
+++ b/crates/cell/tests/cell/shrink.rs
@@ -20,7 +20,7 @@
 fn no_worker_is_overcommitted_after_capacities_shrank_during_an_outage() {
     let mut world = World::new(1, Faults::default());
     world.run(Duration::from_secs(1));
-    world.lose_store(Duration::from_secs(7));
+    world.start_outage(Duration::from_secs(7));
     let step = Step {
         count: 32,
         ..quick_step()
--- a/crates/cell/tests/cell/world/mod.rs
+++ b/crates/cell/tests/cell/world/mod.rs
@@ -639,7 +639,7 @@
     }
 
     /// Starts an outage of the store.
-    pub(crate) fn lose_store(&mut self, span: Duration) {
+    pub(crate) fn start_outage(&mut self, span: Duration) {
         self.outage_end = self.now + span;
     }
 
