--- a/crates/cell/tests/cell/forget.rs
+++ b/crates/cell/tests/cell/forget.rs
@@ -52,7 +52,11 @@
     let open = world.submit("batch", vec![quick_step()]);
     world.run(Duration::from_millis(100));
     let starts = world.starts;
-    assert_eq!(world.on_record().count(), 1, "only the unfinished job");
+    assert_eq!(
+        world.stored_acceptances().count(),
+        1,
+        "only the unfinished job"
+    );
     world.take_over();
     for job in &completed {
         world.resubmit(*job);
@@ -67,7 +71,7 @@
     assert_eq!(state(cancelled), Some(State::Cancelled));
     assert_eq!(state(open), Some(State::Completed));
     assert_eq!(world.starts, starts, "no finished job runs again");
-    assert_eq!(world.on_record().count(), 0);
+    assert_eq!(world.stored_acceptances().count(), 0);
     assert_eq!(world.violations, Vec::<String>::new());
 }
 
--- a/crates/cell/tests/cell/world/mod.rs
+++ b/crates/cell/tests/cell/world/mod.rs
@@ -709,7 +709,7 @@
     pub(crate) fn take_over(&mut self) {
         self.epoch = self.epoch.next();
         let mut inheritance = StoredState {
-            accepted: self.on_record().cloned().collect(),
+            accepted: self.stored_acceptances().cloned().collect(),
             cancelled: self
                 .cancelled
                 .iter()
@@ -722,7 +722,7 @@
             ..StoredState::default()
         };
         // A job that was submitted at two nodes is stored in two partitions.
-        let duplicates = self.on_record().step_by(3).cloned();
+        let duplicates = self.stored_acceptances().step_by(3).cloned();
         inheritance.accepted.extend(duplicates);
         for entry in self.records.values() {
             match entry {
@@ -747,7 +747,7 @@
     }
 
     /// Returns the acceptances that are in the store.
-    pub(crate) fn on_record(&self) -> impl Iterator<Item = &Accepted> {
+    pub(crate) fn stored_acceptances(&self) -> impl Iterator<Item = &Accepted> {
         let accepted = self.accepted.iter();
         accepted.filter(|accepted| !self.removed.contains(&accepted.job))
     }
