--- a/crates/cell/tests/cell/limit.rs
+++ b/crates/cell/tests/cell/limit.rs
@@ -274,7 +274,7 @@
 #[case::when_it_was_known(false)]
 fn nobody_cancels_a_job_of_another_workspace(#[case] is_early: bool) {
     let mut world = world(&[("hot", 4), ("calm", 32)]);
-    let accepted = world.hand_in_for("hot", "batch", vec![step(2)]);
+    let accepted = world.new_job_for("hot", "batch", vec![step(2)]);
     let job = accepted.job;
     let cancelled = Cancelled {
         job,
@@ -296,8 +296,8 @@
 #[test]
 fn a_job_with_the_id_of_a_job_of_another_workspace_does_not_affect_it() {
     let mut world = world(&[("hot", 4), ("calm", 32)]);
-    let first = world.hand_in_for("hot", "batch", vec![step(2)]);
-    let mut second = world.hand_in_for("calm", "batch", vec![step(4)]);
+    let first = world.new_job_for("hot", "batch", vec![step(2)]);
+    let mut second = world.new_job_for("calm", "batch", vec![step(4)]);
     second.job = first.job;
     world.store_acceptance(first.clone());
     world.engine.submit(second, world.now);
@@ -313,12 +313,12 @@
 #[test]
 fn a_takeover_leaves_an_id_to_the_job_that_has_progress() {
     let mut world = world(&[("hot", 4), ("calm", 32)]);
-    let mut late = world.hand_in_for("calm", "batch", vec![step(4)]);
+    let mut late = world.new_job_for("calm", "batch", vec![step(4)]);
     let then = Step {
         after: vec![0],
         ..step(2)
     };
-    let first = world.hand_in_for("hot", "batch", vec![step(2), then]);
+    let first = world.new_job_for("hot", "batch", vec![step(2), then]);
     late.job = first.job;
     world.store_acceptance(first.clone());
     while world.starts < 4 {
--- a/crates/cell/tests/cell/world/limit.rs
+++ b/crates/cell/tests/cell/world/limit.rs
@@ -32,12 +32,12 @@
 
     /// Submits a job of a workspace.
     pub(crate) fn submit_for(&mut self, name: &str, queue: &str, steps: Vec<Step>) -> JobId {
-        let accepted = self.hand_in_for(name, queue, steps);
+        let accepted = self.new_job_for(name, queue, steps);
         self.accept_or_announce(accepted)
     }
 
     /// Creates a job of a workspace that is received now and whose acceptance is not stored yet.
-    pub(crate) fn hand_in_for(&mut self, name: &str, queue: &str, steps: Vec<Step>) -> Accepted {
+    pub(crate) fn new_job_for(&mut self, name: &str, queue: &str, steps: Vec<Step>) -> Accepted {
         let name: WorkspaceName = name.parse().expect("the name is accepted");
         let (_, limits) = self.limit_history.last().expect("there are workspaces");
         let size = limits.get(&name).copied().unwrap_or(Resources::ZERO);
