--- a/crates/cell/tests/cell/evacuate.rs
+++ b/crates/cell/tests/cell/evacuate.rs
@@ -116,7 +116,7 @@
         world.reported_waits
     );
     assert_eq!(world.starts, 0);
-    world.take_back("south");
+    world.end_evacuation("south");
     complete(&mut world, job);
     assert!(world.tasks_in("north").is_empty());
 }
@@ -139,7 +139,7 @@
     for _ in 0..3 {
         world.evacuate("north");
         world.run(Duration::from_millis(300));
-        world.take_back("north");
+        world.end_evacuation("north");
         world.run(Duration::from_millis(300));
     }
     world.evacuate("north");
--- a/crates/cell/tests/cell/world/evacuate.rs
+++ b/crates/cell/tests/cell/world/evacuate.rs
@@ -43,7 +43,7 @@
     }
 
     /// Ends the evacuation of a data centre; the nodes read the change after a random delay.
-    pub(crate) fn take_back(&mut self, data_centre: &str) {
+    pub(crate) fn end_evacuation(&mut self, data_centre: &str) {
         self.evacuated.remove(&DataCentre::from(data_centre));
         self.schedule_operator_read();
     }
@@ -102,7 +102,7 @@
                 continue;
             }
             match self.evacuated.contains_key(&DataCentre::from(data_centre)) {
-                true => self.take_back(data_centre),
+                true => self.end_evacuation(data_centre),
                 false => self.evacuate(data_centre),
             }
         }
