--- a/crates/cell/tests/cell/evacuate.rs
+++ b/crates/cell/tests/cell/evacuate.rs
@@ -272,7 +272,7 @@
         1,
         "the other calls are queued"
     );
-    world.evacuate_only(&["north"]);
+    world.set_evacuated(&["north"]);
     complete(&mut world, job);
     assert!(world.advice_call_sizes.len() > 1);
 }
@@ -283,7 +283,7 @@
     let mut world = world(Faults::default());
     let early = world.submit("batch", vec![wide_step(32)]);
     world.run(Duration::from_millis(200));
-    world.evacuate_only(&["north"]);
+    world.set_evacuated(&["north"]);
     world.take_over();
     let late = world.submit("batch", vec![wide_step(16)]);
     complete(&mut world, early);
@@ -294,13 +294,13 @@
 #[test]
 fn advice_for_a_gang_is_requested_again_for_workers_that_are_not_evacuated() {
     let mut world = World::sized(1, Faults::default(), 96, &["a", "b", "c"]);
-    world.evacuate_only(&["south"]);
+    world.set_evacuated(&["south"]);
     world.run(SECOND);
     world.submit("batch", vec![wide_step(192)]);
     world.run(Duration::from_millis(50));
     let job = world.submit("gang", vec![gang(8)]);
     world.run(Duration::from_millis(150));
     assert_eq!(world.engine.state(job), Some(State::Queued));
-    world.evacuate_only(&["north"]);
+    world.set_evacuated(&["north"]);
     complete(&mut world, job);
 }
--- a/crates/cell/tests/cell/world/evacuate.rs
+++ b/crates/cell/tests/cell/world/evacuate.rs
@@ -49,7 +49,7 @@
     }
 
     /// Evacuates exactly the given data centres; the nodes read the change at once.
-    pub(crate) fn evacuate_only(&mut self, data_centres: &[&'static str]) {
+    pub(crate) fn set_evacuated(&mut self, data_centres: &[&'static str]) {
         let now = self.now;
         let data_centres = data_centres.iter().copied().map(DataCentre::from);
         self.evacuated = data_centres.map(|name| (name, now)).collect();
