--- a/crates/cell/tests/cell/crash.rs
+++ b/crates/cell/tests/cell/crash.rs
@@ -238,7 +238,7 @@
         world.run(Duration::from_millis(50));
         let rack = world.workers.keys().filter(|id| id.as_str() < "w4");
         for id in rack.cloned().collect::<Vec<_>>() {
-            world.go_down(id);
+            world.take_down(id);
         }
         world.run(Duration::from_secs(4));
     }
--- a/crates/cell/tests/cell/world/fault.rs
+++ b/crates/cell/tests/cell/world/fault.rs
@@ -28,7 +28,7 @@
 
 impl World {
     /// Crashes a worker; a new one starts in its slot later.
-    pub(crate) fn go_down(&mut self, id: WorkerId) {
+    pub(crate) fn take_down(&mut self, id: WorkerId) {
         if let Some(worker) = self.workers.remove(&id) {
             self.crash_worker(id, &worker);
         }
