--- a/crates/cell/tests/cell/foreign.rs
+++ b/crates/cell/tests/cell/foreign.rs
@@ -97,7 +97,7 @@
 fn a_silent_worker_with_a_foreign_entry_is_given_up_when_its_leases_have_expired() {
     let (mut world, job) = fully_loaded();
     let cut_off = workers(&world)[0].clone();
-    world.workers.get_mut(&cut_off).unwrap().cut_until = world.now + FOREVER;
+    world.workers.get_mut(&cut_off).unwrap().unreachable_until = world.now + FOREVER;
     world.overwrite_entry(&cut_off, FOREVER);
     world.run(Bounds::default().lease_expiry_time() / 2);
     assert_eq!(
@@ -132,7 +132,7 @@
     let mut world = World::new(3, Faults::default());
     world.run(SECOND);
     let lost = workers(&world)[0].clone();
-    world.workers.get_mut(&lost).unwrap().cut_until = world.now + 10 * SECOND;
+    world.workers.get_mut(&lost).unwrap().unreachable_until = world.now + 10 * SECOND;
     world.overwrite_entry(&lost, 11 * SECOND);
     // One write stays in flight for the whole outage.
     world.start_outage(15 * SECOND);
--- a/crates/cell/tests/cell/limit.rs
+++ b/crates/cell/tests/cell/limit.rs
@@ -221,7 +221,7 @@
     world.submit_for("hot", "batch", vec![long_running]);
     world.run(SECOND);
     for worker in world.workers.values_mut() {
-        worker.cut_until = world.now + 4 * SECOND;
+        worker.unreachable_until = world.now + 4 * SECOND;
     }
     let other = world.submit_for("hot", "batch", vec![step(4)]);
     world.run(3 * SECOND);
--- a/crates/cell/tests/cell/world/deliver.rs
+++ b/crates/cell/tests/cell/world/deliver.rs
@@ -31,7 +31,7 @@
     fn reachable_worker(&mut self, id: &WorkerId) -> Option<&mut Worker> {
         let now = self.now;
         let worker = self.workers.get_mut(id)?;
-        (worker.cut_until <= now).then_some(worker)
+        (worker.unreachable_until <= now).then_some(worker)
     }
 
     /// Delivers an order to start a task.
--- a/crates/cell/tests/cell/world/mod.rs
+++ b/crates/cell/tests/cell/world/mod.rs
@@ -629,7 +629,7 @@
             ..Faults::default()
         };
         for worker in self.workers.values_mut() {
-            worker.cut_until = self.now;
+            worker.unreachable_until = self.now;
             worker.overwritten_until = worker.overwritten_until.map(|_| self.now);
             worker.resize(4, self.now);
         }
@@ -659,7 +659,7 @@
             } else if self.chance(self.faults.disconnections) {
                 let span = Duration::from_millis(self.rng.random_range(1_000..12_000));
                 if let Some(worker) = self.workers.get_mut(&id) {
-                    worker.cut_until = self.now + span;
+                    worker.unreachable_until = self.now + span;
                 }
             }
             // Draws no random number if the rate is zero, so that older seeds still give the same histories.
--- a/crates/cell/tests/cell/world/worker.rs
+++ b/crates/cell/tests/cell/world/worker.rs
@@ -66,7 +66,7 @@
     /// The first label of this incarnation, which tests may set.
     pub(crate) label: &'static str,
     /// Until when the worker is unreachable.
-    pub(crate) cut_until: Timestamp,
+    pub(crate) unreachable_until: Timestamp,
     /// The capacities of this worker, each with the time since when it applies; the last one is current.
     capacities: Vec<(Timestamp, Resources)>,
     /// Until when another writer has overwritten this worker's entry, if one has.
@@ -112,7 +112,7 @@
             slot,
             label: "a",
             capacities: vec![(now, DEFAULT_CAPACITY)],
-            cut_until: now,
+            unreachable_until: now,
             overwritten_until: None,
             stale_entry: None,
             heartbeats: 0,
