--- a/crates/cell/tests/cell/restart.rs
+++ b/crates/cell/tests/cell/restart.rs
@@ -108,8 +108,8 @@
 #[rstest]
 #[case::connections_break(Restart::default(), Disturbance::Nothing)]
 #[case::connections_fall_silent(Restart { is_broken: false, ..Restart::default() }, Disturbance::Nothing)]
-#[case::it_is_away_for_long(Restart { away: Duration::from_secs(3), ..Restart::default() }, Disturbance::Nothing)]
-#[case::it_is_back_at_once(Restart { away: Duration::from_millis(20), ..Restart::default() }, Disturbance::Nothing)]
+#[case::it_is_away_for_long(Restart { downtime: Duration::from_secs(3), ..Restart::default() }, Disturbance::Nothing)]
+#[case::it_is_back_at_once(Restart { downtime: Duration::from_millis(20), ..Restart::default() }, Disturbance::Nothing)]
 #[case::while_owners_change(Restart::default(), Disturbance::Takeovers)]
 #[case::while_the_store_goes_away(Restart::default(), Disturbance::Outages)]
 #[case::while_orders_are_lost(Restart::default(), Disturbance::LostOrders)]
@@ -126,7 +126,7 @@
 
 /// A restart after which the worker registers itself late.
 const LATE_REGISTRATION: Restart = Restart {
-    away: Duration::from_millis(300),
+    downtime: Duration::from_millis(300),
     is_broken: true,
     untold: Duration::from_millis(1_400),
     kind: "a",
--- a/crates/cell/tests/cell/world/restart.rs
+++ b/crates/cell/tests/cell/world/restart.rs
@@ -24,7 +24,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Restart {
     /// For how long nothing answers at its address.
-    pub away: Duration,
+    pub downtime: Duration,
     /// Whether its connections break; else its heartbeats time out.
     pub is_broken: bool,
     /// For how long after that its entry is still the one of the former incarnation.
@@ -38,7 +38,7 @@
 impl Default for Restart {
     fn default() -> Self {
         Self {
-            away: Duration::from_millis(300),
+            downtime: Duration::from_millis(300),
             is_broken: true,
             untold: Duration::ZERO,
             kind: "a",
@@ -67,10 +67,11 @@
         if restart.is_broken {
             self.break_connections(&id);
         }
-        self.down_until.insert(id.clone(), self.now + restart.away);
+        self.down_until
+            .insert(id.clone(), self.now + restart.downtime);
         let entry = Box::new(worker.entry(self.now));
         let back = Event::Restarted(entry, worker.slot, restart);
-        self.schedule(restart.away, back);
+        self.schedule(restart.downtime, back);
     }
 
     pub(super) fn complete_restart(&mut self, entry: Registration, slot: u32, restart: Restart) {
@@ -108,7 +109,7 @@
 
     pub(super) fn random_restart(&mut self) -> Restart {
         Restart {
-            away: Duration::from_millis(self.rng.random_range(100..3_000)),
+            downtime: Duration::from_millis(self.rng.random_range(100..3_000)),
             is_broken: self.chance(500),
             untold: Duration::from_millis(self.rng.random_range(0..1_500)),
             ..Restart::default()
