--- a/crates/cell/tests/cell/crash.rs
+++ b/crates/cell/tests/cell/crash.rs
@@ -155,7 +155,7 @@
     let mut world = World::new(1, Faults::default());
     world.crash_restart = Some(Restart {
         downtime: Duration::from_secs(12),
-        is_broken,
+        breaks_connections: is_broken,
         ..Restart::default()
     });
     world.run(Duration::from_secs(1));
--- a/crates/cell/tests/cell/restart.rs
+++ b/crates/cell/tests/cell/restart.rs
@@ -46,7 +46,7 @@
 
 #[rstest]
 #[case::connections_break(Restart::default())]
-#[case::connections_fall_silent(Restart { is_broken: false, ..Restart::default() })]
+#[case::connections_fall_silent(Restart { breaks_connections: false, ..Restart::default() })]
 #[case::registration_comes_late(LATE_REGISTRATION)]
 fn ends_reported_by_a_new_incarnation_count(#[case] restart: Restart) {
     let mut world = world_with_ended_runs(Faults::default());
@@ -107,13 +107,13 @@
 
 #[rstest]
 #[case::connections_break(Restart::default(), Disturbance::Nothing)]
-#[case::connections_fall_silent(Restart { is_broken: false, ..Restart::default() }, Disturbance::Nothing)]
+#[case::connections_fall_silent(Restart { breaks_connections: false, ..Restart::default() }, Disturbance::Nothing)]
 #[case::it_is_away_for_long(Restart { downtime: Duration::from_secs(3), ..Restart::default() }, Disturbance::Nothing)]
 #[case::it_is_back_at_once(Restart { downtime: Duration::from_millis(20), ..Restart::default() }, Disturbance::Nothing)]
 #[case::while_owners_change(Restart::default(), Disturbance::Takeovers)]
 #[case::while_the_store_goes_away(Restart::default(), Disturbance::Outages)]
 #[case::while_orders_are_lost(Restart::default(), Disturbance::LostOrders)]
-#[case::silent_while_orders_are_lost(Restart { is_broken: false, ..Restart::default() }, Disturbance::LostOrders)]
+#[case::silent_while_orders_are_lost(Restart { breaks_connections: false, ..Restart::default() }, Disturbance::LostOrders)]
 fn every_job_completes_though_workers_restart(
     #[case] restart: Restart,
     #[case] disturbance: Disturbance,
@@ -127,7 +127,7 @@
 /// A restart after which the worker registers itself late.
 const LATE_REGISTRATION: Restart = Restart {
     downtime: Duration::from_millis(300),
-    is_broken: true,
+    breaks_connections: true,
     untold: Duration::from_millis(1_400),
     kind: "a",
     room: 4,
--- a/crates/cell/tests/cell/world/restart.rs
+++ b/crates/cell/tests/cell/world/restart.rs
@@ -26,7 +26,7 @@
     /// For how long nothing answers at its address.
     pub downtime: Duration,
     /// Whether its connections break; else its heartbeats time out.
-    pub is_broken: bool,
+    pub breaks_connections: bool,
     /// For how long after that its entry is still the one of the former incarnation.
     pub untold: Duration,
     /// The first label of the new incarnation.
@@ -39,7 +39,7 @@
     fn default() -> Self {
         Self {
             downtime: Duration::from_millis(300),
-            is_broken: true,
+            breaks_connections: true,
             untold: Duration::ZERO,
             kind: "a",
             room: 4,
@@ -64,7 +64,7 @@
 
     pub(super) fn go_down_for_restart(&mut self, id: WorkerId, worker: &Worker, restart: Restart) {
         self.record_crash_under(worker);
-        if restart.is_broken {
+        if restart.breaks_connections {
             self.break_connections(&id);
         }
         self.down_until
@@ -110,7 +110,7 @@
     pub(super) fn random_restart(&mut self) -> Restart {
         Restart {
             downtime: Duration::from_millis(self.rng.random_range(100..3_000)),
-            is_broken: self.chance(500),
+            breaks_connections: self.chance(500),
             untold: Duration::from_millis(self.rng.random_range(0..1_500)),
             ..Restart::default()
         }
