--- a/crates/cell/tests/cell/restart.rs
+++ b/crates/cell/tests/cell/restart.rs
@@ -128,7 +128,7 @@
 const LATE_REGISTRATION: Restart = Restart {
     downtime: Duration::from_millis(300),
     breaks_connections: true,
-    untold: Duration::from_millis(1_400),
+    stale_entry_duration: Duration::from_millis(1_400),
     kind: "a",
     room: 4,
 };
--- a/crates/cell/tests/cell/world/restart.rs
+++ b/crates/cell/tests/cell/world/restart.rs
@@ -28,7 +28,7 @@
     /// Whether its connections break; else its heartbeats time out.
     pub breaks_connections: bool,
     /// For how long after that its entry is still the one of the former incarnation.
-    pub untold: Duration,
+    pub stale_entry_duration: Duration,
     /// The first label of the new incarnation.
     pub kind: &'static str,
     /// The capacity of the new incarnation, in tasks.
@@ -40,7 +40,7 @@
         Self {
             downtime: Duration::from_millis(300),
             breaks_connections: true,
-            untold: Duration::ZERO,
+            stale_entry_duration: Duration::ZERO,
             kind: "a",
             room: 4,
         }
@@ -111,7 +111,7 @@
         Restart {
             downtime: Duration::from_millis(self.rng.random_range(100..3_000)),
             breaks_connections: self.chance(500),
-            untold: Duration::from_millis(self.rng.random_range(0..1_500)),
+            stale_entry_duration: Duration::from_millis(self.rng.random_range(0..1_500)),
             ..Restart::default()
         }
     }
--- a/crates/cell/tests/cell/world/worker.rs
+++ b/crates/cell/tests/cell/world/worker.rs
@@ -138,7 +138,7 @@
         restart: Restart,
         now: Timestamp,
     ) {
-        self.stale_entry = Some((entry, now + restart.untold));
+        self.stale_entry = Some((entry, now + restart.stale_entry_duration));
         self.label = restart.kind;
         let capacity = TASK_SIZE
             .checked_mul(restart.room)
