--- a/crates/cell/tests/cell/world/restart.rs
+++ b/crates/cell/tests/cell/world/restart.rs
@@ -30,7 +30,7 @@
     /// For how long after that its entry is still the one of the former incarnation.
     pub stale_entry_duration: Duration,
     /// The first label of the new incarnation.
-    pub kind: &'static str,
+    pub label: &'static str,
     /// The capacity of the new incarnation, in tasks.
     pub room: u32,
 }
@@ -41,7 +41,7 @@
             downtime: Duration::from_millis(300),
             breaks_connections: true,
             stale_entry_duration: Duration::ZERO,
-            kind: "a",
+            label: "a",
             room: 4,
         }
     }
--- a/crates/cell/tests/cell/world/worker.rs
+++ b/crates/cell/tests/cell/world/worker.rs
@@ -139,7 +139,7 @@
         now: Timestamp,
     ) {
         self.stale_entry = Some((entry, now + restart.stale_entry_duration));
-        self.label = restart.kind;
+        self.label = restart.label;
         let capacity = TASK_SIZE
             .checked_mul(restart.room)
             .unwrap_or(DEFAULT_CAPACITY);
