--- a/crates/cell/tests/cell/restart.rs
+++ b/crates/cell/tests/cell/restart.rs
@@ -130,7 +130,7 @@
     breaks_connections: true,
     stale_entry_duration: Duration::from_millis(1_400),
     label: "a",
-    room: 4,
+    capacity_tasks: 4,
 };
 
 /// A worker comes back with another label or with less room, and registers that only 1.4 s later.
@@ -138,9 +138,9 @@
 /// Tasks started meanwhile go to the other workers.
 #[rstest]
 #[case::with_another_label(Restart { label: "rare", ..LATE_REGISTRATION }, Disturbance::Nothing)]
-#[case::with_less_room(Restart { room: 1, ..LATE_REGISTRATION }, Disturbance::Nothing)]
+#[case::with_less_room(Restart { capacity_tasks: 1, ..LATE_REGISTRATION }, Disturbance::Nothing)]
 #[case::with_another_label_while_the_store_is_away(Restart { label: "rare", ..LATE_REGISTRATION }, Disturbance::Outages)]
-#[case::with_less_room_while_the_store_is_away(Restart { room: 1, ..LATE_REGISTRATION }, Disturbance::Outages)]
+#[case::with_less_room_while_the_store_is_away(Restart { capacity_tasks: 1, ..LATE_REGISTRATION }, Disturbance::Outages)]
 fn no_task_is_started_by_labels_or_room_of_a_former_incarnation(
     #[case] restart: Restart,
     #[case] disturbance: Disturbance,
--- a/crates/cell/tests/cell/world/restart.rs
+++ b/crates/cell/tests/cell/world/restart.rs
@@ -32,7 +32,7 @@
     /// The first label of the new incarnation.
     pub label: &'static str,
     /// The capacity of the new incarnation, in tasks.
-    pub room: u32,
+    pub capacity_tasks: u32,
 }
 
 impl Default for Restart {
@@ -42,7 +42,7 @@
             breaks_connections: true,
             stale_entry_duration: Duration::ZERO,
             label: "a",
-            room: 4,
+            capacity_tasks: 4,
         }
     }
 }
--- a/crates/cell/tests/cell/world/worker.rs
+++ b/crates/cell/tests/cell/world/worker.rs
@@ -141,7 +141,7 @@
         self.stale_entry = Some((entry, now + restart.stale_entry_duration));
         self.label = restart.label;
         let capacity = TASK_SIZE
-            .checked_mul(restart.room)
+            .checked_mul(restart.capacity_tasks)
             .unwrap_or(DEFAULT_CAPACITY);
         self.capacities = vec![(now, capacity)];
     }
