--- a/crates/cell/src/effect.rs
+++ b/crates/cell/src/effect.rs
@@ -288,7 +288,7 @@
         /// The workers to ask about.
         workers: Vec<WorkerId>,
     },
-    /// Store all of these records or none, then call [`crate::engine::Engine::recorded`].
+    /// Store all of these records or none, then call [`crate::engine::Engine::handle_recorded`].
     Record(Vec<Entry>),
     /// Remove acceptances from the store; the node may skip this.
     Remove(Vec<Removal>),
