--- a/crates/cell/src/engine/mod.rs
+++ b/crates/cell/src/engine/mod.rs
@@ -33,12 +33,12 @@
 mod evacuate;
 mod forget;
 mod job;
-mod keep;
 mod limit;
 mod loss;
 mod order;
 mod pace;
 mod place;
+mod recording;
 mod reserve;
 mod restart;
 mod room;
@@ -66,7 +66,7 @@
 use self::{
     agenda::OpenSteps,
     job::Job,
-    keep::RecordQueue,
+    recording::RecordQueue,
     room::FreeCapacity,
     schedule::Rank,
     shrink::ReportValidity,
