--- a/crates/cell/src/engine/mod.rs
+++ b/crates/cell/src/engine/mod.rs
@@ -24,7 +24,6 @@
 //! | `keep` | writes records, and continues what waited for them |
 //! | `view` | provides what callers and operators see |
 
-mod agenda;
 mod announce;
 mod ask;
 mod contact;
@@ -35,6 +34,7 @@
 mod job;
 mod limit;
 mod loss;
+mod open_steps;
 mod order;
 mod pace;
 mod place;
@@ -64,8 +64,8 @@
 };
 
 use self::{
-    agenda::OpenSteps,
     job::Job,
+    open_steps::OpenSteps,
     recording::RecordQueue,
     room::FreeCapacity,
     schedule::Rank,
