--- a/crates/cell/src/engine/mod.rs
+++ b/crates/cell/src/engine/mod.rs
@@ -36,7 +36,6 @@
 mod loss;
 mod open_steps;
 mod order;
-mod pace;
 mod place;
 mod recording;
 mod reserve;
@@ -45,6 +44,7 @@
 mod schedule;
 mod shrink;
 mod submit;
+mod throttling;
 mod timer;
 mod view;
 mod wait;
@@ -74,7 +74,7 @@
 };
 pub use self::{
     limit::Usage as WorkspaceUsage,
-    pace::Throttling,
+    throttling::Throttling,
     view::{
         Counts,
         State, //
