--- a/crates/cell/src/engine/mod.rs
+++ b/crates/cell/src/engine/mod.rs
@@ -31,6 +31,7 @@
 mod end;
 mod evacuate;
 mod forget;
+mod free_capacity;
 mod job;
 mod limit;
 mod loss;
@@ -40,7 +41,6 @@
 mod recording;
 mod reserve;
 mod restart;
-mod room;
 mod schedule;
 mod shrink;
 mod submit;
@@ -64,10 +64,10 @@
 };
 
 use self::{
+    free_capacity::FreeCapacity,
     job::Job,
     open_steps::OpenSteps,
     recording::RecordQueue,
-    room::FreeCapacity,
     schedule::Rank,
     shrink::ReportValidity,
     timer::Timers, //
