--- a/crates/cell/tests/cell/main.rs
+++ b/crates/cell/tests/cell/main.rs
@@ -1,10 +1,10 @@
 //! Tests of a cell's engine in virtual time.
 
+mod advice_nodes;
 mod announce;
 #[path = "../../../coordination/tests/support/cases.rs"]
 mod cases;
 mod crash;
-mod desk;
 mod evacuate;
 mod foreign;
 mod forget;
