--- a/crates/node/src/report.rs
+++ b/crates/node/src/report.rs
@@ -420,10 +420,10 @@
             run,
             worker,
             why,
-            run_age: age,
-            other_runs: beside,
+            run_age,
+            other_runs,
         } => slog::info!(log, "lost"; "task" => %task, "run" => run.0,
-            "worker" => worker.as_str(), "why" => why, "age_ms" => millis(*age), "beside" => beside),
+            "worker" => worker.as_str(), "why" => why, "age_ms" => millis(*run_age), "beside" => other_runs),
         LogRecord::Crashed {
             task,
             run,
