--- a/crates/cell/src/advice.rs
+++ b/crates/cell/src/advice.rs
@@ -1,4 +1,4 @@
-//! The workers that may run a step, as told by the advice service, and the nodes that call the service.
+//! The workers that may run a step, according to the advice service, and the nodes that call the service.
 
 use std::collections::{
     BTreeMap,
@@ -125,9 +125,9 @@
 
 impl Advice {
     /// Records that a call about these workers has begun.
-    pub fn begin(&mut self, named: &[Slot]) {
+    pub fn begin(&mut self, asked: &[Slot]) {
         self.calls_in_flight += 1;
-        self.asked.extend(named);
+        self.asked.extend(asked);
         self.asked.sort_unstable();
         self.asked.dedup();
     }
@@ -146,13 +146,13 @@
         self.allowed.remove(slot);
     }
 
-    /// Records that a call got no answer: it says nothing about its workers, and no call is made before `pause`.
-    pub fn fail(&mut self, named: &[Slot], pause: Timestamp) {
+    /// Records that a call got no answer: it says nothing about its workers, and no call is made before `retry_at`.
+    pub fn fail(&mut self, asked: &[Slot], retry_at: Timestamp) {
         self.calls_in_flight = self.calls_in_flight.saturating_sub(1);
-        self.retry_at = pause;
+        self.retry_at = retry_at;
         let allowed = &self.allowed;
         self.asked
-            .retain(|slot| allowed.get(*slot).is_some() || !named.contains(slot));
+            .retain(|slot| allowed.get(*slot).is_some() || !asked.contains(slot));
     }
 
     /// Returns whether the first answer is pending and all calls that may bring it have been made.
@@ -201,11 +201,11 @@
 
 impl AllowedShares {
     /// Adds an answer to the average.
-    pub fn learn(&mut self, queue: &QueueName, named: usize, allowed: usize) {
-        if named == 0 {
+    pub fn learn(&mut self, queue: &QueueName, asked: usize, allowed: usize) {
+        if asked == 0 {
             return;
         }
-        let newest = allowed as f64 / named as f64;
+        let newest = allowed as f64 / asked as f64;
         let share = self.shares.entry(queue.clone()).or_insert(newest);
         *share += (newest - *share) * SHARE_SMOOTHING;
     }
--- a/crates/cell/src/engine/announce.rs
+++ b/crates/cell/src/engine/announce.rs
@@ -29,8 +29,8 @@
     /// Adds a job whose acceptance is being recorded; returns false if the job is known already.
     ///
     /// The engine asks for advice on its steps, places them and records the starts at once. The orders leave when
-    /// [`Self::submit`] confirms that the acceptance is recorded, and never otherwise, so that a caller that is told
-    /// "not run" is told the truth. This hides the latency of a slow store: at 0.35 s a call, acceptance and start take
+    /// [`Self::submit`] confirms that the acceptance is recorded, and never otherwise, so that the answer
+    /// "not run" to a caller is always true. This hides the latency of a slow store: at 0.35 s a call, acceptance and start take
     /// 1.1 s one after the other, and 0.6 s this way.
     pub fn announce(&mut self, accepted: Accepted, now: Timestamp) -> bool {
         let id = accepted.job;
@@ -102,11 +102,11 @@
 
     /// Notes that a run of an unknown job is gone.
     pub(super) fn remove_unknown_run(&mut self, slot: Slot, task: TaskId, run: Run) {
-        let Some(strangers) = self.unknown_runs.get_mut(&task.step.job) else {
+        let Some(unknown_runs) = self.unknown_runs.get_mut(&task.step.job) else {
             return;
         };
-        strangers.retain(|stranger| *stranger != (slot, task, run));
-        if strangers.is_empty() {
+        unknown_runs.retain(|unknown_run| *unknown_run != (slot, task, run));
+        if unknown_runs.is_empty() {
             self.unknown_runs.remove(&task.step.job);
         }
     }
@@ -120,7 +120,7 @@
         held
     }
 
-    /// Returns all runs of a job that workers may hold.
+    /// Returns all runs of a job that workers may have.
     fn runs_of(&self, id: JobId) -> Vec<(Slot, TaskId, Run)> {
         let workers = self.workers.iter();
         let runs = workers.flat_map(|(slot, worker)| {
--- a/crates/cell/src/engine/ask.rs
+++ b/crates/cell/src/engine/ask.rs
@@ -38,25 +38,25 @@
 const MAX_WORKERS_PER_CALL: usize = 100;
 /// Calls that take longer than this are long: some nodes are withheld from them.
 const LONG_CALL_THRESHOLD: Duration = Duration::from_millis(150);
-/// The free room of the workers to ask about, as a multiple of the room that the step takes, scaled by the share of
-/// workers that is likely to be allowed.
+/// The free capacity of the workers to ask about, as a multiple of what the step takes, scaled by the share of workers
+/// that is likely to be allowed.
 ///
-/// It exceeds 1 because other steps take some of the room before the answer arrives.
-const ROOM_FACTOR: f64 = 2.0;
-/// The capacity of the workers to ask about for a gang, as a multiple of the room that the gang takes, scaled in the
-/// same way.
+/// It exceeds 1 because other steps take some of that capacity before the answer arrives.
+const FREE_CAPACITY_FACTOR: f64 = 2.0;
+/// The total capacity of the workers to ask about for a gang, as a multiple of what the gang takes, scaled in the same
+/// way.
 ///
-/// Room on these workers becomes free bit by bit, and each further call takes longer than a gang's tickets last. If a
-/// gang asks only about workers that have room at the time, gangs of 40 or more tasks on a full fleet of 540 workers
+/// Capacity on these workers becomes free bit by bit, and each further call takes longer than a gang's tickets last.
+/// If a gang asks only about workers that have free capacity at the time, gangs of 40 or more tasks on a full fleet of 540 workers
 /// wait 30 s for their last members.
 const GANG_CAPACITY_FACTOR: f64 = 9.0;
-/// The free room of the workers whose tickets are renewed, as a multiple of the room that the step takes.
-const REFRESH_ROOM_FACTOR: f64 = 1.5;
+/// The free capacity of the workers whose tickets are renewed, as a multiple of what the step takes.
+const REFRESH_CAPACITY_FACTOR: f64 = 1.5;
 /// The minimum number of workers to ask about.
 ///
-/// With only as many as just hold the step, fleets of 48 workers score 0.03 lower: other steps take the workers that
+/// With only as many as the step just fits on, fleets of 48 workers score 0.03 lower: other steps take the workers that
 /// were asked about, and the further call costs more than the short one saved.
-const MIN_NAMED_WORKERS: usize = 48;
+const MIN_ASKED_WORKERS: usize = 48;
 /// The maximum number of concurrent calls for one step.
 const MAX_CALLS_PER_STEP: usize = 6;
 /// The delay before another call for a step after one without an answer.
@@ -64,23 +64,24 @@
 
 /// Returns whether a step asks only about the workers on which it is likely to run.
 ///
-/// A gang takes its workers at once, and an urgent task the first one. Other tasks wait for room that may become free
-/// on any worker; if they ask about as few workers, they score a quarter lower on a busy fleet of 350 workers.
+/// A gang takes its workers at once, and an urgent task the first one. Other tasks wait for capacity that may become
+/// free on any worker; if they ask about as few workers, they score a quarter lower on a busy fleet of 350 workers.
 fn is_selective(demand: &Demand<'_>) -> bool {
     demand.step.gang || demand.queue.priority == 0
 }
 
-/// Returns how many of the first workers, each holding the given number of tasks, together hold as many as wanted.
+/// Returns how many of the first workers, on each of which the given number of tasks fits, are enough for as many tasks
+/// as wanted.
 ///
-/// Returns `None` if all of them together don't, or if the step asks about all workers.
+/// Returns `None` if all of them together aren't, or if the step asks about all workers.
 fn sufficient_prefix(
     demand: &Demand<'_>,
-    mut rooms: impl Iterator<Item = usize>,
+    mut fits_by_slot: impl Iterator<Item = usize>,
     wanted: f64,
 ) -> Option<usize> {
     let mut sum = 0.0;
-    let last = rooms.position(|room| {
-        sum += room as f64;
+    let last = fits_by_slot.position(|fits| {
+        sum += fits as f64;
         sum >= wanted
     });
     last.filter(|_| is_selective(demand)).map(|last| last + 1)
@@ -98,9 +99,9 @@
 
     /// Asks about workers that could run a step, if a node is free to make the call.
     ///
-    /// It selects the workers with the most room first, and as many as are likely to hold all tasks of the step, since
-    /// a call takes longer the more workers it names. If all workers together have too little room, it names all of
-    /// them, since any of them may be the next to have some.
+    /// It selects the workers with the most free capacity first, and as many as all tasks of the step are likely to fit
+    /// on, since a call takes longer the more workers it asks about. If all workers together have too little free
+    /// capacity, it asks about all of them, since any of them may be the next to have some.
     pub(super) fn request_advice(&mut self, id: StepId, now: Timestamp) {
         let Some(job) = self.jobs.get(&id.job) else {
             return;
@@ -118,28 +119,28 @@
         let tasks = stage.waiting.len() as f64;
         let share = self.allowed_shares.share(&demand.queue.name);
         let is_selective = is_selective(&demand);
-        let mut named = Vec::new();
-        let (mut room, mut fits) = (0.0, 0.0);
-        for (slot, worker) in self.unnamed_workers(&demand, stage, Millicores(0), now) {
-            let is_enough = room >= tasks * ROOM_FACTOR / share
-                || (demand.step.gang && fits >= tasks * GANG_CAPACITY_FACTOR / share);
-            let is_full = !demand.step.gang && named.len() >= MAX_WORKERS_PER_CALL;
-            if is_full || (is_selective && is_enough && named.len() >= MIN_NAMED_WORKERS) {
+        let mut asked = Vec::new();
+        let (mut fits_now, mut fits_when_empty) = (0.0, 0.0);
+        for (slot, worker) in self.unasked_workers(&demand, stage, Millicores(0), now) {
+            let is_enough = fits_now >= tasks * FREE_CAPACITY_FACTOR / share
+                || (demand.step.gang && fits_when_empty >= tasks * GANG_CAPACITY_FACTOR / share);
+            let is_full = !demand.step.gang && asked.len() >= MAX_WORKERS_PER_CALL;
+            if is_full || (is_selective && is_enough && asked.len() >= MIN_ASKED_WORKERS) {
                 break;
             }
-            room += fit_count(&worker.free, &demand.size) as f64;
-            fits += fit_count(&worker.registration.capacity, &demand.size) as f64;
-            named.push(slot);
+            fits_now += fit_count(&worker.free, &demand.size) as f64;
+            fits_when_empty += fit_count(&worker.registration.capacity, &demand.size) as f64;
+            asked.push(slot);
         }
-        self.plan_calls(id, named);
+        self.plan_calls(id, asked);
         self.make_planned_calls(id, now);
     }
 
     /// Returns the workers that could run a step and were not asked about yet, with at least `min_cpu` processor time
     /// left.
     ///
-    /// Those with the most room come first.
-    fn unnamed_workers<'a>(
+    /// Those with the most free capacity come first.
+    fn unasked_workers<'a>(
         &'a self,
         demand: &'a Demand<'_>,
         stage: &'a Stage,
@@ -157,7 +158,7 @@
         })
     }
 
-    /// Asks again about workers that have room but whose tickets have expired.
+    /// Asks again about workers that have free capacity but whose tickets have expired.
     pub(super) fn refresh_advice(
         &mut self,
         id: StepId,
@@ -173,20 +174,20 @@
         let Some(stage) = job.stage(id) else {
             return;
         };
-        let mut rooms: Vec<(Slot, usize)> = Vec::new();
+        let mut fits_by_slot: Vec<(Slot, usize)> = Vec::new();
         for (slot, worker) in self.candidates_with_capacity(&demand, stage) {
-            let room = fit_count(&worker.free, &demand.size);
-            if room > 0 && !reserved.is_reserved_for_other(slot, id) && demand.admits(worker, now) {
-                rooms.push((slot, room));
+            let fits = fit_count(&worker.free, &demand.size);
+            if fits > 0 && !reserved.is_reserved_for_other(slot, id) && demand.admits(worker, now) {
+                fits_by_slot.push((slot, fits));
             }
         }
-        let room: usize = rooms.iter().map(|(_, room)| *room).sum();
+        let fits: usize = fits_by_slot.iter().map(|(_, fits)| *fits).sum();
         let is_gang = demand.step.gang;
         let needed = match is_gang {
             true => stage.waiting.len(),
             false => 1,
         };
-        if room < needed {
+        if fits < needed {
             if self.may_call(&demand, stage, now) {
                 let further = self.further_workers(&demand, stage, reserved, now);
                 self.plan_calls(id, further);
@@ -199,16 +200,17 @@
             let worker = self.workers.get(slot);
             worker.is_none_or(|worker| stage.advice.ticket(*slot, worker, departure).is_none())
         };
-        if !rooms.iter().any(|(slot, _)| is_stale(slot)) {
+        if !fits_by_slot.iter().any(|(slot, _)| is_stale(slot)) {
             return;
         }
-        // Keep those with the most room, and no more than are needed.
-        rooms.sort_by_key(|(slot, room)| (std::cmp::Reverse(*room), *slot));
-        // A task that has to run alone takes more than its own room.
-        let wanted = (stage.waiting.len() + stage.suspects().count()) as f64 * REFRESH_ROOM_FACTOR;
-        let enough = sufficient_prefix(&demand, rooms.iter().map(|(_, room)| *room), wanted);
-        rooms.truncate(enough.unwrap_or(rooms.len()));
-        let slots: Vec<Slot> = rooms.into_iter().map(|(slot, _)| slot).collect();
+        // Keep those on which the most tasks fit, and no more than are needed.
+        fits_by_slot.sort_by_key(|(slot, fits)| (std::cmp::Reverse(*fits), *slot));
+        // A task that has to run alone takes more than its own size.
+        let wanted =
+            (stage.waiting.len() + stage.suspects().count()) as f64 * REFRESH_CAPACITY_FACTOR;
+        let enough = sufficient_prefix(&demand, fits_by_slot.iter().map(|(_, fits)| *fits), wanted);
+        fits_by_slot.truncate(enough.unwrap_or(fits_by_slot.len()));
+        let slots: Vec<Slot> = fits_by_slot.into_iter().map(|(slot, _)| slot).collect();
         let stale: Vec<Slot> = slots.iter().copied().filter(is_stale).collect();
         if is_gang {
             reserved.reserve_for_gang(slots.into_iter(), id);
@@ -223,9 +225,9 @@
 
     /// Returns further workers to ask about for a step.
     ///
-    /// For a gang, these are as many as make it likely that enough room becomes free on allowed workers. For another
-    /// step, they are the workers with room; if there are none and the allowed workers have too little capacity, all
-    /// workers.
+    /// For a gang, these are as many as make it likely that enough capacity becomes free on allowed workers. For
+    /// another step, they are the workers with free capacity; if there are none and the allowed workers are too small
+    /// even when empty, all workers.
     fn further_workers(
         &self,
         demand: &Demand<'_>,
@@ -238,9 +240,9 @@
         let allowed = allowed.filter(|(_, worker)| !worker.is_evacuated);
         let allowed: f64 = allowed.map(|(_, worker)| fits(worker)).sum();
         let tasks = stage.waiting.len() as f64;
-        let unnamed = |min_cpu| {
-            let unnamed = self.unnamed_workers(demand, stage, min_cpu, now);
-            unnamed.filter(|(slot, _)| !reserved.is_reserved_for_other(*slot, demand.id))
+        let unasked = |min_cpu| {
+            let unasked = self.unasked_workers(demand, stage, min_cpu, now);
+            unasked.filter(|(slot, _)| !reserved.is_reserved_for_other(*slot, demand.id))
         };
         if demand.step.gang {
             let missing = tasks * GANG_CAPACITY_FACTOR - allowed;
@@ -253,7 +255,7 @@
                 .advice
                 .map_or(0, |terms| terms.min_batch_size());
             let mut sum = 0.0;
-            let further = unnamed(Millicores(0)).enumerate();
+            let further = unasked(Millicores(0)).enumerate();
             let further = further.take_while(|(count, (_, worker))| {
                 let is_missing = sum < missing || *count < worthwhile.min(MAX_WORKERS_PER_CALL);
                 sum += fits(worker);
@@ -261,12 +263,12 @@
             });
             return further.map(|(_, (slot, _))| slot).collect();
         }
-        let with_room = unnamed(demand.size.cpu);
-        let with_room = with_room.filter(|(_, worker)| demand.size.fits(&worker.free));
-        let with_room: Vec<Slot> = with_room.map(|(slot, _)| slot).collect();
-        match with_room.is_empty() && allowed < tasks * ROOM_FACTOR {
-            true => unnamed(Millicores(0)).map(|(slot, _)| slot).collect(),
-            false => with_room,
+        let with_capacity = unasked(demand.size.cpu);
+        let with_capacity = with_capacity.filter(|(_, worker)| demand.size.fits(&worker.free));
+        let with_capacity: Vec<Slot> = with_capacity.map(|(slot, _)| slot).collect();
+        match with_capacity.is_empty() && allowed < tasks * FREE_CAPACITY_FACTOR {
+            true => unasked(Millicores(0)).map(|(slot, _)| slot).collect(),
+            false => with_capacity,
         }
     }
 
@@ -280,17 +282,17 @@
     }
 
     /// Plans calls about workers, split over several nodes if there are too many workers for one call.
-    fn plan_calls(&mut self, id: StepId, named: Vec<Slot>) {
-        let calls = named
+    fn plan_calls(&mut self, id: StepId, asked: Vec<Slot>) {
+        let calls = asked
             .len()
             .div_ceil(MAX_WORKERS_PER_CALL)
             .min(MAX_CALLS_PER_STEP);
         // Equal calls take equally long, so that their answers arrive together.
-        let call_size = named
+        let call_size = asked
             .len()
             .div_ceil(calls.max(1))
             .clamp(1, MAX_WORKERS_PER_CALL);
-        let planned = named.chunks(call_size).take(calls).map(<[Slot]>::to_vec);
+        let planned = asked.chunks(call_size).take(calls).map(<[Slot]>::to_vec);
         let planned: Vec<Vec<Slot>> = planned.collect();
         if let Some(stage) = self.jobs.get_mut(&id.job).and_then(|job| job.stage_mut(id)) {
             stage.advice.planned = planned;
@@ -315,27 +317,27 @@
         let workers = &self.workers;
         let is_evacuated = |slot: &Slot| workers.get(slot).is_none_or(|worker| worker.is_evacuated);
         while let Some(stage) = self.jobs.get_mut(&id.job).and_then(|job| job.stage_mut(id))
-            && let Some(mut named) = stage.advice.planned.pop()
+            && let Some(mut slots) = stage.advice.planned.pop()
         {
-            let is_long = terms.call_duration(named.len()) > LONG_CALL_THRESHOLD;
+            let is_long = terms.call_duration(slots.len()) > LONG_CALL_THRESHOLD;
             let Some(node) = self.advice_nodes.idle(is_long).cloned() else {
-                stage.advice.planned.push(named);
+                stage.advice.planned.push(slots);
                 return;
             };
             // This comes after the check for a free node to keep it cheap: hundreds of steps may wait for a node, and
             // each is examined in every pass.
-            named.retain(|slot| !is_evacuated(slot));
-            if named.is_empty() {
+            slots.retain(|slot| !is_evacuated(slot));
+            if slots.is_empty() {
                 continue;
             }
-            stage.advice.begin(&named);
-            let workers = named.iter().filter_map(|slot| self.workers.get(slot));
+            stage.advice.begin(&slots);
+            let workers = slots.iter().filter_map(|slot| self.workers.get(slot));
             let workers = workers
                 .map(|worker| worker.registration.id.clone())
                 .collect();
             let call = Call {
                 step: id,
-                asked: named,
+                asked: slots,
                 since: now,
                 is_long,
             };
--- a/crates/cell/src/engine/contact.rs
+++ b/crates/cell/src/engine/contact.rs
@@ -44,7 +44,7 @@
 ///
 /// The platform allows at most 2 s, and a lost call is noticed only after this time.
 const INVENTORY_WAIT: Duration = Duration::from_millis(1_000);
-/// The same bound while filling tasks run beside serving ones.
+/// The same bound while best-effort and latency-sensitive tasks share the worker.
 ///
 /// Interference shows after half a second and has to be ended within a few seconds.
 const MIXED_LOAD_INVENTORY_WAIT: Duration = Duration::from_millis(400);
@@ -114,8 +114,8 @@
     ///
     /// Anybody may have written the entry. It doesn't prove that the worker is gone: its runs go on under their
     /// lease, their inventory is still fetched from the last valid address, and they are not started elsewhere. Nor
-    /// does it confirm the capacity and pool listed before, so nothing new is started there. Both hold until a valid
-    /// entry appears, or until the worker is silent and its leases have lapsed.
+    /// does it confirm the capacity and pool listed before, so nothing new is started there. Both apply until a
+    /// valid entry appears, or until the worker is silent and its leases have expired.
     pub fn mark_entry_unusable(&mut self, id: &WorkerId, now: Timestamp) {
         let Some(slot) = self.slots.get(id).copied() else {
             return;
@@ -129,29 +129,29 @@
         }
     }
 
-    /// Adds a worker that may hold tasks started by former owners, by its usage on record.
+    /// Adds a worker that may run tasks started by former owners, with the runs on record.
     pub(super) fn track_former_worker(
         &mut self,
         id: WorkerId,
-        usage: WorkerRuns,
-        lapses: Timestamp,
+        recorded: WorkerRuns,
+        leases_end: Timestamp,
         now: Timestamp,
     ) {
         let registration = Registration {
             id,
             incarnation: None,
-            address: usage.address,
+            address: recorded.address,
             pool: PoolName::from(""),
             capacity: Resources::ZERO,
             labels: Vec::new(),
             data_centre: None,
             leaving: None,
         };
-        let mut worker = Worker::new(registration, self.fence, now, lapses);
-        worker.incarnation = usage.incarnation;
+        let mut worker = Worker::new(registration, self.fence, now, leases_end);
+        worker.incarnation = recorded.incarnation;
         worker.unlisted_since = Some(now);
         let slot = self.insert_worker(worker);
-        for (task, run) in usage.runs {
+        for (task, run) in recorded.runs {
             let running = Running {
                 task,
                 run,
@@ -173,7 +173,7 @@
         slot
     }
 
-    /// Updates the indexes of a worker: its next call, its next expiry, and its position by free room.
+    /// Updates the indexes of a worker: its next call, its next expiry, and its position by free capacity.
     ///
     /// Both times may turn out to be too early and are then set again.
     pub(super) fn update_indexes(&mut self, slot: Slot) {
@@ -198,7 +198,7 @@
         };
         // Answers are matched to calls by the time of the call, so two calls must not leave at the same instant.
         let is_calling = worker.heartbeat == CallState::InFlight(now);
-        if !is_calling && worker.probe.is_some_and(|peek| peek.is_due(now)) {
+        if !is_calling && worker.probe.is_some_and(|probe| probe.is_due(now)) {
             worker.probe = Some(CallState::InFlight(now));
             let call = inventory_call(worker, None, Duration::ZERO, now);
             self.outbox.push(call);
@@ -206,13 +206,13 @@
         if !worker.heartbeat.is_due(now) || worker.probe == Some(CallState::InFlight(now)) {
             return;
         }
-        // A worker that doesn't answer may still receive calls; not extending the lease lets it lapse.
+        // A worker that doesn't answer may still receive calls; not extending the lease lets it expire.
         let deadline = match worker.silent_since {
             None => worker.extend_lease(&self.bounds, now),
             Some(_) => None,
         };
         let wait = match worker.heard {
-            Some(_) if worker.silent_since.is_none() && worker.pacing.is_shared => {
+            Some(_) if worker.silent_since.is_none() && worker.throttling.is_shared => {
                 MIXED_LOAD_INVENTORY_WAIT
             }
             Some(_) if worker.silent_since.is_none() => INVENTORY_WAIT,
@@ -239,8 +239,8 @@
         let Some(worker) = self.workers.get_mut(&slot) else {
             return;
         };
-        let is_peek = worker.probe == Some(CallState::InFlight(asked));
-        if is_peek {
+        let is_probe = worker.probe == Some(CallState::InFlight(asked));
+        if is_probe {
             worker.probe = None;
         } else if worker.heartbeat != CallState::InFlight(asked) {
             return;
@@ -251,7 +251,7 @@
             }
             // The call predates the current fence, so the refusal doesn't mean that another node owns the cell.
             HeartbeatAnswer::Fenced if worker.fence_raised.is_some_and(|raised| asked < raised) => {
-                worker.retry_call(is_peek, now);
+                worker.retry_call(is_probe, now);
                 self.update_indexes(slot);
             }
             HeartbeatAnswer::Fenced => self.outbox.push(Effect::Deposed),
@@ -259,7 +259,7 @@
             HeartbeatAnswer::NoAnswer
             | HeartbeatAnswer::ConnectionLost
             | HeartbeatAnswer::Refused
-                if is_peek =>
+                if is_probe =>
             {
                 worker.probe = Some(CallState::Due(now + SILENT_WORKER_RETRY_DELAY));
                 self.update_indexes(slot);
@@ -323,7 +323,7 @@
         worker.listed_runs = inventory.running.len();
         worker.incarnation = inventory.incarnation.or(worker.incarnation);
         worker.is_superseded = false;
-        let seen = worker.last_processed_end;
+        let last_processed = worker.last_processed_end;
         if !was_heard {
             self.note_worker(slot, "heard", now);
             self.retract_crashes(slot);
@@ -337,7 +337,7 @@
         }
         for ended in inventory.ended {
             listed.push((ended.task, ended.run));
-            if ended.serial > seen {
+            if ended.serial > last_processed {
                 if let Some(worker) = self.workers.get_mut(&slot) {
                     worker.last_processed_end = worker.last_processed_end.max(ended.serial);
                 }
@@ -359,9 +359,9 @@
                 false => CallState::Due(now),
             };
         }
-        let seen = worker.last_processed_end;
+        let last_processed = worker.last_processed_end;
         self.update_indexes(slot);
-        self.record_queue.add_ends(slot, seen);
+        self.record_queue.add_ends(slot, last_processed);
     }
 
     /// Applies a run that a worker lists as running.
@@ -373,15 +373,15 @@
         if worker.is_over(task, running.run) {
             return;
         }
-        let claim = worker.allocations.get_mut(&(task, running.run));
-        let Some(claim) = claim else {
+        let allocation = worker.allocations.get_mut(&(task, running.run));
+        let Some(allocation) = allocation else {
             self.adopt(slot, running, now, now);
             return;
         };
-        claim.confirm(now);
-        claim.fence = worker.fence;
-        claim.update_outlasted(asked);
-        if claim.is_exclusive && claim.outlived_crash_window {
+        allocation.confirm(now);
+        allocation.fence = worker.fence;
+        allocation.update_outlived_crash_window(asked);
+        if allocation.is_exclusive && allocation.outlived_crash_window {
             self.end_isolation(slot, task, running.run);
         }
         self.save_checkpoint(task, running.checkpoint.as_ref());
@@ -399,27 +399,27 @@
             .as_ref()
             .and_then(|job| job.step(task.step))
             .map_or(Resources::ZERO, super::place::worker_resources);
-        let (mut is_wanted, mut alone) = (false, false);
+        let (mut is_wanted, mut is_suspect) = (false, false);
         if let Some(job) = job
             && let Some(stage) = job.stage_mut(task.step)
             && let Some(state) = stage.task_mut(task.index)
         {
             state.last_run = state.last_run.max(run);
-            alone = state.is_suspect();
+            is_suspect = state.is_suspect();
             if !is_over && !state.is_done && state.note_run(slot, run) {
                 stage.waiting.remove(&task.index);
                 stage.opened_at.get_or_insert(now);
                 is_wanted = true;
             }
         } else {
-            let strangers = self.unknown_runs.entry(task.step.job).or_default();
-            strangers.push((slot, task, run));
+            let unknown_runs = self.unknown_runs.entry(task.step.job).or_default();
+            unknown_runs.push((slot, task, run));
         }
         let Some(worker) = self.workers.get_mut(&slot) else {
             return;
         };
         let is_listed = proven_from <= now;
-        let claim = Allocation {
+        let allocation = Allocation {
             size,
             charge,
             phase: Phase::Running { since: proven_from },
@@ -427,11 +427,11 @@
             fence: worker.fence,
             unanswered_starts: u8::from(!is_listed),
             resend_when_heard: false,
-            is_exclusive: alone && is_wanted,
+            is_exclusive: is_suspect && is_wanted,
             first_confirmed: is_listed.then_some(now),
             outlived_crash_window: false,
         };
-        worker.adopt(task, run, claim);
+        worker.adopt(task, run, allocation);
         if let Some(charge) = charge {
             self.quotas.charge(charge.account, charge.size);
         }
@@ -444,7 +444,7 @@
         }
     }
 
-    /// Releases the room of runs that an inventory proves to be gone.
+    /// Releases the resources of runs that an inventory proves to be gone.
     ///
     /// The absence of a run proves that only if its start or stop was settled before the inventory was requested.
     fn release_absent(
@@ -460,12 +460,12 @@
         let absent: Vec<(TaskId, Run)> = worker
             .allocations
             .iter()
-            .filter(|(key, claim)| {
-                let is_void = worker.is_obsolete(claim, asked);
-                let is_settled = match claim.phase {
+            .filter(|(key, allocation)| {
+                let is_obsolete = worker.is_obsolete(allocation, asked);
+                let is_settled = match allocation.phase {
                     Phase::Recording => false,
-                    Phase::Starting => is_void,
-                    Phase::Running { since } => is_void || since <= asked,
+                    Phase::Starting => is_obsolete,
+                    Phase::Running { since } => is_obsolete || since <= asked,
                     // During a stop, a run may be listed neither as running nor as ended.
                     Phase::Stopping { confirmed } => {
                         confirmed.is_some_and(|at| at + self.bounds.stop_settle_time() <= asked)
@@ -485,13 +485,13 @@
         let Some(worker) = self.workers.get(&slot) else {
             return;
         };
-        let note = LogRecord::Worker {
+        let record = LogRecord::Worker {
             worker: worker.registration.id.clone(),
             incarnation: worker.incarnation,
             belief,
             heard: worker.heard.map(|heard| now.since(heard)),
         };
-        self.log(note);
+        self.log(record);
     }
 }
 
--- a/crates/cell/src/engine/crash.rs
+++ b/crates/cell/src/engine/crash.rs
@@ -1,14 +1,14 @@
 //! Detection of tasks that crash the workers that start them.
 //!
-//! A task may crash each worker that starts it. A crashed worker reports no end of a run, so the task uses up no try,
-//! and everything that ran beside it is lost each time. The engine therefore counts, per task, the workers that crashed
+//! A task may crash each worker that starts it. A crashed worker reports no end of a run, so the task uses up no
+//! attempt, and everything that ran on the same worker is lost each time. The engine therefore counts, per task, the workers that crashed
 //! when they had just begun it. One such crash proves little: some of the tasks on a busy worker have always just
-//! begun. A task that was present at two crashes is a suspect and runs alone, or only beside tasks of its step, which
-//! would fail with it anyway: a further crash then harms no other step and shows which step is at fault. At the third
+//! begun. A task that was present at two crashes is a suspect and runs alone, or only with tasks of its step, which would
+//! fail with it anyway: a further crash then harms no other step and shows which step is at fault. At the third
 //! crash the task is given up and its job fails. Once a worker has worked on the task for longer than a crash at its
 //! start takes, the task's count is cleared.
 //!
-//! A worker that is silent but listed may only be partitioned. Once its leases have lapsed, its tasks are started
+//! A worker that is silent but listed may only be partitioned. Once its leases have expired, its tasks are started
 //! elsewhere and the crash is doubted: it counts only once the worker is known to be gone, and until then merely bounds
 //! how often the task is started. Doubted crashes are recorded like the others, since whichever node owns the cell when
 //! the worker reappears has to settle them.
@@ -52,7 +52,8 @@
 /// Crashes at the start of a task occur 34 to 52 ms after the decision to start it; the rest allows for nodes that
 /// process the answers of workers late.
 const START_CRASH_WINDOW: Duration = Duration::from_millis(500);
-/// The number of crashes from which on a task runs alone: callers tolerate two crashes of a task beside other tasks.
+/// The number of crashes from which on a task runs alone: callers tolerate two crashes of a task that shares its
+/// worker.
 const MIN_SUSPECT_CRASHES: usize = 2;
 /// The number of crashes that prove a task to be at fault, if it ran alone at the last one.
 const MAX_CRASHES_ALONE: usize = 3;
@@ -67,7 +68,8 @@
 const MAX_CRASHES: usize = 5;
 /// How long a suspect waits for an empty worker.
 ///
-/// Then it runs beside other tasks, so that a fleet that is full or runs only lasting tasks doesn't block it for ever.
+/// Then it shares a worker with other tasks, so that a fleet that is full or runs only long-running tasks doesn't block
+/// it for ever.
 const MAX_WAIT_FOR_EMPTY_WORKER: Duration = Duration::from_millis(2_500);
 /// How long a suspect waits if a worker is being emptied for it: longer than most of the tasks there still run.
 const MAX_WAIT_FOR_EMPTYING_WORKER: Duration = Duration::from_millis(6_000);
@@ -77,21 +79,23 @@
 const WORKERS_PER_EMPTIED_WORKER: usize = 8;
 
 impl Allocation {
-    /// Notes whether the run has outlasted its start, given that its worker lists it in answer to a call made at
+    /// Notes whether the run has outlived the crash window, given that its worker lists it in answer to a call made at
     /// `asked`.
     ///
     /// The arrival time of the answer proves nothing: a slow owner may process an answer of a worker that is gone by
     /// then.
-    pub(super) fn update_outlasted(&mut self, asked: Timestamp) {
+    pub(super) fn update_outlived_crash_window(&mut self, asked: Timestamp) {
         if let Some(begun) = self.first_confirmed {
             self.outlived_crash_window |= asked.since(begun) > START_CRASH_WINDOW;
         }
     }
 
     /// Returns whether the run may have just begun when its worker crashed, at `fell` or later.
-    fn may_have_just_begun(&self, fell: Timestamp) -> bool {
+    fn may_have_just_begun(&self, crashed_at: Timestamp) -> bool {
         match self.first_confirmed {
-            Some(begun) => !self.outlived_crash_window && fell.since(begun) <= START_CRASH_WINDOW,
+            Some(begun) => {
+                !self.outlived_crash_window && crashed_at.since(begun) <= START_CRASH_WINDOW
+            }
             // As long as an order is unanswered, it may have arrived just before the crash.
             None => self.unanswered_starts > 0,
         }
@@ -119,22 +123,22 @@
     /// before it leaves, so a run that it is known to have just begun contradicts that; one that it may have begun
     /// doesn't.
     fn crashes_at_start(&self, is_doubted: bool) -> Vec<(TaskId, Crash)> {
-        let (fell, is_timed) = match self.silence {
+        let (crashed_at, is_timed) = match self.silence {
             Some(Silence::Broken(at)) => (at, self.heard.is_some()),
             Some(Silence::Missed) | None => (self.heard.unwrap_or(Timestamp::ZERO), false),
         };
         let may_have_left = self.may_have_left();
-        let is_known = |claim: &Allocation| is_timed && claim.first_confirmed.is_some();
-        let claims = self.allocations.iter();
-        let begun = claims.filter(|(_, claim)| {
-            claim.may_have_just_begun(fell) && (is_known(claim) || !may_have_left)
+        let is_known = |allocation: &Allocation| is_timed && allocation.first_confirmed.is_some();
+        let allocations = self.allocations.iter();
+        let begun = allocations.filter(|(_, allocation)| {
+            allocation.may_have_just_begun(crashed_at) && (is_known(allocation) || !may_have_left)
         });
-        let crashes = begun.map(|((task, run), claim)| {
+        let crashes = begun.map(|((task, run), allocation)| {
             let crash = Crash {
                 run: *run,
                 worker: self.registration.id.clone(),
                 incarnation: self.incarnation,
-                is_certain: is_known(claim) && !may_have_left,
+                is_certain: is_known(allocation) && !may_have_left,
                 may_be_cut_off: is_doubted,
             };
             (*task, crash)
@@ -143,12 +147,12 @@
     }
 
     /// Returns the tasks that the worker has worked on for longer than a crash at their start takes.
-    fn outlasted_tasks(&self) -> Vec<TaskId> {
-        let claims = self
+    fn tasks_past_crash_window(&self) -> Vec<TaskId> {
+        let allocations = self
             .allocations
             .iter()
-            .filter(|(_, claim)| claim.outlived_crash_window);
-        claims.map(|((task, _), _)| *task).collect()
+            .filter(|(_, allocation)| allocation.outlived_crash_window);
+        allocations.map(|((task, _), _)| *task).collect()
     }
 }
 
@@ -165,7 +169,7 @@
 
     /// Returns whether the task must not start until its doubted crashes are settled, since with them it reaches the
     /// maximum.
-    fn is_in_doubt(&self) -> bool {
+    fn awaits_crash_settlement(&self) -> bool {
         self.crashes.len() >= MAX_CRASHES
     }
 
@@ -205,7 +209,7 @@
 impl Stage {
     /// Returns whether a task must not start until its doubted crashes are settled.
     pub(super) fn awaits_crash_settlement(&self, index: u16) -> bool {
-        self.task(index).is_some_and(Task::is_in_doubt)
+        self.task(index).is_some_and(Task::awaits_crash_settlement)
     }
 
     /// Returns whether a task has to run alone.
@@ -233,9 +237,9 @@
         };
         let id = worker.registration.id.clone();
         let is_alone = worker.holds_one_step();
-        let outlasted = worker.outlasted_tasks();
+        let past_crash_window = worker.tasks_past_crash_window();
         let begun = worker.crashes_at_start(false);
-        outlasted
+        past_crash_window
             .into_iter()
             .for_each(|task| self.clear_crashes(task));
         for (task, crash) in begun {
@@ -247,7 +251,7 @@
         }
     }
 
-    /// Adds a doubted crash to the tasks that a silent worker had just begun, before its claims are released.
+    /// Adds a doubted crash to the tasks that a silent worker had just begun, before its allocations are released.
     pub(super) fn add_doubted_crashes(&mut self, slot: Slot, now: Timestamp) {
         let begun = self
             .workers
@@ -320,7 +324,7 @@
     }
 
     /// Indexes the recorded crashes of a job by their workers, in case these answer again or turn out to be gone.
-    pub(super) fn inherit_crashes(&mut self, job: JobId, progress: &Progress) {
+    pub(super) fn index_recorded_crashes(&mut self, job: JobId, progress: &Progress) {
         for (occurrence, steps) in &progress.occurrences {
             for (step, step_progress) in (0u16..).zip(steps) {
                 let id = StepId {
@@ -353,7 +357,7 @@
         }
     }
 
-    /// Allows other tasks beside a run that was alone and has outlasted its start.
+    /// Allows other tasks on the worker of a run that was alone and has outlived the crash window.
     pub(super) fn end_isolation(&mut self, slot: Slot, task: TaskId, run: Run) {
         if let Some(worker) = self.workers.get_mut(&slot) {
             worker.end_exclusive(task, run);
@@ -371,7 +375,7 @@
         }
     }
 
-    /// Removes workers from the crash index that no open task has a crash of.
+    /// Removes from the crash index the workers of whose crashes none counts against an open task.
     pub(super) fn forget_crashes(&mut self) {
         let jobs = &self.jobs;
         self.crash_suspects.retain(|id, tasks| {
@@ -454,7 +458,7 @@
     /// Renews, at the start of a pass, the reservations of the workers that are being emptied.
     ///
     /// A late step ranks behind all others in a pass; without these reservations, the others would take each piece of
-    /// room as soon as it is free.
+    /// capacity as soon as it is free.
     pub(super) fn reserve_emptying_workers(&mut self, reserved: &mut Reservations, now: Timestamp) {
         let mut emptying = self.emptying.clone();
         emptying.retain(|id, slot| self.is_emptying_needed(*id, *slot, now));
@@ -503,8 +507,8 @@
         }
     }
 
-    /// Returns the worker likely to be empty first, among those that may run a step's suspects and hold no lasting
-    /// tasks.
+    /// Returns the worker likely to be empty first, among those that may run a step's suspects and hold no
+    /// long-running tasks.
     fn first_to_empty(&self, id: StepId, reserved: &Reservations, now: Timestamp) -> Option<Slot> {
         let job = self.jobs.get(&id.job)?;
         let (demand, stage) = (self.demand(job, id)?, job.stage(id)?);
--- a/crates/cell/src/engine/end.rs
+++ b/crates/cell/src/engine/end.rs
@@ -1,4 +1,4 @@
-//! Ends of runs: how they affect tries, checkpoints, gangs and jobs.
+//! Ends of runs: how they affect attempts, checkpoints, gangs and jobs.
 
 use std::{
     sync::Arc,
@@ -132,7 +132,7 @@
         }
     }
 
-    /// Handles the failure of a run: counts it against the worker and the tries of the task.
+    /// Handles the failure of a run: counts it against the worker and the attempts of the task.
     fn handle_failure(&mut self, slot: Slot, task: TaskId, run: Run, now: Timestamp) {
         if let Some(worker) = self.workers.get_mut(&slot) {
             worker.failures += 1;
@@ -148,7 +148,7 @@
         }
         let accepted = &job.accepted.queue;
         let queue = self.config.queues.get(&accepted.name);
-        let tries = queue.unwrap_or(accepted).max_attempts;
+        let max_attempts = queue.unwrap_or(accepted).max_attempts;
         let Some(step) = job.step(task.step) else {
             return;
         };
@@ -156,19 +156,19 @@
         let Some(stage) = job.stage_mut(task.step) else {
             return;
         };
-        // The first member of a gang counts the tries of the whole gang.
+        // The first member of a gang counts the attempts of the whole gang.
         let counted = if is_gang { 0 } else { task.index };
         let Some(state) = stage.task_mut(counted) else {
             return;
         };
         state.avoided_worker = Some(slot);
-        // Each member of a gang reports the same failure, and a new owner may be told of one that is already recorded.
+        // Each member of a gang reports the same failure, and a new owner may get a report of one that is already recorded.
         if is_lasting || state.failures.contains(&run) {
             return;
         }
         state.failures.push(run);
         let failures = u32::try_from(state.failures.len()).unwrap_or(u32::MAX);
-        let is_exhausted = failures >= tries.max(1);
+        let is_exhausted = failures >= max_attempts.max(1);
         self.record_queue.add_job(task.step.job);
         if is_exhausted {
             job.outcome = Some(Outcome::Failed);
--- a/crates/cell/src/engine/forget.rs
+++ b/crates/cell/src/engine/forget.rs
@@ -21,13 +21,13 @@
 };
 
 /// The interval between two removals of jobs that are over: each costs one append per partition.
-const FORGET_INTERVAL: Duration = Duration::from_secs(3);
+const REMOVAL_INTERVAL: Duration = Duration::from_secs(3);
 /// The maximum number of removed jobs whose memory is freed in one call of [`Engine::advance`].
 ///
 /// Freeing 1,400 jobs at once, with their tasks and tickets, delays other events by 5 ms of a whole core.
 const MAX_JOBS_FREED_AT_ONCE: usize = 32;
-/// How long a job is kept after its end: by then, most callers have queried it.
-const FORGET_DELAY: Duration = Duration::from_secs(2);
+/// How long a job stays in memory after its end: by then, most callers have queried it.
+const REMOVAL_DELAY: Duration = Duration::from_secs(2);
 
 impl Engine {
     /// Queues a job that is over for removal.
@@ -41,7 +41,7 @@
     /// rather than all jobs ever submitted: for 12,000 jobs that are over, 0.32 MB instead of 4.32 MB (bytes of keys
     /// and values; two tasks and 250 bytes of text a job).
     ///
-    /// A job that a worker may still run is kept, since its sizes are needed to count the room that it takes.
+    /// A job that a worker may still run stays, since its sizes are needed to count the resources that it takes.
     pub(super) fn remove_ended(&mut self, now: Timestamp) {
         let left = self
             .pending_drops
@@ -51,14 +51,14 @@
         if now < self.next_sweep {
             return;
         }
-        self.next_sweep = now + FORGET_INTERVAL;
-        let claims = self.workers.values().flat_map(|worker| &worker.allocations);
-        let claimed: HashSet<JobId> = claims.map(|((task, _), _)| task.step.job).collect();
+        self.next_sweep = now + REMOVAL_INTERVAL;
+        let allocations = self.workers.values().flat_map(|worker| &worker.allocations);
+        let allocated: HashSet<JobId> = allocations.map(|((task, _), _)| task.step.job).collect();
         let over = std::mem::take(&mut self.ended_at);
         for (since, id) in over {
             // The acceptance of an announced job is not on record yet, so there is nothing to remove.
-            let is_due = now.since(since) >= FORGET_DELAY
-                && !claimed.contains(&id)
+            let is_due = now.since(since) >= REMOVAL_DELAY
+                && !allocated.contains(&id)
                 && !self.announced.contains_key(&id);
             if is_due && self.is_end_recorded(id) {
                 self.forget(id);
@@ -67,9 +67,9 @@
             }
         }
         self.forget_crashes();
-        let forgotten = std::mem::take(&mut self.pending_removals);
-        if !forgotten.is_empty() {
-            self.outbox.push(Effect::Remove(forgotten));
+        let removals = std::mem::take(&mut self.pending_removals);
+        if !removals.is_empty() {
+            self.outbox.push(Effect::Remove(removals));
         }
     }
 
@@ -78,7 +78,7 @@
         let Some(job) = self.jobs.get(&id) else {
             return true;
         };
-        // A cancellation is recorded before the engine is told of it.
+        // A cancellation is recorded before the engine learns of it.
         job.recorded_outcome.is_some() || (job.is_cancelled && job.outcome.is_none())
     }
 
@@ -95,19 +95,20 @@
         let is_cancelled = job.is_cancelled;
         let partition = job.accepted.partition;
         self.pending_drops.push(job);
-        let seen = is_cancelled.then(|| {
-            let noted = self.cancelled.entry((id, workspace.clone()));
-            noted.or_insert(Cancellation::UnknownJob)
+        let cancellation = is_cancelled.then(|| {
+            let entry = self.cancelled.entry((id, workspace.clone()));
+            entry.or_insert(Cancellation::UnknownJob)
         });
-        let unseen = seen.filter(|noted| **noted == Cancellation::UnknownJob);
+        let unknown =
+            cancellation.filter(|cancellation| **cancellation == Cancellation::UnknownJob);
         self.pending_removals.push(Removal {
             job: id,
             workspace,
             partition,
             // Once the acceptance is removed, only this records that the job was submitted.
-            cancellation: unseen.map(|noted| {
-                *noted = Cancellation::KnownJob;
-                *noted
+            cancellation: unknown.map(|cancellation| {
+                *cancellation = Cancellation::KnownJob;
+                *cancellation
             }),
         });
     }
--- a/crates/cell/src/engine/job.rs
+++ b/crates/cell/src/engine/job.rs
@@ -50,7 +50,7 @@
     /// Other runs that may be under way and are being stopped; the task starts again only once all are gone.
     pub(super) stopping: Vec<(Slot, Run)>,
     pub(super) is_done: bool,
-    /// The runs that have failed; those of a gang are kept with its first member.
+    /// The runs that have failed; those of a gang are counted at its first member.
     pub(super) failures: Vec<Run>,
     /// The crashes of workers that had just started the task.
     pub(super) crashes: Vec<Crash>,
@@ -62,7 +62,7 @@
     /// The last run that was started.
     pub(super) last_run: Run,
     pub(super) checkpoint: Option<Arc<str>>,
-    /// The worker on which the task failed last; avoided while others have room.
+    /// The worker on which the task failed last; avoided while others have free capacity.
     pub(super) avoided_worker: Option<Slot>,
 }
 
@@ -184,8 +184,8 @@
         progress
     }
 
-    /// Returns how many tries a task may have used: its failures, and lost runs that may turn out to have failed.
-    pub(super) fn tries_used(&self, index: u16, is_gang: bool, now: Timestamp) -> usize {
+    /// Returns how many attempts a task may have used: its failures, and lost runs that may turn out to have failed.
+    pub(super) fn attempts_used(&self, index: u16, is_gang: bool, now: Timestamp) -> usize {
         let state = self.task(index);
         let lost = state.map_or(0, |task| {
             let lost = task.lost_runs.iter();
@@ -221,7 +221,7 @@
     /// How long the job may take from its start to be in time.
     objective: Duration,
     /// The length of the critical path from the start of each step on, by the estimates.
-    chains: Vec<Duration>,
+    critical_paths: Vec<Duration>,
 }
 
 /// A job that takes longer than this multiple of its latency objective is worth nothing.
@@ -230,10 +230,10 @@
 impl Job {
     pub(super) fn new(accepted: Accepted, progress: &Progress) -> Self {
         let spec = accepted.spec.clone();
-        let chains = spec.critical_paths();
-        let chain = chains.iter().max().copied().unwrap_or_default();
+        let critical_paths = spec.critical_paths();
+        let critical_path = critical_paths.iter().max().copied().unwrap_or_default();
         let queue = &accepted.queue;
-        let objective = chain.mul_f64(queue.stretch.max(0.0)) + queue.objective_offset;
+        let objective = critical_path.mul_f64(queue.stretch.max(0.0)) + queue.objective_offset;
         let mut job = Self {
             account: None,
             is_cancelled: false,
@@ -241,7 +241,7 @@
             occurrences: BTreeMap::new(),
             outcome: progress.outcome,
             recorded_outcome: progress.outcome,
-            chains,
+            critical_paths,
             objective,
             accepted,
         };
@@ -329,9 +329,9 @@
 
     /// Returns the latest time at which a step may start for its occurrence to be in time.
     pub(super) fn latest_start(&self, id: StepId) -> Timestamp {
-        let chain = self.chains.get(usize::from(id.step)).copied();
+        let critical_path = self.critical_paths.get(usize::from(id.step)).copied();
         let due = self.start_of(id.occurrence) + self.objective;
-        due.saturating_sub(chain.unwrap_or_default())
+        due.saturating_sub(critical_path.unwrap_or_default())
     }
 
     /// Returns the time after which the completion of an occurrence is worth nothing.
--- a/crates/cell/src/engine/limit.rs
+++ b/crates/cell/src/engine/limit.rs
@@ -27,7 +27,7 @@
 pub struct Usage {
     /// The workspace.
     pub workspace: WorkspaceName,
-    /// The resources that its runs may hold.
+    /// The resources that its runs may use.
     pub used: Resources,
     /// The limit, if there is one.
     pub limit: Option<Resources>,
--- a/crates/cell/src/engine/loss.rs
+++ b/crates/cell/src/engine/loss.rs
@@ -1,4 +1,4 @@
-//! Lost workers, and the runs that they held.
+//! Lost workers, and the runs that were on them.
 
 use std::time::Duration;
 
@@ -20,7 +20,7 @@
     },
 };
 
-/// How long a worker whose leases have lapsed may take to come back and report ends of runs. Network outages of workers
+/// How long a worker whose leases have expired may take to come back and report ends of runs. Network outages of workers
 /// last some seconds longer than their leases.
 const LATE_RETURN_PERIOD: Duration = Duration::from_secs(12);
 
@@ -30,7 +30,9 @@
         self.needs_pass = true;
         if let Some(worker) = self.workers.get_mut(&slot) {
             worker.end(task, run, now);
-            let charge = worker.release(task, run).and_then(|claim| claim.charge);
+            let charge = worker
+                .release(task, run)
+                .and_then(|allocation| allocation.charge);
             if let Some(charge) = charge {
                 self.quotas.credit(charge.account, charge.size);
             }
@@ -79,17 +81,17 @@
         let Some(worker) = self.workers.get(&slot) else {
             return;
         };
-        let silent = worker.silent_since.unwrap_or(now);
+        let silent_since = worker.silent_since.unwrap_or(now);
         let sent = worker.allocations.iter();
-        let sent = sent.filter(|(_, claim)| claim.phase != Phase::Recording);
+        let sent = sent.filter(|(_, allocation)| allocation.phase != Phase::Recording);
         let others = sent.clone().count().saturating_sub(1);
         let notes: Vec<LogRecord> = sent
-            .map(|((task, run), claim)| LogRecord::Lost {
+            .map(|((task, run), allocation)| LogRecord::Lost {
                 task: *task,
                 run: *run,
                 worker: worker.registration.id.clone(),
                 why,
-                run_age: silent.since(claim.since),
+                run_age: silent_since.since(allocation.since),
                 other_runs: others,
             })
             .collect();
@@ -102,9 +104,9 @@
         slot: Slot,
         condition: impl Fn(&Allocation) -> bool,
     ) -> Vec<(TaskId, Run)> {
-        let claims = self.workers.get(&slot).map(|worker| &worker.allocations);
-        let claims = claims.into_iter().flatten();
-        let runs = claims.filter(|(_, claim)| condition(claim));
+        let allocations = self.workers.get(&slot).map(|worker| &worker.allocations);
+        let allocations = allocations.into_iter().flatten();
+        let runs = allocations.filter(|(_, allocation)| condition(allocation));
         runs.map(|(key, _)| *key).collect()
     }
 
@@ -126,7 +128,7 @@
         }
     }
 
-    /// Declares the runs lost on workers whose leases have certainly lapsed, and forgets workers that have been
+    /// Declares the runs lost on workers whose leases have certainly expired, and forgets workers that have been
     /// unlisted for a while and run nothing.
     pub(super) fn expire_workers(&mut self, now: Timestamp) {
         for slot in self.expiries.take_due(now) {
--- a/crates/cell/src/engine/mod.rs
+++ b/crates/cell/src/engine/mod.rs
@@ -7,13 +7,15 @@
 //! | `shrink` | handles workers whose capacity has decreased |
 //! | `limit` | enforces the resource limits of workspaces |
 //! | `submit` | accepts jobs and cancellations, opens steps that are ready |
-//! | `schedule` | tries to place the open steps in order of urgency |
+//! | `open_steps` | holds the steps that have tasks to start, in order of urgency |
+//! | `free_capacity` | indexes the workers by their free resources |
+//! | `schedule` | places the open steps in order of urgency |
 //! | `place` | finds workers for single tasks and gangs |
 //! | `reserve` | reserves workers and preempts tasks for a gang or an urgent task |
 //! | `ask` | asks which workers may run a step |
 //! | `order` | handles answers to orders, and repeats stops until they are settled |
-//! | `wait` | reports why steps wait, and sets aside those that no worker can run |
-//! | `pace` | throttles best-effort tasks that disturb latency-sensitive ones |
+//! | `wait` | reports why steps wait, and parks those that no known worker could run |
+//! | `throttling` | throttles best-effort tasks that disturb latency-sensitive ones |
 //! | `contact` | handles newly listed workers, leases and inventories |
 //! | `evacuate` | tracks data centres in which nothing new is started |
 //! | `crash` | isolates, and finally fails, tasks that crash their workers |
@@ -21,7 +23,7 @@
 //! | `loss` | handles lost workers and their runs |
 //! | `end` | handles ends of runs, attempts, and ends of jobs |
 //! | `forget` | compacts the records of jobs that are over |
-//! | `keep` | writes records, and continues what waited for them |
+//! | `recording` | writes records, and continues what waited for them |
 //! | `view` | provides what callers and operators see |
 
 mod announce;
@@ -140,7 +142,7 @@
 /// The contents of a start order that are known before it is sent.
 #[derive(Clone, Debug)]
 struct Order {
-    text: Arc<str>,
+    payload: Arc<str>,
     checkpoint: Option<Arc<str>>,
     ticket: Option<Ticket>,
 }
@@ -176,13 +178,13 @@
     jobs: HashMap<JobId, Job>,
     /// All cancellations, keyed by job and by the canceller's workspace; includes jobs that are not known yet.
     cancelled: BTreeMap<(JobId, Option<WorkspaceName>), Cancellation>,
-    /// The outcomes of jobs of which nothing else is kept in memory.
+    /// The outcomes of jobs of which nothing else is left in memory.
     ended: HashMap<JobId, Ended>,
     /// The resources in use by each workspace, and its limit.
     quotas: quota::Ledger,
     /// Jobs that are over, with the time at which this became known.
     ended_at: Vec<(Timestamp, JobId)>,
-    /// Forgotten jobs whose memory is freed incrementally.
+    /// Removed jobs whose memory is freed incrementally.
     pending_drops: Vec<Job>,
     /// Acceptances to be deleted from the record, with their partitions.
     pending_removals: Vec<Removal>,
@@ -195,7 +197,7 @@
     next_slot: u32,
     /// Open steps that have tasks to start.
     open_steps: OpenSteps,
-    /// Open steps that no known worker could run.
+    /// Open steps that no known worker could run; they are parked here until a worker is listed or changes.
     unschedulable: BTreeSet<StepId>,
     /// The workers, indexed by their free resources.
     free_capacity: FreeCapacity,
@@ -223,13 +225,13 @@
     unknown_runs: HashMap<JobId, Vec<(Slot, TaskId, Run)>>,
     /// Recorded starts that wait until the acceptance of their job is on record too.
     held_starts: Vec<(Slot, TaskId, Run)>,
-    /// Start orders by run, kept until the worker has answered.
+    /// Start orders by run, until the worker has answered.
     orders: HashMap<(Slot, TaskId, Run), Order>,
     /// The number of gangs started in each queue.
     gangs_started: HashMap<QueueName, u64>,
     /// The late gang of each queue that is ranked as if it were in time, so that it can't be overtaken forever.
     promoted: HashMap<QueueName, StepId>,
-    /// For each step with tasks that have to run alone, the worker that is being drained for it.
+    /// For each step with tasks that have to run alone, the worker that is being emptied for it.
     emptying: BTreeMap<StepId, Slot>,
     /// Whether a change may allow a waiting task to start, so that a scheduling pass is needed.
     needs_pass: bool,
@@ -248,8 +250,8 @@
     /// Creates the engine of a new owner from the stored state.
     ///
     /// A task that a worker may still be running on an order of a former owner is restarted only after that worker has
-    /// answered or all its leases have lapsed.
-    pub fn new(epoch: Epoch, bounds: Bounds, inheritance: StoredState, now: Timestamp) -> Self {
+    /// answered or all its leases have expired.
+    pub fn new(epoch: Epoch, bounds: Bounds, stored: StoredState, now: Timestamp) -> Self {
         let mut engine = Self {
             epoch,
             fence: Fence::first(epoch),
@@ -292,11 +294,11 @@
             next_pass: now,
             outbox: Vec::new(),
         };
-        for cancelled in &inheritance.cancelled {
+        for cancelled in &stored.cancelled {
             engine.note_cancelled(cancelled);
         }
-        let mut progress: HashMap<JobId, Progress> = inheritance.progress.into_iter().collect();
-        for accepted in inheritance.accepted {
+        let mut progress: HashMap<JobId, Progress> = stored.progress.into_iter().collect();
+        for accepted in stored.accepted {
             engine.restore_job(accepted, &mut progress, now);
         }
         let over = progress.into_iter();
@@ -310,9 +312,9 @@
         engine.ended = over
             .filter(|(job, _)| !engine.jobs.contains_key(job))
             .collect();
-        let lapses = now + engine.bounds.lease_expiry_time() + MAX_FORMER_OWNER_ACTIVITY;
-        for (worker, usage) in inheritance.workers {
-            engine.track_former_worker(worker, usage, lapses, now);
+        let leases_end = now + engine.bounds.lease_expiry_time() + MAX_FORMER_OWNER_ACTIVITY;
+        for (worker, usage) in stored.workers {
+            engine.track_former_worker(worker, usage, leases_end, now);
         }
         engine
     }
@@ -375,7 +377,7 @@
     }
 
     /// Emits a log record.
-    fn log(&mut self, note: LogRecord) {
-        self.outbox.push(Effect::Log(note));
+    fn log(&mut self, record: LogRecord) {
+        self.outbox.push(Effect::Log(record));
     }
 }
--- a/crates/cell/src/engine/order.rs
+++ b/crates/cell/src/engine/order.rs
@@ -137,9 +137,9 @@
 
     /// Returns how many start orders of a run are unanswered.
     fn unanswered(&self, slot: Slot, task: TaskId, run: Run) -> u8 {
-        let claim = self.workers.get(&slot);
-        let claim = claim.and_then(|worker| worker.allocations.get(&(task, run)));
-        claim.map_or(0, |claim| claim.unanswered_starts)
+        let worker = self.workers.get(&slot);
+        let allocation = worker.and_then(|worker| worker.allocations.get(&(task, run)));
+        allocation.map_or(0, |allocation| allocation.unanswered_starts)
     }
 
     /// Retries a start order that got no answer. The worker recognises it as the same order.
@@ -147,18 +147,19 @@
     /// The answer shows at once whether the run has started. A stop order and an inventory would show that only after
     /// the grace period that a worker has to stop a task.
     fn retry_start(&mut self, slot: Slot, task: TaskId, run: Run, now: Timestamp) {
-        let claim = self.workers.get_mut(&slot);
-        let claim = claim.and_then(|worker| worker.allocations.get_mut(&(task, run)));
-        let Some(claim) = claim.filter(|claim| claim.phase == Phase::Starting) else {
+        let worker = self.workers.get_mut(&slot);
+        let allocation = worker.and_then(|worker| worker.allocations.get_mut(&(task, run)));
+        let Some(allocation) = allocation.filter(|allocation| allocation.phase == Phase::Starting)
+        else {
             return;
         };
-        claim.unanswered_starts += 1;
-        let is_exhausted = claim.unanswered_starts >= MAX_UNANSWERED_STARTS;
+        allocation.unanswered_starts += 1;
+        let is_exhausted = allocation.unanswered_starts >= MAX_UNANSWERED_STARTS;
         let worker = self.workers.get(&slot);
-        let is_overfull = worker.is_some_and(Worker::is_overcommitted);
+        let is_overcommitted = worker.is_some_and(Worker::is_overcommitted);
         // A silent worker may come back with less capacity, or as a worker of another kind.
         let is_silent = worker.is_some_and(|worker| worker.silent_since.is_some());
-        let is_excess = is_overfull || self.is_over_limit(task.step.job);
+        let is_excess = is_overcommitted || self.is_over_limit(task.step.job);
         if is_exhausted
             || is_excess
             || !self.may_resend_starts(slot, now)
@@ -175,27 +176,30 @@
     /// Defers the retry of a start order until the silent worker answers.
     fn defer_retry(&mut self, slot: Slot, task: TaskId, run: Run) {
         let worker = self.workers.get_mut(&slot);
-        let claim = worker.and_then(|worker| worker.allocations.get_mut(&(task, run)));
-        if let Some(claim) = claim {
-            claim.resend_when_heard = true;
+        let allocation = worker.and_then(|worker| worker.allocations.get_mut(&(task, run)));
+        if let Some(allocation) = allocation {
+            allocation.resend_when_heard = true;
         }
     }
 
     /// Sends the start orders that were deferred while a worker was silent, if the same incarnation has answered. For a
-    /// new incarnation the raised fence makes the old orders void.
+    /// new incarnation the raised fence makes the old orders obsolete.
     pub(super) fn send_deferred_starts(&mut self, slot: Slot, now: Timestamp) {
         let Some(worker) = self.workers.get_mut(&slot) else {
             return;
         };
-        let mut held = Vec::new();
-        for (key, claim) in &mut worker.allocations {
-            let is_held_back = std::mem::take(&mut claim.resend_when_heard);
-            if is_held_back && claim.phase == Phase::Starting && claim.fence == worker.fence {
-                held.push(*key);
+        let mut deferred = Vec::new();
+        for (key, allocation) in &mut worker.allocations {
+            let is_deferred = std::mem::take(&mut allocation.resend_when_heard);
+            if is_deferred
+                && allocation.phase == Phase::Starting
+                && allocation.fence == worker.fence
+            {
+                deferred.push(*key);
             }
         }
         let may_resend_starts = self.may_resend_starts(slot, now);
-        for (task, run) in held {
+        for (task, run) in deferred {
             let is_excess = self.is_over_limit(task.step.job);
             match self.is_unfinished(task) && may_resend_starts && !is_excess {
                 true => self.send_start(slot, task, run, now),
@@ -217,15 +221,15 @@
             return;
         };
         let to = worker.destination();
-        if let Some(claim) = worker.allocations.get_mut(&(task, run)) {
-            claim.phase = Phase::Starting;
-            claim.fence = to.fence;
+        if let Some(allocation) = worker.allocations.get_mut(&(task, run)) {
+            allocation.phase = Phase::Starting;
+            allocation.fence = to.fence;
         }
         self.outbox.push(Effect::Start(Box::new(Start {
             to,
             task,
             run,
-            payload: order.text,
+            payload: order.payload,
             deadline,
             checkpoint: order.checkpoint,
             ticket: order.ticket.map(|ticket| ticket.text),
@@ -288,12 +292,12 @@
         (worker.registered < self.report_validity.valid_from).then_some("room-unknown")
     }
 
-    /// Holds the starts of jobs whose acceptance is not on record yet. Returns the other starts that are still pending.
+    /// Holds back the starts of jobs whose acceptance is not on record yet. Returns the other starts that are still pending.
     fn hold_announced(&mut self, starts: Vec<(Slot, TaskId, Run)>) -> Vec<(Slot, TaskId, Run)> {
         let waiting = starts.into_iter().filter(|(slot, task, run)| {
             let worker = self.workers.get(slot);
-            let claim = worker.and_then(|worker| worker.allocations.get(&(*task, *run)));
-            claim.is_some_and(|claim| claim.phase == Phase::Recording)
+            let allocation = worker.and_then(|worker| worker.allocations.get(&(*task, *run)));
+            allocation.is_some_and(|allocation| allocation.phase == Phase::Recording)
         });
         let (held, ready): (Vec<_>, Vec<_>) =
             waiting.partition(|(_, task, _)| self.announced.contains_key(&task.step.job));
@@ -309,9 +313,9 @@
     /// Notes that the worker has a run.
     fn confirm(&mut self, slot: Slot, task: TaskId, run: Run, now: Timestamp) {
         let worker = self.workers.get_mut(&slot);
-        let claim = worker.and_then(|worker| worker.allocations.get_mut(&(task, run)));
-        if let Some(claim) = claim {
-            claim.confirm(now);
+        let allocation = worker.and_then(|worker| worker.allocations.get_mut(&(task, run)));
+        if let Some(allocation) = allocation {
+            allocation.confirm(now);
         }
     }
 
@@ -327,18 +331,18 @@
         let Some(worker) = self.workers.get_mut(&slot) else {
             return;
         };
-        let Some(claim) = worker.allocations.get_mut(&(task, run)) else {
+        let Some(allocation) = worker.allocations.get_mut(&(task, run)) else {
             return;
         };
-        if matches!(claim.phase, Phase::Stopping { .. }) {
+        if matches!(allocation.phase, Phase::Stopping { .. }) {
             return;
         }
-        if claim.phase == Phase::Recording {
+        if allocation.phase == Phase::Recording {
             // Its start order has not been sent and never will be.
             self.release(slot, task, run, now);
             return;
         }
-        claim.phase = Phase::Stopping { confirmed: None };
+        allocation.phase = Phase::Stopping { confirmed: None };
         let worker = worker.registration.id.clone();
         self.stops.set((slot, task, run), Some(now));
         self.log(LogRecord::Stopping {
@@ -372,12 +376,12 @@
         let Some(slot) = self.slots.get(worker).copied() else {
             return;
         };
-        let claim = self.workers.get_mut(&slot);
-        let claim = claim.and_then(|worker| worker.allocations.get_mut(&(task, run)));
-        let Some(claim) = claim else {
+        let worker = self.workers.get_mut(&slot);
+        let allocation = worker.and_then(|worker| worker.allocations.get_mut(&(task, run)));
+        let Some(allocation) = allocation else {
             return;
         };
-        let Phase::Stopping { confirmed } = &mut claim.phase else {
+        let Phase::Stopping { confirmed } = &mut allocation.phase else {
             return;
         };
         match answer {
--- a/crates/cell/src/engine/place.rs
+++ b/crates/cell/src/engine/place.rs
@@ -90,9 +90,9 @@
             return false;
         }
         let stage = job.stage(demand.id);
-        let leaves = self.expected_departure(now);
+        let departure = self.expected_departure(now);
         demand.queue.advice.is_none()
-            || stage.is_some_and(|stage| stage.advice.ticket(slot, worker, leaves).is_some())
+            || stage.is_some_and(|stage| stage.advice.ticket(slot, worker, departure).is_some())
     }
 
     /// Returns how many more tasks of a step its anti-affinity limit allows on a worker.
@@ -147,8 +147,9 @@
         if stage.awaits_crash_settlement(index) {
             return false;
         }
-        let tries = usize::try_from(self.queue_of(job).max_attempts.max(1)).unwrap_or(usize::MAX);
-        step.long_running || stage.tries_used(index, step.gang, now) < tries
+        let max_attempts =
+            usize::try_from(self.queue_of(job).max_attempts.max(1)).unwrap_or(usize::MAX);
+        step.long_running || stage.attempts_used(index, step.gang, now) < max_attempts
     }
 
     /// Returns the first waiting task that has an attempt left and doesn't have to run alone.
@@ -307,8 +308,9 @@
         let run = active.iter().map(|(_, _, run)| *run).max();
         let is_ending = active.iter().any(|(index, slot, run)| {
             let worker = self.workers.get(slot);
-            let claim = worker.and_then(|worker| worker.allocations.get(&(id.task(*index), *run)));
-            claim.is_none_or(|claim| matches!(claim.phase, Phase::Stopping { .. }))
+            let allocation =
+                worker.and_then(|worker| worker.allocations.get(&(id.task(*index), *run)));
+            allocation.is_none_or(|allocation| matches!(allocation.phase, Phase::Stopping { .. }))
         });
         let until = stage.gang_since + self.bounds.gang_wait / GANG_REPAIR_DIVISOR;
         if !is_ending && now < until {
@@ -339,17 +341,17 @@
     ) -> Option<Vec<(u16, Slot)>> {
         let job = self.jobs.get(&id.job)?;
         let (demand, stage) = (self.demand(job, id)?, job.stage(id)?);
-        let mut rooms: Vec<(Slot, usize, &Worker)> = Vec::new();
+        let mut fits: Vec<(Slot, usize, &Worker)> = Vec::new();
         for (slot, worker) in self.candidates_with_capacity(&demand, stage) {
             if reserved.is_reserved_for_other(slot, id)
                 || !self.may_run_on(job, &demand, slot, worker, now)
             {
                 continue;
             }
-            let room =
+            let fit =
                 fit_count(&worker.free, &demand.size).min(self.anti_affinity_left(&demand, worker));
-            if room > 0 {
-                rooms.push((slot, room, worker));
+            if fit > 0 {
+                fits.push((slot, fit, worker));
             }
         }
         let (isolated, others): (Vec<u16>, Vec<u16>) = members
@@ -357,22 +359,22 @@
             .partition(|index| self.must_run_alone(id, **index, now));
         let mut places = Vec::with_capacity(members.len());
         if !isolated.is_empty() {
-            let empty = rooms
+            let empty = fits
                 .iter()
                 .filter(|(_, _, worker)| worker.allocations.is_empty());
-            let slots = assign_slots(empty.map(|(slot, room, _)| (*slot, *room)), isolated.len())?;
-            rooms.retain(|(slot, _, _)| !slots.contains(slot));
+            let slots = assign_slots(empty.map(|(slot, fit, _)| (*slot, *fit)), isolated.len())?;
+            fits.retain(|(slot, _, _)| !slots.contains(slot));
             places.extend(isolated.into_iter().zip(slots));
         }
         let count = others.len();
-        let in_one_rack = demand.step.same_rack.then(|| in_one_rack(&rooms, count));
+        let in_one_rack = demand.step.same_rack.then(|| in_one_rack(&fits, count));
         let slots = in_one_rack.flatten().or_else(|| {
-            rooms.sort_by_key(|(slot, _, worker)| {
+            fits.sort_by_key(|(slot, _, worker)| {
                 let interference_count = self.interference_count(&demand, worker);
                 let left = cpu_left_key(&demand, worker);
                 (is_remote(&demand, worker), interference_count, left, *slot)
             });
-            assign_slots(rooms.iter().map(|(slot, room, _)| (*slot, *room)), count)
+            assign_slots(fits.iter().map(|(slot, fit, _)| (*slot, *fit)), count)
         })?;
         places.extend(others.into_iter().zip(slots));
         Some(places)
@@ -407,7 +409,7 @@
         let Some(stage) = job.stage_mut(id) else {
             return false;
         };
-        let claim = Allocation {
+        let allocation = Allocation {
             size: worker_resources(step),
             charge,
             phase: Phase::Recording,
@@ -420,7 +422,7 @@
             first_confirmed: None,
             outlived_crash_window: false,
         };
-        if !worker.allocate(task, run, claim) {
+        if !worker.allocate(task, run, allocation) {
             return false;
         }
         if let Some(charge) = charge {
@@ -448,7 +450,7 @@
             waited: waited.unwrap_or_default(),
         });
         let order = Order {
-            text: spec.payload.clone(),
+            payload: spec.payload.clone(),
             checkpoint,
             ticket,
         };
@@ -494,10 +496,10 @@
 }
 
 /// Assigns `count` tasks to workers in order, as many as fit on each, or returns `None` if they don't all fit.
-fn assign_slots(rooms: impl Iterator<Item = (Slot, usize)>, count: usize) -> Option<Vec<Slot>> {
+fn assign_slots(fits: impl Iterator<Item = (Slot, usize)>, count: usize) -> Option<Vec<Slot>> {
     let mut places = Vec::with_capacity(count);
-    for (slot, room) in rooms {
-        let take = room.min(count - places.len());
+    for (slot, fit) in fits {
+        let take = fit.min(count - places.len());
         places.extend(std::iter::repeat_n(slot, take));
         if places.len() == count {
             return Some(places);
@@ -506,17 +508,17 @@
     None
 }
 
-/// Places all members in one rack: the one with the least free capacity among those that hold them.
-fn in_one_rack(rooms: &[(Slot, usize, &Worker)], count: usize) -> Option<Vec<Slot>> {
+/// Places all members in one rack: the one with the least free capacity among those in which they all fit.
+fn in_one_rack(fits: &[(Slot, usize, &Worker)], count: usize) -> Option<Vec<Slot>> {
     let mut racks: BTreeMap<&str, Vec<(Slot, usize)>> = BTreeMap::new();
-    for (slot, room, worker) in rooms {
+    for (slot, fit, worker) in fits {
         // A worker's labels are its kind and its rack, in this order.
         if let Some(rack) = worker.registration.labels.last() {
-            racks.entry(rack).or_default().push((*slot, *room));
+            racks.entry(rack).or_default().push((*slot, *fit));
         }
     }
-    let total = |rooms: &[(Slot, usize)]| rooms.iter().map(|(_, room)| *room).sum::<usize>();
-    let fitting = racks.into_values().filter(|rooms| total(rooms) >= count);
-    let rooms = fitting.min_by_key(|rooms| total(rooms))?;
-    assign_slots(rooms.into_iter(), count)
+    let total = |fits: &[(Slot, usize)]| fits.iter().map(|(_, fit)| *fit).sum::<usize>();
+    let fitting = racks.into_values().filter(|fits| total(fits) >= count);
+    let fits = fitting.min_by_key(|fits| total(fits))?;
+    assign_slots(fits.into_iter(), count)
 }
--- a/crates/cell/src/engine/recording.rs
+++ b/crates/cell/src/engine/recording.rs
@@ -132,7 +132,7 @@
 impl Engine {
     /// Returns the estimated time at which an order decided now leaves, after its record is written.
     ///
-    /// Its ticket has to be usable then. Without this estimate, if a write takes 0.4 s, steps that have waited for room
+    /// Its ticket has to be usable then. Without this estimate, if a write takes 0.4 s, steps that have waited for capacity
     /// take it with tickets that expire before their orders leave, and take it again after another call for advice.
     pub(super) fn expected_departure(&self, now: Timestamp) -> Timestamp {
         now + self.record_queue.expected_delay(now)
@@ -174,7 +174,7 @@
             };
             entries.push(Entry::Worker(worker.registration.id.clone(), usage));
             let decided = worker.allocations.iter();
-            let decided = decided.filter(|(_, claim)| claim.phase == Phase::Recording);
+            let decided = decided.filter(|(_, allocation)| allocation.phase == Phase::Recording);
             starts.extend(decided.map(|((task, run), _)| (slot, *task, *run)));
         }
         let flight = InFlight {
--- a/crates/cell/src/engine/reserve.rs
+++ b/crates/cell/src/engine/reserve.rs
@@ -50,7 +50,7 @@
     /// The gangs with reserved workers.
     gangs: BTreeSet<StepId>,
     /// The number of workers that are reserved until they are empty.
-    draining_count: usize,
+    emptying_count: usize,
     /// The shares of each workspace's limit that are reserved, with their steps.
     limits: HashMap<quota::Slot, Vec<(StepId, Resources)>>,
 }
@@ -94,13 +94,13 @@
 
     /// Reserves a worker until it is empty.
     pub(super) fn reserve_until_empty(&mut self, slot: Slot, id: StepId) {
-        self.draining_count += 1;
+        self.emptying_count += 1;
         self.reserve([slot].into_iter(), id);
     }
 
     /// Returns the number of workers that are reserved until they are empty.
     pub(super) const fn emptying_count(&self) -> usize {
-        self.draining_count
+        self.emptying_count
     }
 
     /// Reserves workers, except those that are reserved already.
@@ -222,24 +222,26 @@
         let mut free_soon = worker.free;
         let mut free_later = Resources::ZERO;
         let mut victims = Vec::new();
-        for ((task, run), claim) in &worker.allocations {
-            if claim.is_exclusive {
+        for ((task, run), allocation) in &worker.allocations {
+            if allocation.is_exclusive {
                 continue;
             }
-            if matches!(claim.phase, Phase::Stopping { .. }) {
-                free_soon = free_soon.checked_add(claim.size).unwrap_or(free_soon);
-            } else if matches!(claim.phase, Phase::Running { .. })
+            if matches!(allocation.phase, Phase::Stopping { .. }) {
+                free_soon = free_soon.checked_add(allocation.size).unwrap_or(free_soon);
+            } else if matches!(allocation.phase, Phase::Running { .. })
                 && self.is_preemptible_by(*task, demand, rank, now)
             {
-                victims.push((*task, *run, claim.size, claim.since));
+                victims.push((*task, *run, allocation.size, allocation.since));
             } else if self.ends_soon(*task, is_promoted) {
-                free_later = free_later.checked_add(claim.size).unwrap_or(free_later);
+                free_later = free_later
+                    .checked_add(allocation.size)
+                    .unwrap_or(free_later);
             }
         }
         // The runs that started last lose the least work.
         victims.sort_by_key(|(_, _, _, since)| std::cmp::Reverse(*since));
-        let free_eventually = victims.iter().fold(free_soon, |room, (_, _, size, _)| {
-            room.checked_add(*size).unwrap_or(room)
+        let free_eventually = victims.iter().fold(free_soon, |free, (_, _, size, _)| {
+            free.checked_add(*size).unwrap_or(free)
         });
         let free_eventually = free_eventually
             .checked_add(free_later)
@@ -298,18 +300,19 @@
             return;
         };
         let stopping = worker.allocations.values();
-        let stopping = stopping.filter(|claim| matches!(claim.phase, Phase::Stopping { .. }));
-        let mut room = stopping.fold(worker.free, |room, claim| {
-            room.checked_add(claim.size).unwrap_or(room)
+        let stopping =
+            stopping.filter(|allocation| matches!(allocation.phase, Phase::Stopping { .. }));
+        let mut free = stopping.fold(worker.free, |free, allocation| {
+            free.checked_add(allocation.size).unwrap_or(free)
         });
         let mut victims = 0;
         for (task, run, freed) in &offer.victims {
-            if fit_count(&room, &size) >= wanted {
+            if fit_count(&free, &size) >= wanted {
                 break;
             }
             victims += 1;
             self.stop(offer.slot, *task, *run, "preempted", now);
-            room = room.checked_add(*freed).unwrap_or(room);
+            free = free.checked_add(*freed).unwrap_or(free);
         }
         if victims > 0 {
             self.note_preempting(id, offer, wanted, victims, now);
@@ -330,7 +333,7 @@
         };
         let stage = self.jobs.get(&id.job).and_then(|job| job.stage(id));
         let ticket = stage.and_then(|stage| stage.advice.ticket(offer.slot, worker, now));
-        let note = LogRecord::Preempting {
+        let record = LogRecord::Preempting {
             step: id,
             worker: worker.registration.id.clone(),
             wanted,
@@ -338,7 +341,7 @@
             victims,
             ticket: ticket.map(|ticket| now.until(ticket.until)),
         };
-        self.log(note);
+        self.log(record);
     }
 }
 
--- a/crates/cell/src/engine/restart.rs
+++ b/crates/cell/src/engine/restart.rs
@@ -87,12 +87,14 @@
         let running = inventory.running.iter().map(|run| (run.task, run.run));
         let ended = inventory.ended.iter().map(|end| (end.task, end.run));
         let reported: Vec<(TaskId, Run)> = running.chain(ended).collect();
-        for (key, claim) in &mut worker.allocations {
-            let is_later = claim.first_confirmed.is_some_and(|begun| begun > asked);
+        for (key, allocation) in &mut worker.allocations {
+            let is_later = allocation
+                .first_confirmed
+                .is_some_and(|begun| begun > asked);
             if is_later || reported.contains(key) {
-                claim.first_confirmed = None;
-                claim.outlived_crash_window = false;
-                claim.unanswered_starts = 0;
+                allocation.first_confirmed = None;
+                allocation.outlived_crash_window = false;
+                allocation.unanswered_starts = 0;
             }
         }
     }
@@ -100,11 +102,11 @@
     /// Resends the stop orders that the former incarnation may have confirmed, since the new one doesn't know of them.
     fn resend_stops(&mut self, slot: Slot, now: Timestamp) {
         let worker = self.workers.get_mut(&slot);
-        for ((task, run), claim) in worker
+        for ((task, run), allocation) in worker
             .into_iter()
             .flat_map(|worker| &mut worker.allocations)
         {
-            if let Phase::Stopping { confirmed } = &mut claim.phase {
+            if let Phase::Stopping { confirmed } = &mut allocation.phase {
                 *confirmed = None;
                 self.stops.set((slot, *task, *run), Some(now));
             }
--- a/crates/cell/src/engine/shrink.rs
+++ b/crates/cell/src/engine/shrink.rs
@@ -83,8 +83,9 @@
             self.revoke(slot, task, run, "shrunk", now);
         }
         // An unanswered order may still be carried out, so the run has to be stopped.
-        let is_unanswered =
-            |claim: &Allocation| claim.phase == Phase::Starting && claim.unanswered_starts > 0;
+        let is_unanswered = |allocation: &Allocation| {
+            allocation.phase == Phase::Starting && allocation.unanswered_starts > 0
+        };
         for (task, run) in self.runs_on(slot, is_unanswered) {
             if self
                 .workers
@@ -118,10 +119,12 @@
 
     /// Returns the runs of a worker whose start orders have not been sent, the latest first.
     fn unsent(&self, slot: Slot) -> Vec<(TaskId, Run)> {
-        let claims = self.workers.get(&slot).map(|worker| &worker.allocations);
-        let claims = claims.into_iter().flatten();
-        let unsent = claims.filter(|(_, claim)| claim.phase == Phase::Recording);
-        let mut unsent: Vec<_> = unsent.map(|(key, claim)| (claim.since, *key)).collect();
+        let allocations = self.workers.get(&slot).map(|worker| &worker.allocations);
+        let allocations = allocations.into_iter().flatten();
+        let unsent = allocations.filter(|(_, allocation)| allocation.phase == Phase::Recording);
+        let mut unsent: Vec<_> = unsent
+            .map(|(key, allocation)| (allocation.since, *key))
+            .collect();
         unsent.sort_by_key(|(since, key)| (std::cmp::Reverse(*since), *key));
         unsent.into_iter().map(|(_, key)| key).collect()
     }
--- a/crates/cell/src/engine/submit.rs
+++ b/crates/cell/src/engine/submit.rs
@@ -70,7 +70,7 @@
             _ if known.is_some() => {}
             _ => {
                 let progress = progress.remove(&id).unwrap_or_default();
-                self.inherit_crashes(id, &progress);
+                self.index_recorded_crashes(id, &progress);
                 self.add_job(Job::new(accepted, &progress), now);
             }
         }
@@ -176,7 +176,7 @@
         true
     }
 
-    /// Notes a cancellation. Of several for the same job, the one that implies that the job was on record is kept.
+    /// Notes a cancellation. Of several for the same job, the one that implies that the job was on record applies.
     pub(super) fn note_cancelled(&mut self, cancelled: &Cancelled) {
         let key = (cancelled.job, cancelled.workspace.clone());
         let noted = self.cancelled.entry(key).or_insert(cancelled.cancellation);
--- a/crates/cell/src/engine/throttling.rs
+++ b/crates/cell/src/engine/throttling.rs
@@ -1,6 +1,6 @@
 //! Throttling of best-effort tasks that share a worker with latency-sensitive tasks.
 //!
-//! Best-effort tasks (steps with `fills`) use the CPU that others leave. They slow latency-sensitive tasks (steps with
+//! Best-effort tasks (steps with `is_best_effort`) use the CPU that others leave. They slow latency-sensitive tasks (steps with
 //! a `target`) down by an amount that can't be predicted. Workers report how close the latency-sensitive tasks are to
 //! their target, and the CPU share of the best-effort tasks is reduced at once and raised again in small increments.
 
@@ -118,15 +118,15 @@
         let Some(worker) = self.workers.get_mut(&slot) else {
             return;
         };
-        let pacing = &mut worker.pacing;
-        pacing.is_shared = load_ratio.is_some() && !best_effort_runs.is_empty();
-        pacing
+        let throttling = &mut worker.throttling;
+        throttling.is_shared = load_ratio.is_some() && !best_effort_runs.is_empty();
+        throttling
             .confirmed_shares
             .retain(|run, _| best_effort_runs.contains(run));
-        pacing.adjust(load_ratio, now);
-        let share = pacing.share;
+        throttling.adjust(load_ratio, now);
+        let share = throttling.share;
         best_effort_runs.retain(|run| {
-            pacing
+            throttling
                 .confirmed_shares
                 .get(run)
                 .copied()
@@ -164,7 +164,10 @@
         match answer {
             StopAnswer::Confirmed => {
                 if let Some(worker) = self.workers.get_mut(&slot) {
-                    worker.pacing.confirmed_shares.insert((task, run), percent);
+                    worker
+                        .throttling
+                        .confirmed_shares
+                        .insert((task, run), percent);
                 }
             }
             StopAnswer::NoAnswer => {}
--- a/crates/cell/src/engine/view.rs
+++ b/crates/cell/src/engine/view.rs
@@ -175,9 +175,9 @@
         let heard = self.workers.values().filter(|worker| {
             worker.heard.is_some() && worker.silent_since.is_none() && worker.is_listed()
         });
-        let unheard = self.workers.values();
-        let unheard =
-            unheard.filter(|worker| worker.heard.is_none() && !worker.allocations.is_empty());
+        let not_yet_heard = self.workers.values();
+        let not_yet_heard =
+            not_yet_heard.filter(|worker| worker.heard.is_none() && !worker.allocations.is_empty());
         let evacuated = self.workers.values().filter(|worker| worker.is_evacuated);
         Counts {
             jobs: self.jobs.len() + self.ended.len(),
@@ -192,7 +192,7 @@
             listed_runs: self.workers.values().map(|worker| worker.listed_runs).sum(),
             workers_heard: heard.count(),
             workers_silent: silent,
-            workers_not_yet_heard: unheard.count(),
+            workers_not_yet_heard: not_yet_heard.count(),
             workers_evacuated: evacuated.count(),
         }
     }
--- a/crates/cell/src/engine/wait.rs
+++ b/crates/cell/src/engine/wait.rs
@@ -52,13 +52,13 @@
     Advice,
     /// The advice service allows none of the workers that it was asked about.
     NotAllowed,
-    /// The workers that may run the step have no free room.
+    /// The workers that may run the step have no free capacity for its tasks.
     Room,
-    /// There is room, but the tickets for those workers have expired.
+    /// There is free capacity, but the tickets for those workers have expired.
     Ticket,
     /// Workers have crashed while running the step's tasks, which must run alone, and no worker is empty.
     EmptyWorker,
-    /// There is room, but too little for a whole gang, or it is reserved for another step.
+    /// There is free capacity, but too little for a whole gang, or it is reserved for another step.
     Reserved,
     /// The step's workspace is at its limit, or the rest of the limit is reserved for a step of higher rank.
     Limit,
@@ -125,8 +125,8 @@
 }
 
 impl From<&UnmetRequirement> for WaitReason {
-    fn from(lack: &UnmetRequirement) -> Self {
-        match lack {
+    fn from(unmet: &UnmetRequirement) -> Self {
+        match unmet {
             UnmetRequirement::Label(_) => Self::Label,
             UnmetRequirement::Size(_) => Self::Size,
         }
@@ -177,12 +177,12 @@
             return false;
         };
         let index = usize::from(id.step);
-        let Some(lack) = self.unmet_requirement_of(demand.step, index, demand.queue) else {
+        let Some(unmet) = self.unmet_requirement_of(demand.step, index, demand.queue) else {
             return false;
         };
         self.open_steps.remove(id);
         self.unschedulable.insert(id);
-        self.set_wait_reason(id, WaitReason::from(&lack), WaitSurvey::default(), now);
+        self.set_wait_reason(id, WaitReason::from(&unmet), WaitSurvey::default(), now);
         true
     }
 
@@ -244,7 +244,7 @@
         })
     }
 
-    /// Returns whether any worker accepts tasks of a step, regardless of room and advice.
+    /// Returns whether any worker accepts tasks of a step, regardless of free capacity and advice.
     fn has_open_worker(&self, demand: &Demand<'_>, now: Timestamp) -> bool {
         let slots = self
             .free_capacity
--- a/crates/cell/src/event.rs
+++ b/crates/cell/src/event.rs
@@ -143,7 +143,7 @@
     Stale,
     /// The requested lease had already expired.
     LeaseExpired,
-    /// The worker has no room for the task.
+    /// The worker has too little free capacity for the task.
     Full,
     /// The ticket is not valid.
     InvalidTicket,
--- a/crates/cell/src/worker.rs
+++ b/crates/cell/src/worker.rs
@@ -169,7 +169,7 @@
     pub free: Resources,
     /// The runs that may use its capacity.
     pub allocations: BTreeMap<(TaskId, Run), Allocation>,
-    /// The call for its inventory.
+    /// The call that renews its lease and requests its inventory.
     pub heartbeat: CallState,
     /// A second call, which doesn't wait for an end. It shows at once whether a start without an answer has succeeded;
     /// the first call may take up to a second longer.
@@ -182,7 +182,7 @@
     pub silence: Option<Silence>,
     /// When the store stopped listing it.
     pub unlisted_since: Option<Timestamp>,
-    /// When its entry in the store stopped describing a usable worker.
+    /// When its entry in the store became unusable.
     pub distrusted_since: Option<Timestamp>,
     /// Whether it is in a data centre that is evacuated, as far as known.
     pub is_evacuated: bool,
@@ -197,7 +197,7 @@
     /// The number of consecutive failures of tasks that it started.
     pub failures: u32,
     /// The share of the processor time that its best-effort tasks may use.
-    pub pacing: Throttling,
+    pub throttling: Throttling,
     clock_reading: Option<ClockReading>,
     leases_end: Timestamp,
 }
@@ -205,7 +205,7 @@
 impl Worker {
     /// Creates a worker of which only the registration is known.
     ///
-    /// Until `leases_end` it may hold tasks under a lease that a former owner granted.
+    /// Until `leases_end` it may run tasks under a lease that a former owner granted.
     pub fn new(
         registration: Registration,
         fence: Fence,
@@ -235,7 +235,7 @@
             ended_runs: VecDeque::new(),
             backoff_until: Timestamp::ZERO,
             failures: 0,
-            pacing: Throttling::default(),
+            throttling: Throttling::default(),
             clock_reading: None,
             leases_end,
         }
@@ -315,13 +315,13 @@
         self.clock_reading = None;
         self.ended_runs.clear();
         self.failures = 0;
-        self.pacing = Throttling::default();
+        self.throttling = Throttling::default();
     }
 
     /// Returns whether an inventory requested at `asked` proves that no order to start a run can be carried out any
     /// more, because all of these orders were for a former incarnation.
-    pub fn is_obsolete(&self, claim: &Allocation, asked: Timestamp) -> bool {
-        claim.fence < self.fence && self.fence_raised.is_some_and(|raised| raised <= asked)
+    pub fn is_obsolete(&self, allocation: &Allocation, asked: Timestamp) -> bool {
+        allocation.fence < self.fence && self.fence_raised.is_some_and(|raised| raised <= asked)
     }
 
     /// Returns the serial number of the last end that it may forget. It is zero while the next answer may come from
@@ -355,52 +355,54 @@
     }
 
     /// Reserves capacity for a run; returns `false` if there is not enough.
-    pub fn allocate(&mut self, task: TaskId, run: Run, claim: Allocation) -> bool {
-        let room = match claim.is_exclusive {
+    pub fn allocate(&mut self, task: TaskId, run: Run, allocation: Allocation) -> bool {
+        let available = match allocation.is_exclusive {
             true => self.exclusive_capacity(task.step),
             false => self.free,
         };
-        let Some(free) = room.checked_sub(claim.size) else {
+        let Some(free) = available.checked_sub(allocation.size) else {
             return false;
         };
-        self.free = if claim.is_exclusive {
+        self.free = if allocation.is_exclusive {
             Resources::ZERO
         } else {
             free
         };
-        self.allocations.insert((task, run), claim);
+        self.allocations.insert((task, run), allocation);
         true
     }
 
     /// Returns the capacity for tasks of a step that may not share a worker with other steps; zero if the worker has
     /// other allocations.
     pub fn exclusive_capacity(&self, step: StepId) -> Resources {
-        let mut claims = self.allocations.iter();
-        match claims.all(|((task, _), claim)| task.step == step && claim.is_exclusive) {
-            true => self.unclaimed(),
+        let mut allocations = self.allocations.iter();
+        match allocations
+            .all(|((task, _), allocation)| task.step == step && allocation.is_exclusive)
+        {
+            true => self.unallocated(),
             false => Resources::ZERO,
         }
     }
 
-    /// Allows tasks of other steps beside a run.
+    /// Allows tasks of other steps on the worker of a run.
     pub fn end_exclusive(&mut self, task: TaskId, run: Run) {
-        if let Some(claim) = self.allocations.get_mut(&(task, run)) {
-            claim.is_exclusive = false;
+        if let Some(allocation) = self.allocations.get_mut(&(task, run)) {
+            allocation.is_exclusive = false;
             self.update_free();
         }
     }
 
     /// Adds a run that is already there, even if it exceeds the capacity.
-    pub fn adopt(&mut self, task: TaskId, run: Run, claim: Allocation) {
-        self.allocations.insert((task, run), claim);
+    pub fn adopt(&mut self, task: TaskId, run: Run, allocation: Allocation) {
+        self.allocations.insert((task, run), allocation);
         self.update_free();
     }
 
     /// Frees the capacity of a run that is certainly gone.
     pub fn release(&mut self, task: TaskId, run: Run) -> Option<Allocation> {
-        let claim = self.allocations.remove(&(task, run))?;
+        let allocation = self.allocations.remove(&(task, run))?;
         self.update_free();
-        Some(claim)
+        Some(allocation)
     }
 
     /// Updates the free capacity after a change of the worker's registered capacity.
@@ -410,13 +412,17 @@
 
     /// Recomputes the free capacity: zero if the allocations exceed the capacity or a run may not share the worker.
     fn update_free(&mut self) {
-        self.free = match self.allocations.values().any(|claim| claim.is_exclusive) {
+        self.free = match self
+            .allocations
+            .values()
+            .any(|allocation| allocation.is_exclusive)
+        {
             true => Resources::ZERO,
-            false => self.unclaimed(),
+            false => self.unallocated(),
         };
     }
 
-    fn unclaimed(&self) -> Resources {
+    fn unallocated(&self) -> Resources {
         let capacity = self.registration.capacity;
         let left = self.used().and_then(|used| capacity.checked_sub(used));
         left.unwrap_or(Resources::ZERO)
@@ -424,7 +430,7 @@
 
     /// Returns the sum of all allocations; `None` if it overflows.
     fn used(&self) -> Option<Resources> {
-        let mut sizes = self.allocations.values().map(|claim| claim.size);
+        let mut sizes = self.allocations.values().map(|allocation| allocation.size);
         sizes.try_fold(Resources::ZERO, |sum, size| sum.checked_add(size))
     }
 
@@ -456,9 +462,9 @@
     }
 
     /// Schedules a call again whose answer could not be used.
-    pub fn retry_call(&mut self, is_peek: bool, now: Timestamp) {
+    pub fn retry_call(&mut self, is_probe: bool, now: Timestamp) {
         let call = CallState::Due(now);
-        match is_peek {
+        match is_probe {
             true => self.probe = Some(call),
             false if self.heartbeat.is_in_flight() => self.heartbeat = call,
             false => {}
@@ -496,10 +502,10 @@
 
     /// Returns when it may count as expired or forgettable if it does not answer before.
     pub fn next_expiry(&self) -> Option<Timestamp> {
-        let lapse = self.awaits_lease_expiry().then_some(self.leases_end);
-        let idle = self.unlisted_since.filter(|_| self.allocations.is_empty());
-        let idle = idle.map(|at| self.leases_end.max(at + UNLISTED_RETENTION));
-        [lapse, idle].into_iter().flatten().min()
+        let expiry = self.awaits_lease_expiry().then_some(self.leases_end);
+        let forgettable_at = self.unlisted_since.filter(|_| self.allocations.is_empty());
+        let forgettable_at = forgettable_at.map(|at| self.leases_end.max(at + UNLISTED_RETENTION));
+        [expiry, forgettable_at].into_iter().flatten().min()
     }
 
     /// Returns the time since its last inventory.
