--- a/crates/cell/tests/cell/crash.rs
+++ b/crates/cell/tests/cell/crash.rs
@@ -1,6 +1,6 @@
 //! Tasks that crash each worker that starts them.
 //!
-//! A crashed worker reports no end of its runs. If the owner puts back what was lost with a worker as if it had never
+//! A crashed worker reports no end of its runs. If the owner reopens what was lost with a worker as if it had never
 //! been started, no attempt is used up, and a task that crashes its workers is started again without end. Each start
 //! takes down a worker with everything that runs there: workers crash 10 ms after such a start and come back after 3 s
 //! as other incarnations. With a start every 3.3 s, a sixteenth of a busy fleet is down at any time. The owner's log
@@ -277,9 +277,9 @@
 }
 
 /// Runs 40 s at two thirds of the load that 48 workers can handle: 20 jobs of four tasks per second.
-fn run_fleet(seed: u64, crashers: u32) -> Summary {
+fn run_fleet(seed: u64, crashing_task_count: u32) -> Summary {
     let faults = Faults {
-        crashing_tasks: crashers,
+        crashing_tasks: crashing_task_count,
         ..Faults::default()
     };
     let mut world = World::sized(seed, faults, 48, &["a", "b", "c", "d", "e", "f"]);
--- a/crates/cell/tests/cell/evacuate.rs
+++ b/crates/cell/tests/cell/evacuate.rs
@@ -238,7 +238,7 @@
     complete(&mut world, job);
 }
 
-/// Steps that wait for room and hold tickets for workers there neither reserve room there nor preempt tasks.
+/// Steps that wait for capacity and hold tickets for workers there neither reserve workers there nor preempt tasks.
 #[test]
 fn no_task_is_preempted_in_an_evacuated_data_centre() {
     let mut world = world(Faults::default());
--- a/crates/cell/tests/cell/foreign.rs
+++ b/crates/cell/tests/cell/foreign.rs
@@ -86,8 +86,8 @@
 #[test]
 fn a_foreign_entry_of_an_unknown_worker_is_ignored() {
     let mut world = World::new(3, Faults::default());
-    let stranger = WorkerId::from("another");
-    world.engine.mark_entry_unusable(&stranger, world.now);
+    let unknown = WorkerId::from("another");
+    world.engine.mark_entry_unusable(&unknown, world.now);
     world.run(SECOND);
     assert_eq!(world.engine.worker_count(), 8);
 }
--- a/crates/cell/tests/cell/forget.rs
+++ b/crates/cell/tests/cell/forget.rs
@@ -93,7 +93,7 @@
     assert_eq!(engine.pending(&QueueName::from("urgent")), 0);
     engine.advance(now);
     let effects = engine.advance(now + Duration::from_secs(4));
-    let forgotten = effects.into_iter().find_map(|effect| match effect {
+    let removals = effects.into_iter().find_map(|effect| match effect {
         Effect::Remove(jobs) => Some(jobs),
         _ => None,
     });
@@ -103,11 +103,11 @@
         partition: 0,
         cancellation: Some(Cancellation::KnownJob),
     };
-    assert_eq!(forgotten, Some(vec![expected]));
+    assert_eq!(removals, Some(vec![expected]));
     assert_eq!(engine.state(id), Some(State::Cancelled));
 }
 
-/// The store has refused the job, and the node's message that says so got lost. Callers must not see a refused job, and
+/// The store has refused the job, and the node's message about this got lost. Callers must not see a refused job, and
 /// the store has no acceptance of it to remove.
 #[test]
 fn a_cancelled_job_that_was_only_announced_is_neither_shown_nor_removed() {
@@ -118,16 +118,16 @@
     let now = start + Duration::from_millis(500);
     engine.announce(accepted(7), now);
     engine.cancel(&cancelled(id, Cancellation::UnknownJob), now);
-    let mut forgotten = Vec::new();
+    let mut removals = Vec::new();
     for step in 1..80 {
         let effects = engine.advance(now + Duration::from_millis(100) * step);
-        forgotten.extend(effects.into_iter().filter_map(|effect| match effect {
+        removals.extend(effects.into_iter().filter_map(|effect| match effect {
             Effect::Remove(jobs) => Some(jobs),
             _ => None,
         }));
     }
     assert_eq!(engine.state(id), None, "the job was never accepted");
-    assert_eq!(forgotten, Vec::<Vec<Removal>>::new());
+    assert_eq!(removals, Vec::<Vec<Removal>>::new());
 }
 
 /// The next owner knows only from the cancellation whether the job was ever submitted.
@@ -140,14 +140,14 @@
 ) {
     let now = Timestamp::from_millis(2_000);
     let id = accepted(7).job;
-    let inheritance = StoredState {
+    let stored = StoredState {
         cancelled: vec![
             cancelled(id, cancellation),
             cancelled(id, Cancellation::UnknownJob),
         ],
         ..StoredState::default()
     };
-    let mut engine = Engine::new(Epoch(2), Bounds::default(), inheritance, now);
+    let mut engine = Engine::new(Epoch(2), Bounds::default(), stored, now);
     assert_eq!(engine.state(id), shown);
     engine.submit(accepted(7), now);
     assert_eq!(engine.state(id), Some(State::Cancelled));
@@ -192,20 +192,20 @@
     };
     let all: Vec<Accepted> = (0..DAILY_JOBS).map(accepted).collect();
     let ended = all.iter().map(|accepted| (accepted.job, finished.clone()));
-    let inheritance = StoredState {
+    let stored = StoredState {
         accepted: all.clone(),
         progress: ended.clone().collect(),
         ..StoredState::default()
     };
     let now = Timestamp::from_millis(2_000);
-    let mut engine = Engine::new(Epoch(2), Bounds::default(), inheritance, now);
+    let mut engine = Engine::new(Epoch(2), Bounds::default(), stored, now);
     engine.advance(now);
     let effects = engine.advance(now + Duration::from_secs(4));
-    let forgotten = effects.iter().filter_map(|effect| match effect {
+    let removals = effects.iter().filter_map(|effect| match effect {
         Effect::Remove(jobs) => Some(jobs.len()),
         _ => None,
     });
-    assert_eq!(forgotten.sum::<usize>(), all.len());
+    assert_eq!(removals.sum::<usize>(), all.len());
     let acceptance_sizes = all
         .iter()
         .map(|accepted| record::encode(accepted).unwrap().len());
--- a/crates/cell/tests/cell/incarnation.rs
+++ b/crates/cell/tests/cell/incarnation.rs
@@ -106,9 +106,9 @@
     }
 
     /// Creates a harness of a new owner whose worker has not answered yet.
-    fn inheriting(inheritance: StoredState) -> Self {
+    fn inheriting(stored: StoredState) -> Self {
         let now = Timestamp::from_millis(1_000);
-        let mut engine = Engine::new(Epoch(1), Bounds::default(), inheritance, now);
+        let mut engine = Engine::new(Epoch(1), Bounds::default(), stored, now);
         engine.set_evacuation(Evacuation::default(), now, now);
         Self {
             engine,
--- a/crates/cell/tests/cell/limit.rs
+++ b/crates/cell/tests/cell/limit.rs
@@ -58,7 +58,7 @@
     }
 }
 
-/// Creates a world without faults, with these limits and eight workers that have room for four tasks each.
+/// Creates a world without faults, with these limits and eight workers that have the capacity for four tasks each.
 fn world(limits: &[(&'static str, u32)]) -> World {
     let mut world = World::new(1, Faults::default());
     world.set_limits(limits);
--- a/crates/cell/tests/cell/overtaking.rs
+++ b/crates/cell/tests/cell/overtaking.rs
@@ -176,6 +176,6 @@
         .iter()
         .filter(|effect| matches!(effect, Effect::Stop(_)));
     assert_eq!(stops.count(), 0, "no run is left to stop");
-    // Only the unanswered start still has a claim, until the run is certainly gone.
+    // Only the unanswered start still has an allocation, until the run is certainly gone.
     assert_eq!(engine.counts().claims, 1);
 }
--- a/crates/cell/tests/cell/pending.rs
+++ b/crates/cell/tests/cell/pending.rs
@@ -109,11 +109,11 @@
 /// worker answer with this inventory.
 fn take_over(over: StoredState, listed: Inventory) -> Engine {
     let now = Timestamp::from_millis(2_000);
-    let inheritance = StoredState {
+    let stored = StoredState {
         accepted: (1..=2 * JOBS_EACH).map(accepted).collect(),
         ..over
     };
-    let mut engine = Engine::new(Epoch(2), Bounds::default(), inheritance, now);
+    let mut engine = Engine::new(Epoch(2), Bounds::default(), stored, now);
     engine.set_evacuation(Evacuation::default(), now, now);
     let worker = WorkerId::from("w1");
     engine.register(
@@ -131,7 +131,7 @@
     );
     let effects = engine.advance(now);
     let asked = effects.iter().find_map(|effect| match effect {
-        Effect::Heartbeat(hold) => Some(hold.asked),
+        Effect::Heartbeat(heartbeat) => Some(heartbeat.asked),
         _ => None,
     });
     let asked = asked.expect("a new owner calls every worker");
--- a/crates/cell/tests/cell/preempt.rs
+++ b/crates/cell/tests/cell/preempt.rs
@@ -21,7 +21,7 @@
     size, //
 };
 
-/// How many workers there are, with room for four tasks of the usual size each.
+/// How many workers there are, each with the capacity for four tasks of the usual size.
 const WORKERS: u32 = 48;
 /// How many members a gang has; each fills a whole worker.
 const MEMBERS: u16 = 8;
@@ -71,7 +71,7 @@
     (world, gangs)
 }
 
-/// A preemption for a late gang lets that gang start, so no more tasks are preempted than the gangs take the room of.
+/// A preemption for a late gang lets that gang start, so no more tasks are preempted than the gangs take the place of.
 #[rstest]
 fn no_more_tasks_are_preempted_than_the_steps_that_start_need(
     #[values(70, 85, 95)] load: u32,
@@ -87,7 +87,7 @@
             .into_iter()
             .all(|state| state == Some(State::Completed))
     );
-    // Each member takes the room of four tasks.
+    // Each member takes the place of four tasks.
     let needed = gangs.len() * usize::from(MEMBERS) * 4;
     let preempted = world.preempted.len();
     assert!(
--- a/crates/cell/tests/cell/restart.rs
+++ b/crates/cell/tests/cell/restart.rs
@@ -1,13 +1,13 @@
 //! Workers that restart under the same id and number the ends of their runs from one again.
 //!
 //! A worker numbers the ends of its runs. If the owner stores the last processed number by the worker's id alone, it
-//! skips the ends of a new incarnation up to that number: their runs keep their room, and their tasks count as running.
+//! skips the ends of a new incarnation up to that number: their runs keep their resources, and their tasks count as running.
 //! Once the new count passes the old one, the owner acknowledges all these ends at once, the worker lists the runs no
 //! more, and their tasks are started again although they have succeeded.
 //!
 //! When 17 of 48 workers restart within half a second, finished runs go unnoticed for seconds and tasks run twice, two
 //! of them at the same moment. When the workers of a fleet of 350 restart every 14 s, tasks of accepted jobs wait for
-//! room without end while less than half of the fleet is in use: 2,333 runs hold room that nothing uses. The log shows
+//! capacity without end while less than half of the fleet is in use: 2,333 runs hold resources that nothing uses. The log shows
 //! this fault when no end is logged for the repeated runs, and their tasks wait again at the moment of the first end
 //! that is logged.
 
@@ -133,7 +133,7 @@
     capacity_tasks: 4,
 };
 
-/// A worker comes back with another label or with less room, and registers that only 1.4 s later.
+/// A worker comes back with another label or with less capacity, and registers that only 1.4 s later.
 ///
 /// Tasks started meanwhile go to the other workers.
 #[rstest]
@@ -161,7 +161,7 @@
             world.start_outage(Duration::from_millis(2_500));
             world.run(Duration::from_millis(100));
         }
-        // The last two workers are never restarted, so that some workers keep the label and the room.
+        // The last two workers are never restarted, so that some workers keep the label and the capacity.
         world.restart(&ids[second % (ids.len() - 2)], restart);
         world.run(Duration::from_secs(1));
     }
@@ -189,7 +189,7 @@
     }
 }
 
-/// More tasks wait than there is room for, and those left hold tickets for workers that restart.
+/// More tasks wait than fit, and those left hold tickets for workers that restart.
 #[test]
 fn tickets_of_a_former_incarnation_are_not_used() {
     let mut world = World::new(1, Faults::default());
--- a/crates/cell/tests/cell/takeover.rs
+++ b/crates/cell/tests/cell/takeover.rs
@@ -104,13 +104,13 @@
         address: "127.0.0.1:1".parse().unwrap(),
         runs: vec![(step.task(0), Run(1))],
     };
-    let inheritance = StoredState {
+    let stored = StoredState {
         accepted: vec![accepted],
         workers: vec![(silent.clone(), usage)],
         ..StoredState::default()
     };
     let bounds = Bounds::default();
-    let mut engine = Engine::new(Epoch(2), bounds, inheritance, takeover);
+    let mut engine = Engine::new(Epoch(2), bounds, stored, takeover);
     engine.set_evacuation(Evacuation::default(), takeover, takeover);
     engine.register(registration(&healthy), takeover);
     let mut now = takeover;
@@ -126,17 +126,17 @@
         }
         for effect in effects.drain(..) {
             match effect {
-                Effect::Heartbeat(hold) if hold.to.worker == silent => {
+                Effect::Heartbeat(heartbeat) if heartbeat.to.worker == silent => {
                     engine.handle_heartbeat_answer(
                         &silent,
-                        hold.asked,
+                        heartbeat.asked,
                         HeartbeatAnswer::NoAnswer,
                         now,
                     );
                 }
-                Effect::Heartbeat(hold) => {
+                Effect::Heartbeat(heartbeat) => {
                     let empty = HeartbeatAnswer::Listed(Inventory::default());
-                    engine.handle_heartbeat_answer(&healthy, hold.asked, empty, now);
+                    engine.handle_heartbeat_answer(&healthy, heartbeat.asked, empty, now);
                 }
                 Effect::Record(_) => engine.handle_recorded(now),
                 _ => {}
@@ -170,16 +170,16 @@
         address: "127.0.0.1:1".parse().unwrap(),
         runs: vec![(task, Run(1))],
     };
-    let inheritance = StoredState {
+    let stored = StoredState {
         accepted: vec![recurring_job(now)],
         workers: vec![(worker.clone(), usage)],
         ..StoredState::default()
     };
-    let mut engine = Engine::new(Epoch(2), Bounds::default(), inheritance, now);
+    let mut engine = Engine::new(Epoch(2), Bounds::default(), stored, now);
     engine.set_evacuation(Evacuation::default(), now, now);
     let effects = engine.advance(now);
     let asked = effects.iter().find_map(|effect| match effect {
-        Effect::Heartbeat(hold) => Some(hold.asked),
+        Effect::Heartbeat(heartbeat) => Some(heartbeat.asked),
         _ => None,
     });
     let running = Running {
--- a/crates/cell/tests/cell/throttling.rs
+++ b/crates/cell/tests/cell/throttling.rs
@@ -1,6 +1,6 @@
-//! Best-effort tasks beside latency-sensitive tasks: throttling and placement.
+//! Best-effort tasks that share a worker with latency-sensitive tasks: throttling and placement.
 //!
-//! A best-effort task (`fills`) may be throttled to a share of its processor time while a latency-sensitive task (one
+//! A best-effort task (`is_best_effort`) may be throttled to a share of its processor time while a latency-sensitive task (one
 //! with a `target`) on the same worker is close to or above its target.
 
 use std::time::Duration;
@@ -47,7 +47,7 @@
 
 const TARGET: Duration = Duration::from_millis(100);
 
-/// A cell whose workers run all tasks that they are told to. The test sets the latency that they report.
+/// A cell whose workers carry out all orders to start tasks. The test sets the latency that they report.
 struct Cell {
     engine: Engine,
     now: Timestamp,
--- a/crates/cell/tests/cell/wait.rs
+++ b/crates/cell/tests/cell/wait.rs
@@ -133,7 +133,7 @@
 #[test]
 fn a_step_without_room_is_reported_to_wait_for_room() {
     let mut world = world();
-    // All room stays taken for longer than the engine takes to look for the reason.
+    // No capacity becomes free before the engine evaluates the wait reason.
     world.submit(
         "batch",
         vec![Step {
@@ -159,7 +159,7 @@
 #[test]
 fn unmet_requirements_are_known_before_a_job_is_accepted() {
     let world = world();
-    let lack = |steps: Vec<Step>| {
+    let unmet = |steps: Vec<Step>| {
         let spec = Spec {
             payload: "text".into(),
             steps,
@@ -170,13 +170,13 @@
             .unmet_requirement(&queue("batch", 2, false), &spec)
     };
     assert_eq!(
-        lack(vec![quick_step(), labelled("a"), labelled("r1")]),
+        unmet(vec![quick_step(), labelled("a"), labelled("r1")]),
         None
     );
     let label = Some(UnmetRequirement::Label(UNKNOWN_LABEL.into()));
-    assert_eq!(lack(vec![quick_step(), labelled(UNKNOWN_LABEL)]), label);
+    assert_eq!(unmet(vec![quick_step(), labelled(UNKNOWN_LABEL)]), label);
     assert_eq!(
-        lack(vec![quick_step(), too_large()]),
+        unmet(vec![quick_step(), too_large()]),
         Some(UnmetRequirement::Size(1))
     );
 }
--- a/crates/cell/tests/cell/world/check.rs
+++ b/crates/cell/tests/cell/world/check.rs
@@ -172,7 +172,7 @@
             .any(|task| task.step.job == job)
     }
 
-    /// Checks that every job has ended in the state that it should, and that no claims are left.
+    /// Checks that every job has ended in the state that it should, and that no allocations are left.
     pub(crate) fn check_ends(&mut self) {
         for accepted in &self.accepted {
             let state = self.engine.state(accepted.job);
@@ -191,7 +191,7 @@
         let counts = self.engine.counts();
         if counts.claims > 0 {
             self.violations
-                .push(format!("{} claims are left", counts.claims));
+                .push(format!("{} allocations are left", counts.claims));
         }
     }
 }
--- a/crates/cell/tests/cell/world/evacuate.rs
+++ b/crates/cell/tests/cell/world/evacuate.rs
@@ -91,7 +91,7 @@
         self.engine.set_evacuation(evacuation, read, self.now);
     }
 
-    /// Clears what the owner was told, as there is a new owner.
+    /// Clears what the owner knows of evacuations, as there is a new owner.
     pub(super) fn reset_owner_evacuation(&mut self) {
         self.owner_evacuation = None;
     }
@@ -109,10 +109,11 @@
     }
 
     fn is_evacuated_for_owner(&self, worker: &WorkerId) -> bool {
-        let told = self.owner_evacuation.as_ref();
+        let known = self.owner_evacuation.as_ref();
         let worker = self.workers.get(worker);
-        told.zip(worker)
-            .is_some_and(|(told, worker)| told.covers(Some(&worker.data_centre())))
+        known
+            .zip(worker)
+            .is_some_and(|(known, worker)| known.covers(Some(&worker.data_centre())))
     }
 
     /// Checks that no start is ordered in a data centre that the owner knows to be evacuated, or before the owner knows
--- a/crates/cell/tests/cell/world/fault.rs
+++ b/crates/cell/tests/cell/world/fault.rs
@@ -152,9 +152,9 @@
     pub(super) fn replace_workers(&mut self) {
         for id in self.workers.keys().cloned().collect::<Vec<_>>() {
             let worker = &self.workers[&id];
-            let (slot, leaves) = (worker.slot, worker.leaves_at);
-            match leaves {
-                Some(leaves) if leaves <= self.now => {
+            let (slot, leaves_at) = (worker.slot, worker.leaves_at);
+            match leaves_at {
+                Some(leaves_at) if leaves_at <= self.now => {
                     self.workers.remove(&id);
                     self.engine.unregister(&id, self.now);
                 }
@@ -162,9 +162,9 @@
                 None if self.chance(self.faults.replacements) => {
                     self.add_worker(slot);
                     let span = Duration::from_millis(self.rng.random_range(2_000..4_000));
-                    let leaves = self.now + span;
+                    let leaves_at = self.now + span;
                     if let Some(worker) = self.workers.get_mut(&id) {
-                        worker.announce_leaving(leaves);
+                        worker.announce_leaving(leaves_at);
                     }
                     self.register_slot(slot);
                 }
--- a/crates/cell/tests/cell/world/mod.rs
+++ b/crates/cell/tests/cell/world/mod.rs
@@ -248,7 +248,7 @@
     evacuated: BTreeMap<DataCentre, Timestamp>,
     /// The evacuations that the nodes have read last, and when they read them.
     read_evacuation: (Evacuation, Timestamp),
-    /// The evacuations that the owner was told of last; `None` if it was told nothing yet.
+    /// The evacuations that the owner was last informed of; `None` if it has no information yet.
     owner_evacuation: Option<Evacuation>,
 }
 
@@ -561,7 +561,7 @@
         }
     }
 
-    /// Tells the owner of a job whose acceptance is stored or withdrawn later, or of which the owner never hears again.
+    /// Announces to the owner a job whose acceptance is stored or withdrawn later, or of which it never hears again.
     fn announce(&mut self, accepted: Accepted) {
         let job = accepted.job;
         self.engine.announce(accepted.clone(), self.now);
@@ -708,7 +708,7 @@
     /// Replaces the owner by another one, which takes over with the records in the store.
     pub(crate) fn take_over(&mut self) {
         self.epoch = self.epoch.next();
-        let mut inheritance = StoredState {
+        let mut stored = StoredState {
             accepted: self.stored_acceptances().cloned().collect(),
             cancelled: self
                 .cancelled
@@ -723,17 +723,17 @@
         };
         // A job that was submitted at two nodes is stored in two partitions.
         let duplicates = self.stored_acceptances().step_by(3).cloned();
-        inheritance.accepted.extend(duplicates);
+        stored.accepted.extend(duplicates);
         for entry in self.records.values() {
             match entry {
-                Entry::Job(job, progress) => inheritance.progress.push((*job, progress.clone())),
-                Entry::Worker(id, usage) => inheritance.workers.push((id.clone(), usage.clone())),
+                Entry::Job(job, progress) => stored.progress.push((*job, progress.clone())),
+                Entry::Worker(id, usage) => stored.workers.push((id.clone(), usage.clone())),
                 Entry::RemovedWorker(_) => {}
             }
         }
         self.heartbeats.clear();
         let bounds = evacuate::bounds(&self.faults);
-        self.engine = Engine::new(self.epoch, bounds, inheritance, self.now);
+        self.engine = Engine::new(self.epoch, bounds, stored, self.now);
         self.reset_owner_evacuation();
         self.brief_new_owner();
     }
--- a/crates/cell/tests/cell/world/worker.rs
+++ b/crates/cell/tests/cell/world/worker.rs
@@ -288,10 +288,10 @@
         self.extend_lease(order.deadline, now);
         let is_new_acknowledgement = order.acknowledged > self.acknowledged;
         self.acknowledged = self.acknowledged.max(order.acknowledged);
-        let (acknowledged, kept) = std::mem::take(&mut self.ended)
+        let (acknowledged, unacknowledged) = std::mem::take(&mut self.ended)
             .into_iter()
             .partition(|end| is_new_acknowledgement && end.serial <= order.acknowledged);
-        self.ended = kept;
+        self.ended = unacknowledged;
         let is_waiting = self.ended.is_empty() && !order.wait.is_zero();
         if !order.wait.is_zero() {
             // A lost heartbeat replaces the one that waits.
