--- a/crates/cell/src/engine/announce.rs
+++ b/crates/cell/src/engine/announce.rs
@@ -30,8 +30,8 @@
     ///
     /// The engine asks for advice on its steps, places them and records the starts at once. The orders leave when
     /// [`Self::submit`] confirms that the acceptance is recorded, and never otherwise, so that the answer
-    /// "not run" to a caller is always true. This hides the latency of a slow store: at 0.35 s a call, acceptance and start take
-    /// 1.1 s one after the other, and 0.6 s this way.
+    /// "not run" to a caller is always true. This hides the latency of a slow store: at 0.35 s a call, acceptance and
+    /// start take 1.1 s one after the other, and 0.6 s this way.
     pub fn announce(&mut self, accepted: Accepted, now: Timestamp) -> bool {
         let id = accepted.job;
         if self.jobs.contains_key(&id) || self.ended.contains_key(&id) {
--- a/crates/cell/src/engine/ask.rs
+++ b/crates/cell/src/engine/ask.rs
@@ -47,8 +47,8 @@
 /// way.
 ///
 /// Capacity on these workers becomes free bit by bit, and each further call takes longer than a gang's tickets last.
-/// If a gang asks only about workers that have free capacity at the time, gangs of 40 or more tasks on a full fleet of 540 workers
-/// wait 30 s for their last members.
+/// If a gang asks only about workers that have free capacity at the time, gangs of 40 or more tasks on a full fleet of
+/// 540 workers wait 30 s for their last members.
 const GANG_CAPACITY_FACTOR: f64 = 9.0;
 /// The free capacity of the workers whose tickets are renewed, as a multiple of what the step takes.
 const REFRESH_CAPACITY_FACTOR: f64 = 1.5;
@@ -253,7 +253,7 @@
             let worthwhile = demand
                 .queue
                 .advice
-                .map_or(0, |terms| terms.min_batch_size());
+                .map_or(0, |timing| timing.min_batch_size());
             let mut sum = 0.0;
             let further = unasked(Millicores(0)).enumerate();
             let further = further.take_while(|(count, (_, worker))| {
@@ -275,8 +275,8 @@
     /// Returns whether a call for a step could leave now: none is under way or backed off, and a node is free for a
     /// call about one worker.
     fn may_call(&self, demand: &Demand<'_>, stage: &Stage, now: Timestamp) -> bool {
-        let terms = demand.queue.advice;
-        let is_long = terms.is_some_and(|terms| terms.call_duration(1) > LONG_CALL_THRESHOLD);
+        let timing = demand.queue.advice;
+        let is_long = timing.is_some_and(|timing| timing.call_duration(1) > LONG_CALL_THRESHOLD);
         let is_free = stage.advice.calls_in_flight == 0 && stage.advice.retry_at <= now;
         is_free && self.advice_nodes.idle(is_long).is_some()
     }
@@ -311,7 +311,7 @@
         if stage.is_none_or(|stage| stage.advice.planned.is_empty()) {
             return;
         }
-        let Some(terms) = self.queue_of(job).advice else {
+        let Some(timing) = self.queue_of(job).advice else {
             return;
         };
         let workers = &self.workers;
@@ -319,7 +319,7 @@
         while let Some(stage) = self.jobs.get_mut(&id.job).and_then(|job| job.stage_mut(id))
             && let Some(mut slots) = stage.advice.planned.pop()
         {
-            let is_long = terms.call_duration(slots.len()) > LONG_CALL_THRESHOLD;
+            let is_long = timing.call_duration(slots.len()) > LONG_CALL_THRESHOLD;
             let Some(node) = self.advice_nodes.idle(is_long).cloned() else {
                 stage.advice.planned.push(slots);
                 return;
@@ -386,7 +386,7 @@
         let queue = self.queue_of(job).clone();
         self.allowed_shares
             .learn(&queue.name, call.asked.len(), answer.len());
-        let validity = queue.advice.map(|terms| terms.ticket_validity);
+        let validity = queue.advice.map(|timing| timing.ticket_validity);
         let until = now + validity.unwrap_or_default();
         let tickets: Vec<_> = answer
             .into_iter()
--- a/crates/cell/src/engine/crash.rs
+++ b/crates/cell/src/engine/crash.rs
@@ -1,12 +1,12 @@
 //! Detection of tasks that crash the workers that start them.
 //!
 //! A task may crash each worker that starts it. A crashed worker reports no end of a run, so the task uses up no
-//! attempt, and everything that ran on the same worker is lost each time. The engine therefore counts, per task, the workers that crashed
-//! when they had just begun it. One such crash proves little: some of the tasks on a busy worker have always just
-//! begun. A task that was present at two crashes is a suspect and runs alone, or only with tasks of its step, which would
-//! fail with it anyway: a further crash then harms no other step and shows which step is at fault. At the third
-//! crash the task is given up and its job fails. Once a worker has worked on the task for longer than a crash at its
-//! start takes, the task's count is cleared.
+//! attempt, and everything that ran on the same worker is lost each time. The engine therefore counts, per task, the
+//! workers that crashed when they had just begun it. One such crash proves little: some of the tasks on a busy worker
+//! have always just begun. A task that was present at two crashes is a suspect and runs alone, or only with tasks of
+//! its step, which would fail with it anyway: a further crash then harms no other step and shows which step is at
+//! fault. At the third crash the task is given up and its job fails. Once a worker has worked on the task for longer
+//! than a crash at its start takes, the task's count is cleared.
 //!
 //! A worker that is silent but listed may only be partitioned. Once its leases have expired, its tasks are started
 //! elsewhere and the crash is doubted: it counts only once the worker is known to be gone, and until then merely bounds
--- a/crates/cell/src/engine/end.rs
+++ b/crates/cell/src/engine/end.rs
@@ -35,7 +35,7 @@
         let Ended {
             task,
             run,
-            reason: how,
+            reason: exit_reason,
             ..
         } = ended;
         if let Some(worker) = self.workers.get(&slot) {
@@ -44,12 +44,12 @@
                 task,
                 run,
                 worker,
-                reason: how,
+                reason: exit_reason,
             });
         }
         self.mark_begun(task.step.job);
         self.save_checkpoint(task, ended.checkpoint.as_ref());
-        match how {
+        match exit_reason {
             ExitReason::Done => self.handle_success(slot, task, run, now),
             ExitReason::Failed => {
                 self.clear_crashes(task);
@@ -59,7 +59,7 @@
             ExitReason::Stopped | ExitReason::GangBroken => {}
         }
         self.release(slot, task, run, now);
-        if how != ExitReason::Done {
+        if exit_reason != ExitReason::Done {
             self.stop_gang(task, run, now);
         }
     }
@@ -96,8 +96,8 @@
         let Some(step) = job.step(task.step) else {
             return;
         };
-        let (is_gang, is_lasting) = (step.gang, step.long_running);
-        if job.is_over() || is_lasting {
+        let (is_gang, is_long_running) = (step.gang, step.long_running);
+        if job.is_over() || is_long_running {
             return;
         }
         let Some(stage) = job.stage_mut(task.step) else {
@@ -152,7 +152,7 @@
         let Some(step) = job.step(task.step) else {
             return;
         };
-        let (is_gang, is_lasting) = (step.gang, step.long_running);
+        let (is_gang, is_long_running) = (step.gang, step.long_running);
         let Some(stage) = job.stage_mut(task.step) else {
             return;
         };
@@ -162,8 +162,9 @@
             return;
         };
         state.avoided_worker = Some(slot);
-        // Each member of a gang reports the same failure, and a new owner may get a report of one that is already recorded.
-        if is_lasting || state.failures.contains(&run) {
+        // Each member of a gang reports the same failure, and a new owner may get a report of one that is already
+        // recorded.
+        if is_long_running || state.failures.contains(&run) {
             return;
         }
         state.failures.push(run);
--- a/crates/cell/src/engine/loss.rs
+++ b/crates/cell/src/engine/loss.rs
@@ -20,8 +20,8 @@
     },
 };
 
-/// How long a worker whose leases have expired may take to come back and report ends of runs. Network outages of workers
-/// last some seconds longer than their leases.
+/// How long a worker whose leases have expired may take to come back and report ends of runs. Network outages of
+/// workers last some seconds longer than their leases.
 const LATE_RETURN_PERIOD: Duration = Duration::from_secs(12);
 
 impl Engine {
@@ -85,7 +85,7 @@
         let sent = worker.allocations.iter();
         let sent = sent.filter(|(_, allocation)| allocation.phase != Phase::Recording);
         let others = sent.clone().count().saturating_sub(1);
-        let notes: Vec<LogRecord> = sent
+        let records: Vec<LogRecord> = sent
             .map(|((task, run), allocation)| LogRecord::Lost {
                 task: *task,
                 run: *run,
@@ -95,7 +95,7 @@
                 other_runs: others,
             })
             .collect();
-        notes.into_iter().for_each(|note| self.log(note));
+        records.into_iter().for_each(|record| self.log(record));
     }
 
     /// Returns the runs of a worker whose resource allocations meet a condition.
--- a/crates/cell/src/engine/order.rs
+++ b/crates/cell/src/engine/order.rs
@@ -292,7 +292,8 @@
         (worker.registered < self.report_validity.valid_from).then_some("room-unknown")
     }
 
-    /// Holds back the starts of jobs whose acceptance is not on record yet. Returns the other starts that are still pending.
+    /// Holds back the starts of jobs whose acceptance is not on record yet. Returns the other starts that are still
+    /// pending.
     fn hold_announced(&mut self, starts: Vec<(Slot, TaskId, Run)>) -> Vec<(Slot, TaskId, Run)> {
         let waiting = starts.into_iter().filter(|(slot, task, run)| {
             let worker = self.workers.get(slot);
--- a/crates/cell/src/engine/recording.rs
+++ b/crates/cell/src/engine/recording.rs
@@ -52,7 +52,7 @@
 pub(super) struct RecordQueue {
     jobs: BTreeSet<JobId>,
     workers: BTreeSet<Slot>,
-    /// Workers that are gone for good and whose usage is to be removed from the store.
+    /// Workers that are gone for good and whose runs are to be removed from the store.
     gone: BTreeSet<WorkerId>,
     /// The serial of the last end that was handled, by worker.
     ends: BTreeMap<Slot, u64>,
@@ -132,8 +132,9 @@
 impl Engine {
     /// Returns the estimated time at which an order decided now leaves, after its record is written.
     ///
-    /// Its ticket has to be usable then. Without this estimate, if a write takes 0.4 s, steps that have waited for capacity
-    /// take it with tickets that expire before their orders leave, and take it again after another call for advice.
+    /// Its ticket has to be usable then. Without this estimate, if a write takes 0.4 s, steps that have waited for
+    /// capacity take it with tickets that expire before their orders leave, and take it again after another call for
+    /// advice.
     pub(super) fn expected_departure(&self, now: Timestamp) -> Timestamp {
         now + self.record_queue.expected_delay(now)
     }
@@ -150,7 +151,7 @@
         let jobs = std::mem::take(&mut self.record_queue.jobs);
         let workers = std::mem::take(&mut self.record_queue.workers);
         let ends = std::mem::take(&mut self.record_queue.ends);
-        // Removals come before the usage of a worker that has returned under the same id: the last entry of a key wins,
+        // Removals come before the runs of a worker that has returned under the same id: the last entry of a key wins,
         // and a new owner would start runs elsewhere that it doesn't find on record.
         let gone = std::mem::take(&mut self.record_queue.gone);
         let mut entries: Vec<Entry> = gone.into_iter().map(Entry::RemovedWorker).collect();
@@ -167,12 +168,12 @@
             let Some(worker) = self.workers.get(&slot) else {
                 continue;
             };
-            let usage = WorkerRuns {
+            let runs = WorkerRuns {
                 address: worker.registration.address,
                 incarnation: worker.incarnation,
                 runs: worker.allocations.keys().copied().collect(),
             };
-            entries.push(Entry::Worker(worker.registration.id.clone(), usage));
+            entries.push(Entry::Worker(worker.registration.id.clone(), runs));
             let decided = worker.allocations.iter();
             let decided = decided.filter(|(_, allocation)| allocation.phase == Phase::Recording);
             starts.extend(decided.map(|((task, run), _)| (slot, *task, *run)));
--- a/crates/cell/src/engine/throttling.rs
+++ b/crates/cell/src/engine/throttling.rs
@@ -1,8 +1,9 @@
 //! Throttling of best-effort tasks that share a worker with latency-sensitive tasks.
 //!
-//! Best-effort tasks (steps with `is_best_effort`) use the CPU that others leave. They slow latency-sensitive tasks (steps with
-//! a `target`) down by an amount that can't be predicted. Workers report how close the latency-sensitive tasks are to
-//! their target, and the CPU share of the best-effort tasks is reduced at once and raised again in small increments.
+//! Best-effort tasks (steps with `is_best_effort`) use the CPU that others leave. They slow latency-sensitive tasks
+//! (steps with a `target`) down by an amount that can't be predicted. Workers report how close the latency-sensitive
+//! tasks are to their target, and the CPU share of the best-effort tasks is reduced at once and raised again in small
+//! increments.
 
 use std::{
     collections::BTreeMap,
--- a/crates/cell/tests/cell/crash.rs
+++ b/crates/cell/tests/cell/crash.rs
@@ -139,14 +139,14 @@
 /// The crashed workers stay away until their leases have expired, then come back under their ids, and owners change
 /// meanwhile.
 ///
-/// A worker that is silent but still listed may only be cut off, so its crash is unconfirmed until it is known to be
-/// gone. If the owner dies before that and the next owner doesn't know of the unconfirmed crash, no crash is ever
+/// A worker that is silent but still listed may only be cut off, so its crash is doubted until it is known to be
+/// gone. If the owner dies before that and the next owner doesn't know of the doubted crash, no crash is ever
 /// counted, and the task takes down one worker after the other until it is cancelled.
 #[rstest]
 #[case::a_single_task("urgent", vec![single_task()])]
 #[case::a_member_of_a_gang("gang", vec![gang()])]
 #[case::a_long_running_task("batch", vec![long_running()])]
-fn an_unconfirmed_crash_is_counted_by_the_next_owner(
+fn a_doubted_crash_is_counted_by_the_next_owner(
     #[case] queue: &str,
     #[case] steps: Vec<Step>,
     #[values(7, 8, 9, 11, 180)] seconds_between_takeovers: u64,
--- a/crates/cell/tests/cell/foreign.rs
+++ b/crates/cell/tests/cell/foreign.rs
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn with_foreign_entries_runs_continue_and_no_task_is_started() {
+fn with_overwritten_entries_runs_continue_and_no_task_is_started() {
     let (mut world, job) = fully_loaded();
     for id in workers(&world) {
         world.overwrite_entry(&id, FOREVER);
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn a_foreign_entry_of_an_unknown_worker_is_ignored() {
+fn an_overwritten_entry_of_an_unknown_worker_is_ignored() {
     let mut world = World::new(3, Faults::default());
     let unknown = WorkerId::from("another");
     world.engine.mark_entry_unusable(&unknown, world.now);
@@ -94,7 +94,7 @@
 
 /// A capacity or an address that no entry confirms must not stay in force for ever.
 #[test]
-fn a_silent_worker_with_a_foreign_entry_is_given_up_when_its_leases_have_expired() {
+fn a_silent_worker_with_an_overwritten_entry_is_given_up_when_its_leases_have_expired() {
     let (mut world, job) = fully_loaded();
     let cut_off = workers(&world)[0].clone();
     world.workers.get_mut(&cut_off).unwrap().unreachable_until = world.now + FOREVER;
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn a_new_owner_finds_the_runs_of_a_worker_with_a_foreign_entry() {
+fn a_new_owner_finds_the_runs_of_a_worker_with_an_overwritten_entry() {
     let (mut world, job) = fully_loaded();
     for id in workers(&world) {
         world.overwrite_entry(&id, FOREVER);
--- a/crates/cell/tests/cell/restart.rs
+++ b/crates/cell/tests/cell/restart.rs
@@ -1,15 +1,15 @@
 //! Workers that restart under the same id and number the ends of their runs from one again.
 //!
 //! A worker numbers the ends of its runs. If the owner stores the last processed number by the worker's id alone, it
-//! skips the ends of a new incarnation up to that number: their runs keep their resources, and their tasks count as running.
-//! Once the new count passes the old one, the owner acknowledges all these ends at once, the worker lists the runs no
-//! more, and their tasks are started again although they have succeeded.
+//! skips the ends of a new incarnation up to that number: their runs keep their resources, and their tasks count as
+//! running. Once the new count passes the old one, the owner acknowledges all these ends at once, the worker lists the
+//! runs no more, and their tasks are started again although they have succeeded.
 //!
 //! When 17 of 48 workers restart within half a second, finished runs go unnoticed for seconds and tasks run twice, two
 //! of them at the same moment. When the workers of a fleet of 350 restart every 14 s, tasks of accepted jobs wait for
-//! capacity without end while less than half of the fleet is in use: 2,333 runs hold resources that nothing uses. The log shows
-//! this fault when no end is logged for the repeated runs, and their tasks wait again at the moment of the first end
-//! that is logged.
+//! capacity without end while less than half of the fleet is in use: 2,333 runs hold resources that nothing uses. The
+//! log shows this fault when no end is logged for the repeated runs, and their tasks wait again at the moment of the
+//! first end that is logged.
 
 use std::time::Duration;
 
--- a/crates/cell/tests/cell/takeover.rs
+++ b/crates/cell/tests/cell/takeover.rs
@@ -99,14 +99,14 @@
     let mut spec = (*accepted.spec).clone();
     spec.schedule = None;
     accepted.spec = spec.into();
-    let usage = WorkerRuns {
+    let runs = WorkerRuns {
         incarnation: None,
         address: "127.0.0.1:1".parse().unwrap(),
         runs: vec![(step.task(0), Run(1))],
     };
     let stored = StoredState {
         accepted: vec![accepted],
-        workers: vec![(silent.clone(), usage)],
+        workers: vec![(silent.clone(), runs)],
         ..StoredState::default()
     };
     let bounds = Bounds::default();
@@ -165,14 +165,14 @@
         step: 0,
     }
     .task(0);
-    let usage = WorkerRuns {
+    let runs = WorkerRuns {
         incarnation: None,
         address: "127.0.0.1:1".parse().unwrap(),
         runs: vec![(task, Run(1))],
     };
     let stored = StoredState {
         accepted: vec![recurring_job(now)],
-        workers: vec![(worker.clone(), usage)],
+        workers: vec![(worker.clone(), runs)],
         ..StoredState::default()
     };
     let mut engine = Engine::new(Epoch(2), Bounds::default(), stored, now);
--- a/crates/cell/tests/cell/throttling.rs
+++ b/crates/cell/tests/cell/throttling.rs
@@ -1,7 +1,7 @@
 //! Best-effort tasks that share a worker with latency-sensitive tasks: throttling and placement.
 //!
-//! A best-effort task (`is_best_effort`) may be throttled to a share of its processor time while a latency-sensitive task (one
-//! with a `target`) on the same worker is close to or above its target.
+//! A best-effort task (`is_best_effort`) may be throttled to a share of its processor time while a latency-sensitive
+//! task (one with a `target`) on the same worker is close to or above its target.
 
 use std::time::Duration;
 
--- a/crates/cell/tests/cell/wait.rs
+++ b/crates/cell/tests/cell/wait.rs
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn a_step_without_room_is_reported_to_wait_for_room() {
+fn a_step_without_free_capacity_is_reported_to_wait_for_it() {
     let mut world = world();
     // No capacity becomes free before the engine evaluates the wait reason.
     world.submit(
--- a/crates/cell/tests/cell/world/deliver.rs
+++ b/crates/cell/tests/cell/world/deliver.rs
@@ -47,7 +47,7 @@
         let (now, id) = (self.now, order.to.worker.clone());
         let fails = self.chance(self.faults.failures);
         let duration = Duration::from_millis(self.rng.random_range(200..3_000));
-        let (how, duration) = match (self.can_never_assemble(order.task.step), fails) {
+        let (exit_reason, duration) = match (self.can_never_assemble(order.task.step), fails) {
             (true, _) => (ExitReason::GangTimeout, Bounds::default().gang_wait),
             _ if self.is_long_running(order.task.step) => (ExitReason::Failed, LONG_RUN_DURATION),
             (false, true) => (ExitReason::Failed, duration),
@@ -77,7 +77,7 @@
             }
             return;
         }
-        let answer = worker.start(order, duration, how, now);
+        let answer = worker.start(order, duration, exit_reason, now);
         if answer == StartAnswer::Started {
             self.starts += 1;
             self.started_jobs.insert(order.task.step.job);
--- a/crates/cell/tests/cell/world/mod.rs
+++ b/crates/cell/tests/cell/world/mod.rs
@@ -727,7 +727,7 @@
         for entry in self.records.values() {
             match entry {
                 Entry::Job(job, progress) => stored.progress.push((*job, progress.clone())),
-                Entry::Worker(id, usage) => stored.workers.push((id.clone(), usage.clone())),
+                Entry::Worker(id, runs) => stored.workers.push((id.clone(), runs.clone())),
                 Entry::RemovedWorker(_) => {}
             }
         }
--- a/crates/cell/tests/cell/world/worker.rs
+++ b/crates/cell/tests/cell/world/worker.rs
@@ -55,7 +55,7 @@
 struct Task {
     run: Run,
     ends_at: Timestamp,
-    how: ExitReason,
+    exit_reason: ExitReason,
 }
 
 /// One incarnation of a worker.
@@ -216,7 +216,7 @@
         &mut self,
         order: &Start,
         duration: Duration,
-        how: ExitReason,
+        exit_reason: ExitReason,
         now: Timestamp,
     ) -> StartAnswer {
         if self.rejects_fence(&order.to) {
@@ -244,7 +244,7 @@
         let task = Task {
             run: order.run,
             ends_at: now + duration,
-            how,
+            exit_reason,
         };
         self.tasks.insert(order.task, task);
         self.highest_runs.insert(order.task, order.run);
@@ -263,7 +263,7 @@
             && task.ends_at > now + STOP_DURATION
         {
             task.ends_at = now + STOP_DURATION;
-            task.how = ExitReason::Stopped;
+            task.exit_reason = ExitReason::Stopped;
         }
         StopAnswer::Confirmed
     }
@@ -316,22 +316,22 @@
         }
         let mut ended = Vec::new();
         self.tasks.retain(|id, task| {
-            let how = match (is_expired, task.ends_at <= now) {
+            let exit_reason = match (is_expired, task.ends_at <= now) {
                 (true, _) => ExitReason::Lapsed,
-                (false, true) => task.how,
+                (false, true) => task.exit_reason,
                 (false, false) => return true,
             };
-            ended.push((*id, task.run, how));
+            ended.push((*id, task.run, exit_reason));
             false
         });
         let has_ended = !ended.is_empty();
-        for (task, run, how) in ended {
+        for (task, run, exit_reason) in ended {
             self.last_end += 1;
             self.ended.push(Ended {
                 serial: self.last_end,
                 task,
                 run,
-                reason: how,
+                reason: exit_reason,
                 checkpoint: None,
             });
         }
@@ -342,7 +342,7 @@
     pub(crate) fn inventory(&self, now: Timestamp) -> Inventory {
         // A task that is being stopped is not listed until it has ended.
         let running = self.tasks.iter();
-        let running = running.filter(|(_, task)| task.how != ExitReason::Stopped);
+        let running = running.filter(|(_, task)| task.exit_reason != ExitReason::Stopped);
         let running = running.map(|(id, task)| Running {
             task: *id,
             run: task.run,
