--- a/crates/cell/src/lib.rs
+++ b/crates/cell/src/lib.rs
@@ -4,9 +4,9 @@
 //! jobs, their steps and the workers. It takes events and the current time and returns [`effect::Effect`]s; this crate
 //! does no I/O and reads no clock.
 //!
-//! State that must survive a node is kept in two kinds of records, [`record::Accepted`] and [`record::Progress`]. Each
-//! record has its own key, under which the newest version replaces the older one. Starts are not recorded: a new owner
-//! takes over every worker at its epoch and adopts the runs that it finds there.
+//! State that must survive a node is stored in two kinds of records, [`record::Accepted`] and [`record::Progress`].
+//! Each record has its own key, under which the newest version replaces the older one. Starts are not recorded: a new
+//! owner takes over every worker at its epoch and adopts the runs that it finds there.
 
 pub mod advice;
 pub mod bounds;
--- a/crates/cell/tests/cell/evacuate.rs
+++ b/crates/cell/tests/cell/evacuate.rs
@@ -21,7 +21,7 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-/// Returns faults that put the bounded on starts after an evacuation in force, with hardly any evacuation by chance.
+/// Returns faults that put the bound on starts after an evacuation in force, with hardly any evacuation by chance.
 fn bounded() -> Faults {
     Faults {
         evacuations: 1,
@@ -279,7 +279,7 @@
 
 /// A new owner knows which runs workers may have before it has read in which data centres the workers are.
 #[test]
-fn a_new_owner_uses_inherited_workers_of_the_other_data_centre() {
+fn a_new_owner_uses_recorded_workers_of_the_other_data_centre() {
     let mut world = world(Faults::default());
     let early = world.submit("batch", vec![wide_step(32)]);
     world.run(Duration::from_millis(200));
--- a/crates/cell/tests/cell/incarnation.rs
+++ b/crates/cell/tests/cell/incarnation.rs
@@ -99,14 +99,14 @@
 impl Harness {
     /// Creates a harness whose worker has answered as the first incarnation.
     fn new() -> Self {
-        let mut harness = Self::inheriting(StoredState::default());
+        let mut harness = Self::of_new_owner(StoredState::default());
         harness.register(FIRST);
         harness.send_inventory(FIRST, &[]);
         harness
     }
 
     /// Creates a harness of a new owner whose worker has not answered yet.
-    fn inheriting(stored: StoredState) -> Self {
+    fn of_new_owner(stored: StoredState) -> Self {
         let now = Timestamp::from_millis(1_000);
         let mut engine = Engine::new(Epoch(1), Bounds::default(), stored, now);
         engine.set_evacuation(Evacuation::default(), now, now);
@@ -339,10 +339,13 @@
         harness.send_inventory(next, &[]);
         harness.advance(3 * Duration::from_secs(1));
     }
-    let counted = harness.log_records.iter().filter_map(|note| match note {
-        LogRecord::Crashed { crashes, .. } => Some(*crashes),
-        _ => None,
-    });
+    let counted = harness
+        .log_records
+        .iter()
+        .filter_map(|record| match record {
+            LogRecord::Crashed { crashes, .. } => Some(*crashes),
+            _ => None,
+        });
     assert_eq!(counted.collect::<Vec<_>>(), [1, 2, 3]);
 }
 
@@ -457,7 +460,7 @@
 }
 
 /// Returns what a new owner finds of a task that has crashed the worker's first incarnation, or may have.
-fn inherited(job: JobId, is_doubted: bool) -> StoredState {
+fn stored_crash(job: JobId, is_doubted: bool) -> StoredState {
     let crash = Crash {
         run: Run(1),
         worker: WorkerId::from("w1"),
@@ -477,7 +480,7 @@
         occurrences: vec![(0, vec![step])],
         outcome: None,
     };
-    let usage = WorkerRuns {
+    let runs = WorkerRuns {
         address: "127.0.0.1:1".parse().unwrap(),
         incarnation: Some(FIRST),
         runs: Vec::new(),
@@ -485,18 +488,18 @@
     StoredState {
         accepted: vec![accepted(job, 1, Timestamp::from_millis(1_000))],
         progress: vec![(job, read_back(&progress))],
-        workers: vec![(WorkerId::from("w1"), usage)],
+        workers: vec![(WorkerId::from("w1"), runs)],
         ..StoredState::default()
     }
 }
 
 /// A former owner believed that a task had crashed a worker, but the worker answers: the crash no longer counts.
 #[rstest]
-#[case::that_was_unconfirmed(true)]
+#[case::that_was_doubted(true)]
 #[case::that_was_counted(false)]
-fn a_new_owner_takes_back_a_crash_of_a_worker_that_answers(#[case] is_doubted: bool) {
+fn a_new_owner_retracts_a_crash_of_a_worker_that_answers(#[case] is_doubted: bool) {
     let job = JobId(1);
-    let mut harness = Harness::inheriting(inherited(job, is_doubted));
+    let mut harness = Harness::of_new_owner(stored_crash(job, is_doubted));
     harness.register(FIRST);
     harness.send_inventory(FIRST, &[]);
     harness.advance(50 * MILLISECOND);
@@ -510,8 +513,8 @@
 
 /// The worker answers as another incarnation, which confirms the crash that a former owner could not confirm.
 #[test]
-fn a_new_owner_counts_an_unconfirmed_crash_once_another_incarnation_answers() {
-    let mut harness = Harness::inheriting(inherited(JobId(1), true));
+fn a_new_owner_counts_a_doubted_crash_once_another_incarnation_answers() {
+    let mut harness = Harness::of_new_owner(stored_crash(JobId(1), true));
     harness.register(SECOND);
     assert_eq!(harness.crash_count(), 0);
     harness.send_inventory(SECOND, &[]);
--- a/crates/cell/tests/cell/preempt.rs
+++ b/crates/cell/tests/cell/preempt.rs
@@ -1,9 +1,9 @@
 //! Preemption: it stops no more tasks than the steps that start because of it need, and it comes to an end.
 //!
 //! If late gangs preempt tasks that are in time, and these come before the gangs in the next scheduling pass, the tasks
-//! take the room back and the preemptions repeat. Long after some workers have failed, half of all runs of a fleet are
-//! then still stopped, and one task is placed some forty times. The owner's log shows this fault when few preemptions
-//! are followed by a start of the step that they were for on the same worker: 108 of 2,023.
+//! take the capacity back and the preemptions repeat. Long after some workers have failed, half of all runs of a fleet
+//! are then still stopped, and one task is placed some forty times. The owner's log shows this fault when few
+//! preemptions are followed by a start of the step that they were for on the same worker: 108 of 2,023.
 
 use std::time::Duration;
 
