--- a/crates/cell/src/engine/announce.rs
+++ b/crates/cell/src/engine/announce.rs
@@ -47,7 +47,7 @@
         if self.announced.remove(&id).is_none() {
             return;
         }
-        for (slot, task, run) in self.take_held(id) {
+        for (slot, task, run) in self.take_held_starts(id) {
             self.release(slot, task, run, now);
         }
         for (slot, task, run) in self.runs_of(id) {
@@ -75,7 +75,7 @@
         if self.announced.remove(&id).is_none() {
             return false;
         }
-        let held = self.take_held(id);
+        let held = self.take_held_starts(id);
         self.send_starts(held, now);
         true
     }
@@ -112,7 +112,7 @@
     }
 
     /// Removes and returns the starts of a job that wait for its acceptance.
-    fn take_held(&mut self, id: JobId) -> Vec<(Slot, TaskId, Run)> {
+    fn take_held_starts(&mut self, id: JobId) -> Vec<(Slot, TaskId, Run)> {
         let (held, others) = std::mem::take(&mut self.held_starts)
             .into_iter()
             .partition(|(_, task, _)| task.step.job == id);
--- a/crates/cell/src/engine/contact.rs
+++ b/crates/cell/src/engine/contact.rs
@@ -1,4 +1,4 @@
-//! Registration of workers, and the calls that renew their leases and fetch their inventories.
+//! Registration of workers, heartbeats, which renew their leases, and probes; both fetch their inventories.
 
 use std::time::Duration;
 
@@ -40,15 +40,15 @@
     },
 };
 
-/// How long a worker may wait for a run to end before it answers a call for its inventory.
+/// How long a worker may wait for a run to end before it answers a heartbeat.
 ///
-/// The platform allows at most 2 s, and a lost call is noticed only after this time.
-const INVENTORY_WAIT: Duration = Duration::from_millis(1_000);
+/// The platform allows at most 2 s, and a lost heartbeat is noticed only after this time.
+const HEARTBEAT_WAIT: Duration = Duration::from_millis(1_000);
 /// The same bound while best-effort and latency-sensitive tasks share the worker.
 ///
 /// Interference shows after half a second and has to be ended within a few seconds.
-const MIXED_LOAD_INVENTORY_WAIT: Duration = Duration::from_millis(400);
-/// The delay before a worker that gave no answer is called again.
+const SHARED_WORKER_HEARTBEAT_WAIT: Duration = Duration::from_millis(400);
+/// The delay before another heartbeat or probe is sent to a worker that gave no answer.
 const SILENT_WORKER_RETRY_DELAY: Duration = Duration::from_millis(200);
 /// The longest time between two lease renewals while an end waits to be recorded in the store.
 const UNRECORDED_END_RENEWAL_INTERVAL: Duration = Duration::from_millis(500);
@@ -173,7 +173,8 @@
         slot
     }
 
-    /// Updates the indexes of a worker: its next call, its next expiry, and its position by free capacity.
+    /// Updates the indexes of a worker: its next heartbeat or probe, its next expiry, and its position by free
+    /// capacity.
     ///
     /// Both times may turn out to be too early and are then set again.
     pub(super) fn update_indexes(&mut self, slot: Slot) {
@@ -184,7 +185,7 @@
             .set(slot, worker.and_then(Worker::next_expiry));
     }
 
-    /// Calls every worker whose next call is due.
+    /// Sends every heartbeat and probe that is due.
     pub(super) fn call_workers(&mut self, now: Timestamp) {
         for slot in self.calls.take_due(now) {
             self.call_worker(slot, now);
@@ -196,11 +197,12 @@
         let Some(worker) = self.workers.get_mut(&slot) else {
             return;
         };
-        // Answers are matched to calls by the time of the call, so two calls must not leave at the same instant.
+        // Answers are matched to heartbeats and probes by the time of the call, so two calls must not leave at the same
+        // instant.
         let is_calling = worker.heartbeat == CallState::InFlight(now);
         if !is_calling && worker.probe.is_some_and(|probe| probe.is_due(now)) {
             worker.probe = Some(CallState::InFlight(now));
-            let call = inventory_call(worker, None, Duration::ZERO, now);
+            let call = heartbeat_effect(worker, None, Duration::ZERO, now);
             self.outbox.push(call);
         }
         if !worker.heartbeat.is_due(now) || worker.probe == Some(CallState::InFlight(now)) {
@@ -213,17 +215,17 @@
         };
         let wait = match worker.heard {
             Some(_) if worker.silent_since.is_none() && worker.throttling.is_shared => {
-                MIXED_LOAD_INVENTORY_WAIT
+                SHARED_WORKER_HEARTBEAT_WAIT
             }
-            Some(_) if worker.silent_since.is_none() => INVENTORY_WAIT,
+            Some(_) if worker.silent_since.is_none() => HEARTBEAT_WAIT,
             _ => Duration::ZERO,
         };
         worker.heartbeat = CallState::InFlight(now);
-        let call = inventory_call(worker, deadline, wait, now);
+        let call = heartbeat_effect(worker, deadline, wait, now);
         self.outbox.push(call);
     }
 
-    /// Handles the answer to a call for an inventory.
+    /// Handles the answer to a heartbeat or probe.
     ///
     /// `asked` is when the call was made.
     pub fn handle_heartbeat_answer(
@@ -495,8 +497,9 @@
     }
 }
 
-/// Returns the call that requests a worker's inventory and extends its lease up to `deadline`, if there is one.
-fn inventory_call(
+/// Returns the effect of a heartbeat or probe: it requests a worker's inventory and extends its lease up to `deadline`,
+/// if there is one.
+fn heartbeat_effect(
     worker: &Worker,
     deadline: Option<u64>,
     wait: Duration,
--- a/crates/cell/src/engine/mod.rs
+++ b/crates/cell/src/engine/mod.rs
@@ -16,7 +16,7 @@
 //! | `order` | handles answers to orders, and repeats stops until they are settled |
 //! | `wait` | reports why steps wait, and parks those that no known worker could run |
 //! | `throttling` | throttles best-effort tasks that disturb latency-sensitive ones |
-//! | `contact` | handles newly listed workers, leases and inventories |
+//! | `contact` | handles newly listed workers, heartbeats and inventories |
 //! | `evacuate` | tracks data centres in which nothing new is started |
 //! | `crash` | isolates, and finally fails, tasks that crash their workers |
 //! | `restart` | handles new incarnations of known workers |
@@ -203,7 +203,7 @@
     free_capacity: FreeCapacity,
     /// Which data centres are evacuated. Nothing is started until this is known.
     evacuation: Option<evacuate::Reading>,
-    /// When each worker is called next.
+    /// When the next heartbeat or probe of each worker is due.
     calls: Timers<Slot>,
     /// When workers that are silent or unlisted may have to be declared lost or be forgotten.
     expiries: Timers<Slot>,
--- a/crates/cell/src/engine/order.rs
+++ b/crates/cell/src/engine/order.rs
@@ -41,12 +41,12 @@
 /// How long a worker gets no new tasks after it rejected a start order.
 const REJECTION_BACKOFF: Duration = Duration::from_millis(500);
 /// After this many unanswered start orders a run is stopped. On bad days a twentieth of all orders goes unanswered; a
-/// worker that answers none of several doesn't answer inventory calls either.
+/// worker that answers none of several doesn't answer heartbeats either.
 const MAX_UNANSWERED_STARTS: u8 = 3;
 /// How long to wait before a stop order is sent again.
 const STOP_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// The delay between a confirmed stop and the inventory call that shows whether the run was there at all.
+/// The delay between a confirmed stop and the probe that shows whether the run was there at all.
 const STOP_VERIFICATION_DELAY: Duration = Duration::from_millis(1);
 
 impl Engine {
@@ -243,7 +243,7 @@
     /// members of a gang that did start would wait for the others in vain. Likewise the worker's capacity may have
     /// become unknown, the worker may have announced that it leaves, or its data centre may have been evacuated.
     pub(super) fn send_starts(&mut self, starts: Vec<(Slot, TaskId, Run)>, now: Timestamp) {
-        let starts = self.hold_announced(starts);
+        let starts = self.hold_announced_starts(starts);
         let obstacles = starts.iter().filter_map(|start| {
             let (_, task, _) = start;
             Some((*task, self.start_obstacle(start, now)?))
@@ -294,7 +294,10 @@
 
     /// Holds back the starts of jobs whose acceptance is not on record yet. Returns the other starts that are still
     /// pending.
-    fn hold_announced(&mut self, starts: Vec<(Slot, TaskId, Run)>) -> Vec<(Slot, TaskId, Run)> {
+    fn hold_announced_starts(
+        &mut self,
+        starts: Vec<(Slot, TaskId, Run)>,
+    ) -> Vec<(Slot, TaskId, Run)> {
         let waiting = starts.into_iter().filter(|(slot, task, run)| {
             let worker = self.workers.get(slot);
             let allocation = worker.and_then(|worker| worker.allocations.get(&(*task, *run)));
@@ -392,7 +395,7 @@
                 if let Some(worker) = self.workers.get_mut(&slot)
                     && worker.probe.is_none()
                 {
-                    // The short delay ensures that the call is made after this answer.
+                    // The short delay ensures that the probe is sent after this answer.
                     worker.probe = Some(CallState::Due(now + STOP_VERIFICATION_DELAY));
                     self.update_indexes(slot);
                 }
--- a/crates/cell/src/engine/view.rs
+++ b/crates/cell/src/engine/view.rs
@@ -52,7 +52,7 @@
     }
 }
 
-/// What an engine holds, for metrics.
+/// The numbers of an engine's jobs, steps, runs and workers, for metrics.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
     /// Jobs, ended ones included.
--- a/crates/cell/src/event.rs
+++ b/crates/cell/src/event.rs
@@ -115,7 +115,7 @@
     pub ended: Vec<Ended>,
 }
 
-/// The result of a call for a worker's inventory.
+/// The result of a heartbeat.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum HeartbeatAnswer {
     /// The worker answered with its inventory.
--- a/crates/cell/src/worker.rs
+++ b/crates/cell/src/worker.rs
@@ -29,7 +29,8 @@
     },
 };
 
-/// For how long a newer inventory may have overtaken an older one: calls wait 1 s for an end and time out 0.8 s later.
+/// For how long a newer inventory may have overtaken an older one: heartbeats wait 1 s for an end and time out 0.8 s
+/// later.
 const MAX_INVENTORY_DELAY: Duration = Duration::from_secs(2);
 
 /// How long the engine remembers a worker that is not listed and runs nothing.
@@ -106,7 +107,7 @@
     at: Timestamp,
 }
 
-/// The state of the call that renews the lease and requests the inventory; at most one is in flight.
+/// The state of a worker's heartbeats or of its probes; at most one of each is in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallState {
     /// The next call is due at this time.
@@ -171,12 +172,12 @@
     pub allocations: BTreeMap<(TaskId, Run), Allocation>,
     /// The call that renews its lease and requests its inventory.
     pub heartbeat: CallState,
-    /// A second call, which doesn't wait for an end. It shows at once whether a start without an answer has succeeded;
-    /// the first call may take up to a second longer.
+    /// A second call for its inventory, which neither renews the lease nor waits for an end. It shows at once whether a
+    /// start without an answer has succeeded; the heartbeat may take up to a second longer.
     pub probe: Option<CallState>,
     /// When it last sent an inventory in this epoch.
     pub heard: Option<Timestamp>,
-    /// When its calls began to fail.
+    /// When its heartbeats began to fail.
     pub silent_since: Option<Timestamp>,
     /// How it stopped answering, if it has.
     pub silence: Option<Silence>,
@@ -461,7 +462,7 @@
         (&own.pool, own.capacity, &own.labels) != (&newer.pool, newer.capacity, &newer.labels)
     }
 
-    /// Schedules a call again whose answer could not be used.
+    /// Schedules a heartbeat or probe again whose answer could not be used.
     pub fn retry_call(&mut self, is_probe: bool, now: Timestamp) {
         let call = CallState::Due(now);
         match is_probe {
@@ -471,7 +472,7 @@
         }
     }
 
-    /// Returns when the next call is due; `None` while all calls are in flight.
+    /// Returns when the next heartbeat or probe is due; `None` while all of them are in flight.
     pub fn next_call(&self) -> Option<Timestamp> {
         let calls = [self.probe, Some(self.heartbeat)].into_iter().flatten();
         let due = calls.filter_map(|call| match call {
--- a/crates/cell/tests/cell/incarnation.rs
+++ b/crates/cell/tests/cell/incarnation.rs
@@ -161,7 +161,7 @@
                     Effect::Heartbeat(heartbeat) => self.heartbeats.push(heartbeat),
                     Effect::Start(start) => self.starts.push(*start),
                     Effect::Stop(stop) => self.stops.push(stop),
-                    Effect::Log(note) => self.log_records.push(note),
+                    Effect::Log(record) => self.log_records.push(record),
                     Effect::Deposed => self.is_deposed = true,
                     _ => {}
                 }
@@ -222,13 +222,13 @@
     fn has_logged_belief(&self, expected: &str) -> bool {
         let mut log_records = self.log_records.iter();
         log_records
-            .any(|note| matches!(note, LogRecord::Worker { belief, .. } if *belief == expected))
+            .any(|record| matches!(record, LogRecord::Worker { belief, .. } if *belief == expected))
     }
 
     fn crash_count(&self) -> usize {
         let log_records = self.log_records.iter();
         log_records
-            .filter(|note| matches!(note, LogRecord::Crashed { .. }))
+            .filter(|record| matches!(record, LogRecord::Crashed { .. }))
             .count()
     }
 
