--- a/crates/cell/src/engine/announce.rs
+++ b/crates/cell/src/engine/announce.rs
@@ -29,9 +29,9 @@
     /// Adds a job whose acceptance is being recorded; returns false if the job is known already.
     ///
     /// The engine asks for advice on its steps, places them and records the starts at once. The orders leave when
-    /// [`Self::submit`] confirms that the acceptance is recorded, and never otherwise, so that a caller that is told
-    /// "not run" is told the truth. This hides the latency of a slow store: at 0.35 s a call, acceptance and start take
-    /// 1.1 s one after the other, and 0.6 s this way.
+    /// [`Self::submit`] confirms that the acceptance is recorded, and never otherwise, so that the answer
+    /// "not run" to a caller is always true. This hides the latency of a slow store: at 0.35 s a call, acceptance and
+    /// start take 1.1 s one after the other, and 0.6 s this way.
     pub fn announce(&mut self, accepted: Accepted, now: Timestamp) -> bool {
         let id = accepted.job;
         if self.jobs.contains_key(&id) || self.ended.contains_key(&id) {
@@ -47,7 +47,7 @@
         if self.announced.remove(&id).is_none() {
             return;
         }
-        for (slot, task, run) in self.take_held(id) {
+        for (slot, task, run) in self.take_held_starts(id) {
             self.release(slot, task, run, now);
         }
         for (slot, task, run) in self.runs_of(id) {
@@ -75,7 +75,7 @@
         if self.announced.remove(&id).is_none() {
             return false;
         }
-        let held = self.take_held(id);
+        let held = self.take_held_starts(id);
         self.send_starts(held, now);
         true
     }
@@ -102,17 +102,17 @@
 
     /// Notes that a run of an unknown job is gone.
     pub(super) fn remove_unknown_run(&mut self, slot: Slot, task: TaskId, run: Run) {
-        let Some(strangers) = self.unknown_runs.get_mut(&task.step.job) else {
+        let Some(unknown_runs) = self.unknown_runs.get_mut(&task.step.job) else {
             return;
         };
-        strangers.retain(|stranger| *stranger != (slot, task, run));
-        if strangers.is_empty() {
+        unknown_runs.retain(|unknown_run| *unknown_run != (slot, task, run));
+        if unknown_runs.is_empty() {
             self.unknown_runs.remove(&task.step.job);
         }
     }
 
     /// Removes and returns the starts of a job that wait for its acceptance.
-    fn take_held(&mut self, id: JobId) -> Vec<(Slot, TaskId, Run)> {
+    fn take_held_starts(&mut self, id: JobId) -> Vec<(Slot, TaskId, Run)> {
         let (held, others) = std::mem::take(&mut self.held_starts)
             .into_iter()
             .partition(|(_, task, _)| task.step.job == id);
@@ -120,7 +120,7 @@
         held
     }
 
-    /// Returns all runs of a job that workers may hold.
+    /// Returns all runs of a job that workers may have.
     fn runs_of(&self, id: JobId) -> Vec<(Slot, TaskId, Run)> {
         let workers = self.workers.iter();
         let runs = workers.flat_map(|(slot, worker)| {
--- a/crates/cell/src/event.rs
+++ b/crates/cell/src/event.rs
@@ -115,7 +115,7 @@
     pub ended: Vec<Ended>,
 }
 
-/// The result of a call for a worker's inventory.
+/// The result of a heartbeat.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum HeartbeatAnswer {
     /// The worker answered with its inventory.
@@ -143,7 +143,7 @@
     Stale,
     /// The requested lease had already expired.
     LeaseExpired,
-    /// The worker has no room for the task.
+    /// The worker has too little free capacity for the task.
     Full,
     /// The ticket is not valid.
     InvalidTicket,
--- a/crates/cell/tests/cell/crash.rs
+++ b/crates/cell/tests/cell/crash.rs
@@ -1,6 +1,6 @@
 //! Tasks that crash each worker that starts them.
 //!
-//! A crashed worker reports no end of its runs. If the owner puts back what was lost with a worker as if it had never
+//! A crashed worker reports no end of its runs. If the owner reopens what was lost with a worker as if it had never
 //! been started, no attempt is used up, and a task that crashes its workers is started again without end. Each start
 //! takes down a worker with everything that runs there: workers crash 10 ms after such a start and come back after 3 s
 //! as other incarnations. With a start every 3.3 s, a sixteenth of a busy fleet is down at any time. The owner's log
@@ -139,14 +139,14 @@
 /// The crashed workers stay away until their leases have expired, then come back under their ids, and owners change
 /// meanwhile.
 ///
-/// A worker that is silent but still listed may only be cut off, so its crash is unconfirmed until it is known to be
-/// gone. If the owner dies before that and the next owner doesn't know of the unconfirmed crash, no crash is ever
+/// A worker that is silent but still listed may only be cut off, so its crash is doubted until it is known to be
+/// gone. If the owner dies before that and the next owner doesn't know of the doubted crash, no crash is ever
 /// counted, and the task takes down one worker after the other until it is cancelled.
 #[rstest]
 #[case::a_single_task("urgent", vec![single_task()])]
 #[case::a_member_of_a_gang("gang", vec![gang()])]
 #[case::a_long_running_task("batch", vec![long_running()])]
-fn an_unconfirmed_crash_is_counted_by_the_next_owner(
+fn a_doubted_crash_is_counted_by_the_next_owner(
     #[case] queue: &str,
     #[case] steps: Vec<Step>,
     #[values(7, 8, 9, 11, 180)] seconds_between_takeovers: u64,
@@ -277,9 +277,9 @@
 }
 
 /// Runs 40 s at two thirds of the load that 48 workers can handle: 20 jobs of four tasks per second.
-fn run_fleet(seed: u64, crashers: u32) -> Summary {
+fn run_fleet(seed: u64, crashing_task_count: u32) -> Summary {
     let faults = Faults {
-        crashing_tasks: crashers,
+        crashing_tasks: crashing_task_count,
         ..Faults::default()
     };
     let mut world = World::sized(seed, faults, 48, &["a", "b", "c", "d", "e", "f"]);
