--- a/crates/node/src/front/mod.rs
+++ b/crates/node/src/front/mod.rs
@@ -121,7 +121,7 @@
 }
 
 /// Submits, looks up and cancels jobs for callers; cheap to clone.
-pub struct Front<P: Platform> {
+pub struct Frontend<P: Platform> {
     shared: Arc<Shared<P>>,
     intake: Intake,
     refusals: Arc<Mutex<Refusals>>,
@@ -129,7 +129,7 @@
     workspace: Option<Arc<Workspace>>,
 }
 
-impl<P: Platform> Clone for Front<P> {
+impl<P: Platform> Clone for Frontend<P> {
     fn clone(&self) -> Self {
         Self {
             shared: self.shared.clone(),
@@ -140,7 +140,7 @@
     }
 }
 
-impl<P: Platform> Front<P> {
+impl<P: Platform> Frontend<P> {
     pub(crate) fn new(shared: Arc<Shared<P>>, intake: Intake) -> Self {
         Self {
             shared,
--- a/crates/node/src/front/owner.rs
+++ b/crates/node/src/front/owner.rs
@@ -10,7 +10,7 @@
 };
 
 use super::{
-    Front,
+    Frontend,
     Refusal, //
 };
 use crate::{
@@ -35,7 +35,7 @@
 /// and a frozen or disconnected owner may stay silent for as long again.
 const MAX_REPLACEMENT_DELAY: Duration = Duration::from_millis(1_500);
 
-impl<P: Platform> Front<P> {
+impl<P: Platform> Frontend<P> {
     /// Sends a question to the owner and retries for up to [`MAX_OWNER_WAIT`] while the owner can't be reached.
     ///
     /// `question` builds the question for each attempt from the time that has passed since the first one.
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -44,7 +44,7 @@
 
 use crate::{
     edition,
-    front::Front,
+    front::Frontend,
     hand::Dispatcher,
     health::StoreHealth,
     intake::Intake,
@@ -139,7 +139,7 @@
 /// A running node.
 pub struct Node<P: Platform> {
     shared: Arc<Shared<P>>,
-    front: Front<P>,
+    front: Frontend<P>,
     server: rpc::Server,
 }
 
@@ -203,7 +203,7 @@
         let peer_service = PeerService::new(shared.clone());
         tokio::spawn(peer_service.clone().track_peers());
         tokio::spawn(peer_service.run(calls));
-        let front = Front::new(shared.clone(), intake);
+        let front = Frontend::new(shared.clone(), intake);
         Ok(Self {
             shared,
             front,
@@ -212,7 +212,7 @@
     }
 
     /// Returns the handle that serves callers.
-    pub fn front(&self) -> Front<P> {
+    pub fn front(&self) -> Frontend<P> {
         self.front.clone()
     }
 
--- a/crates/node/tests/node/workspace.rs
+++ b/crates/node/tests/node/workspace.rs
@@ -14,7 +14,7 @@
 use fulmarpier_node::{
     Node,
     front::{
-        Front,
+        Frontend,
         Refusal, //
     },
     port::Topic,
@@ -60,7 +60,7 @@
 }
 
 /// Authenticates a caller by its key.
-fn authenticate(node: &Node<Fake>, key: &str) -> Result<Front<Fake>, Refusal> {
+fn authenticate(node: &Node<Fake>, key: &str) -> Result<Frontend<Fake>, Refusal> {
     let front = node.front();
     let config = front.config().ok_or(Refusal::NotReady)?;
     front.authenticate(&config, &ingress(false), Some(&KeyDigest::of(key)))
@@ -71,7 +71,7 @@
     platform::version(format!("keys: {text}").as_bytes())
 }
 
-async fn wait_until_admitted(node: &Node<Fake>, key: &str) -> Front<Fake> {
+async fn wait_until_admitted(node: &Node<Fake>, key: &str) -> Frontend<Fake> {
     wait_until(|| async {
         let config = node.front().config();
         let has_keys = config.is_some_and(|config| config.directory.is_some());
@@ -81,7 +81,7 @@
     authenticate(node, key).unwrap()
 }
 
-async fn submit(front: &Front<Fake>, id: u64) -> Result<(), Refusal> {
+async fn submit(front: &Frontend<Fake>, id: u64) -> Result<(), Refusal> {
     let deadline = Instant::now() + 3 * SECOND;
     let queue = QueueName::from("q");
     front
@@ -89,14 +89,14 @@
         .await
 }
 
-async fn cancel(front: &Front<Fake>, id: u64) -> Result<(), Refusal> {
+async fn cancel(front: &Frontend<Fake>, id: u64) -> Result<(), Refusal> {
     let deadline = Instant::now() + 3 * SECOND;
     front
         .cancel(&QueueName::from("q"), JobId(id), deadline)
         .await
 }
 
-async fn wait_until_completed(front: &Front<Fake>, id: u64) {
+async fn wait_until_completed(front: &Frontend<Fake>, id: u64) {
     wait_until(|| async { front.look(JobId(id)).await == Ok(State::Completed) }).await;
 }
 
