--- a/crates/node/src/front/mod.rs
+++ b/crates/node/src/front/mod.rs
@@ -92,7 +92,7 @@
     Invalid(#[from] Invalid),
     /// The store is unavailable. The job wasn't stored and never runs.
     #[error("the store is away; the job was not taken")]
-    NotKept,
+    NotStored,
     /// The outcome isn't known before the deadline: the job may or may not be stored.
     #[error("whether it was taken can't be told in time")]
     Unknown,
@@ -112,7 +112,7 @@
             Self::Unauthorized => "unauthorized",
             Self::NoQueue => "no-queue",
             Self::Invalid(_) => "invalid",
-            Self::NotKept => "not-kept",
+            Self::NotStored => "not-kept",
             Self::Unknown => "unknown",
             Self::NoOwner => "no-owner",
             Self::NoJob => "no-job",
@@ -277,7 +277,7 @@
             partition: intake::partition(&self.shared.name, self.shared.spread()),
         };
         let Ok(value) = record::encode(&accepted) else {
-            return Err(Refusal::NotKept);
+            return Err(Refusal::NotStored);
         };
         let record = Record {
             key: Key::acceptance(job, self.workspace_name().cloned()).to_string(),
@@ -292,7 +292,7 @@
         match outcome {
             // If the store refused this node's own partition, the record is in another one.
             Outcome::Stored(partition) => accepted.partition = partition,
-            Outcome::NotStored => return Err(Refusal::NotKept),
+            Outcome::NotStored => return Err(Refusal::NotStored),
             Outcome::Unknown => return Err(Refusal::Unknown),
         }
         self.shared.meter.accepted(began.elapsed());
@@ -387,7 +387,7 @@
         let record = kept::cancellation(&cancelled);
         match self.intake.write(&self.shared, record, deadline).await {
             Outcome::Stored(_) => {}
-            Outcome::NotStored => return Err(Refusal::NotKept),
+            Outcome::NotStored => return Err(Refusal::NotStored),
             Outcome::Unknown => return Err(Refusal::Unknown),
         }
         self.notify_owner(Question::Cancelled(cancelled));
--- a/crates/node/tests/node/service.rs
+++ b/crates/node/tests/node/service.rs
@@ -138,7 +138,11 @@
         Err(Refusal::Unknown),
         "its record may still be written"
     );
-    assert_eq!(waiting, Err(Refusal::NotKept), "its record was never sent");
+    assert_eq!(
+        waiting,
+        Err(Refusal::NotStored),
+        "its record was never sent"
+    );
     assert_eq!(
         platform.timed_out_calls(),
         0,
@@ -387,7 +391,7 @@
     let one = start_node("one", &platform);
     wait_until_ready(&one).await;
     platform.set_mode(Mode::Refusing);
-    assert_eq!(submit(&one, 1).await, Err(Refusal::NotKept));
+    assert_eq!(submit(&one, 1).await, Err(Refusal::NotStored));
     platform.set_mode(Mode::Healthy);
     wait_until_ready(&one).await;
     assert!(!platform.has_record(&JobId(1).to_string()));
@@ -429,7 +433,7 @@
     platform.set_mode(Mode::Refusing);
     let before = platform.appends();
     for job in 1..200 {
-        assert_eq!(submit(&one, job).await, Err(Refusal::NotKept));
+        assert_eq!(submit(&one, job).await, Err(Refusal::NotStored));
     }
     // Appends that the store refuses are not counted.
     assert_eq!(platform.appends(), before);
