--- a/crates/node/src/front/mod.rs
+++ b/crates/node/src/front/mod.rs
@@ -301,7 +301,7 @@
     }
 
     /// Returns how long the caller of a refused job should wait before it retries.
-    pub fn come_back(&self, job: JobId) -> Duration {
+    pub fn retry_after(&self, job: JobId) -> Duration {
         let is_alone = self.shared.is_alone.load(Ordering::Relaxed);
         let mut refusals = self.refusals.lock().unwrap_or_else(PoisonError::into_inner);
         refusals.refuse(job, is_alone)
