--- a/crates/node/src/front/mod.rs
+++ b/crates/node/src/front/mod.rs
@@ -312,7 +312,7 @@
     /// # Errors
     ///
     /// Fails if the owner doesn't know the job, or if the owner can't be reached.
-    pub async fn look(&self, job: JobId) -> Result<State, Refusal> {
+    pub async fn job_state(&self, job: JobId) -> Result<State, Refusal> {
         let reply = self.ask_owner(|asked| self.state_question(job, asked));
         match reply.await? {
             Reply::State(state) => Ok(state),
--- a/crates/node/tests/node/history.rs
+++ b/crates/node/tests/node/history.rs
@@ -166,7 +166,7 @@
     async fn look(&mut self) {
         let job = self.random_job();
         let is_there = self.jobs.contains(&job);
-        let found = self.node.front().look(JobId(job)).await;
+        let found = self.node.front().job_state(JobId(job)).await;
         let shown = match found {
             Ok(_) => true,
             Err(Refusal::NoJob) => false,
@@ -219,7 +219,7 @@
                 );
                 self.violations.push(line);
             }
-            let state = self.node.front().look(JobId(job)).await;
+            let state = self.node.front().job_state(JobId(job)).await;
             let is_expected = match state {
                 Ok(State::Completed) => true,
                 Ok(State::Cancelled) => due.is_some(),
--- a/crates/node/tests/node/record.rs
+++ b/crates/node/tests/node/record.rs
@@ -128,7 +128,7 @@
         .unwrap();
     assert_eq!(cancel(&one, 1).await, Ok(()));
     sleep(10 * SECOND).await;
-    assert_eq!(one.front().look(JobId(1)).await, Ok(State::Cancelled));
+    assert_eq!(one.front().job_state(JobId(1)).await, Ok(State::Cancelled));
     one.leave();
     one.disowned(SECOND).await;
     one.stop(SECOND).await;
@@ -139,7 +139,10 @@
     sleep(SECOND).await;
     assert_eq!(cancel(&again, 1).await, Ok(()));
     wait_until_ready(&again).await;
-    assert_eq!(again.front().look(JobId(1)).await, Ok(State::Cancelled));
+    assert_eq!(
+        again.front().job_state(JobId(1)).await,
+        Ok(State::Cancelled)
+    );
 }
 
 /// Guards against a finished job whose record stays in the store. The store refuses the partition of the job's node, so
@@ -160,7 +163,7 @@
     let next = (own + 1) % FIRST_PARTITIONS;
     assert!(platform.newest_job(next, &key).is_some());
     sleep(15 * SECOND).await;
-    assert_eq!(one.front().look(JobId(2)).await, Ok(State::Completed));
+    assert_eq!(one.front().job_state(JobId(2)).await, Ok(State::Completed));
     assert!(
         platform.newest_job(next, &key).is_none(),
         "its record is still in the store"
@@ -175,7 +178,7 @@
     wait_until_ready(&one).await;
     platform.put_in_partition(3, &JobId(1).to_string(), vec![0xff]);
     sleep(3 * SECOND).await;
-    let found = one.front().look(JobId(1)).await;
+    let found = one.front().job_state(JobId(1)).await;
     assert_ne!(found, Err(Refusal::NoJob));
 }
 
--- a/crates/node/tests/node/service.rs
+++ b/crates/node/tests/node/service.rs
@@ -225,7 +225,7 @@
     one.stop(SECOND).await;
     submit(&two, 2).await.unwrap();
     wait_until_completed(&two, 2).await;
-    assert_eq!(two.front().look(JobId(1)).await, Ok(State::Completed));
+    assert_eq!(two.front().job_state(JobId(1)).await, Ok(State::Completed));
     assert_eq!(platform.starts(1), 4);
 }
 
@@ -335,7 +335,10 @@
     }
     tokio::time::sleep(3 * SECOND).await;
     for job in 100..100 + u64::from(FIRST_PARTITIONS) {
-        assert_eq!(one.front().look(JobId(job)).await, Ok(State::Cancelled));
+        assert_eq!(
+            one.front().job_state(JobId(job)).await,
+            Ok(State::Cancelled)
+        );
     }
 }
 
@@ -395,7 +398,7 @@
     platform.set_mode(Mode::Healthy);
     wait_until_ready(&one).await;
     assert!(!platform.has_record(&JobId(1).to_string()));
-    assert_eq!(one.front().look(JobId(1)).await, Err(Refusal::NoJob));
+    assert_eq!(one.front().job_state(JobId(1)).await, Err(Refusal::NoJob));
 }
 
 #[tokio::test]
@@ -447,11 +450,11 @@
     let queue = QueueName::from("q");
     let deadline = Instant::now() + 3 * SECOND;
     submit(&one, 1).await.unwrap();
-    wait_until(|| async { one.front().look(JobId(1)).await.is_ok() }).await;
+    wait_until(|| async { one.front().job_state(JobId(1)).await.is_ok() }).await;
     let front = one.front();
     front.cancel(&queue, JobId(1), deadline).await.unwrap();
     wait_until(|| async {
-        let state = one.front().look(JobId(1)).await;
+        let state = one.front().job_state(JobId(1)).await;
         matches!(state, Ok(State::Cancelled | State::Completed))
     })
     .await;
--- a/crates/node/tests/node/support.rs
+++ b/crates/node/tests/node/support.rs
@@ -103,7 +103,7 @@
 /// Waits until a node accepts jobs and can tell which jobs exist.
 pub(crate) async fn wait_until_ready(node: &Node<Fake>) {
     wait_until(|| async {
-        node.front().is_ready() && node.front().look(JobId(0)).await == Err(Refusal::NoJob)
+        node.front().is_ready() && node.front().job_state(JobId(0)).await == Err(Refusal::NoJob)
     })
     .await;
 }
@@ -190,5 +190,5 @@
 }
 
 pub(crate) async fn wait_until_completed(node: &Node<Fake>, id: u64) {
-    wait_until(|| async { node.front().look(JobId(id)).await == Ok(State::Completed) }).await;
+    wait_until(|| async { node.front().job_state(JobId(id)).await == Ok(State::Completed) }).await;
 }
--- a/crates/node/tests/node/view.rs
+++ b/crates/node/tests/node/view.rs
@@ -134,7 +134,7 @@
     for partition in 0..16 {
         let job = 100 + u64::from(partition);
         platform.record_job(partition, &acceptance(job, quick_job(), partition));
-        let found = one.front().look(JobId(job)).await;
+        let found = one.front().job_state(JobId(job)).await;
         assert!(found.is_ok(), "{found:?}");
         // The lookups fall on different moments between two reads of a partition.
         sleep(Duration::from_millis(130)).await;
@@ -149,11 +149,11 @@
     wait_until_ready(&one).await;
     assert_eq!(cancel(&one, 1).await, Err(Refusal::NoJob));
     assert_eq!(cancel(&one, 2).await, Err(Refusal::NoJob));
-    let never_submitted = one.front().look(JobId(2)).await;
+    let never_submitted = one.front().job_state(JobId(2)).await;
     assert_eq!(never_submitted, Err(Refusal::NoJob));
     platform.record_job(5, &acceptance(1, quick_job(), 5));
     sleep(10 * SECOND).await;
-    assert_eq!(one.front().look(JobId(1)).await, Ok(State::Cancelled));
+    assert_eq!(one.front().job_state(JobId(1)).await, Ok(State::Cancelled));
     assert_eq!(platform.starts(1), 0);
 }
 
@@ -210,11 +210,11 @@
     let before = platform.job_reads();
     let began = Instant::now();
     for job in 1_000..1_100 {
-        assert_eq!(one.front().look(JobId(job)).await, Err(Refusal::NoJob));
+        assert_eq!(one.front().job_state(JobId(job)).await, Err(Refusal::NoJob));
     }
     let many = (0..1_000).map(|job| {
         let front = one.front();
-        async move { front.look(JobId(2_000 + job)).await }
+        async move { front.job_state(JobId(2_000 + job)).await }
     });
     for answer in futures::future::join_all(many).await {
         assert_eq!(answer, Err(Refusal::NoJob));
--- a/crates/node/tests/node/workspace.rs
+++ b/crates/node/tests/node/workspace.rs
@@ -97,7 +97,7 @@
 }
 
 async fn wait_until_completed(front: &Frontend<Fake>, id: u64) {
-    wait_until(|| async { front.look(JobId(id)).await == Ok(State::Completed) }).await;
+    wait_until(|| async { front.job_state(JobId(id)).await == Ok(State::Completed) }).await;
 }
 
 #[tokio::test]
@@ -145,16 +145,16 @@
         .unwrap();
     wait_until(|| async { own.pending(&queue).await == Ok(1) }).await;
     assert_eq!(other.pending(&queue).await, Ok(0));
-    assert_eq!(other.look(JobId(1)).await, Err(Refusal::NoJob));
+    assert_eq!(other.job_state(JobId(1)).await, Err(Refusal::NoJob));
     assert_eq!(cancel(&other, 1).await, Err(Refusal::NoJob));
-    assert_eq!(own.look(JobId(1)).await, Ok(State::Queued));
+    assert_eq!(own.job_state(JobId(1)).await, Ok(State::Queued));
     // The same holds for a job that is not known yet.
     assert_eq!(cancel(&other, 2).await, Err(Refusal::NoJob));
     submit(&own, 2).await.unwrap();
     wait_until_completed(&own, 2).await;
-    assert_eq!(other.look(JobId(2)).await, Err(Refusal::NoJob));
+    assert_eq!(other.job_state(JobId(2)).await, Err(Refusal::NoJob));
     assert_eq!(cancel(&own, 1).await, Ok(()));
-    wait_until(|| async { own.look(JobId(1)).await == Ok(State::Cancelled) }).await;
+    wait_until(|| async { own.job_state(JobId(1)).await == Ok(State::Cancelled) }).await;
 }
 
 /// One node accepts both submissions, so both records are in one partition.
@@ -172,7 +172,7 @@
     submit(&other, 1).await.unwrap();
     wait_until_completed(&own, 1).await;
     assert_eq!(platform.starts(1), 4);
-    assert_eq!(other.look(JobId(1)).await, Err(Refusal::NoJob));
+    assert_eq!(other.job_state(JobId(1)).await, Err(Refusal::NoJob));
     let two = start_node("two", &platform);
     wait_until_ready(&two).await;
     one.leave();
@@ -208,7 +208,7 @@
     })
     .await;
     let front = wait_until_admitted(&one, key).await;
-    assert_eq!(front.look(JobId(1)).await, expected);
+    assert_eq!(front.job_state(JobId(1)).await, expected);
     // Submitted again by a caller of its workspace, it is the same job.
     if expected.is_ok() {
         submit(&front, 1).await.unwrap();
