--- a/crates/node/src/front/kept.rs
+++ b/crates/node/src/front/kept.rs
@@ -93,7 +93,7 @@
 }
 
 /// Returns the record of a cancellation.
-pub(crate) fn cancellation(cancelled: &Cancelled) -> Record {
+pub(crate) fn cancellation_record(cancelled: &Cancelled) -> Record {
     let key = Key {
         job: cancelled.job,
         cancellation: Some(cancelled.cancellation),
--- a/crates/node/src/front/mod.rs
+++ b/crates/node/src/front/mod.rs
@@ -8,7 +8,7 @@
 pub(crate) use self::kept::{
     JobRecord,
     Key,
-    cancellation, //
+    cancellation_record, //
 };
 
 use std::{
@@ -384,7 +384,7 @@
             workspace: self.workspace_name().cloned(),
             cancellation,
         };
-        let record = kept::cancellation(&cancelled);
+        let record = kept::cancellation_record(&cancelled);
         match self.intake.write(&self.shared, record, deadline).await {
             Outcome::Stored(_) => {}
             Outcome::NotStored => return Err(Refusal::NotStored),
--- a/crates/node/src/owner/forget.rs
+++ b/crates/node/src/owner/forget.rs
@@ -13,7 +13,7 @@
 use crate::{
     front::{
         Key,
-        cancellation, //
+        cancellation_record, //
     },
     port::{
         Append,
@@ -38,7 +38,7 @@
     for forgotten in jobs {
         let records = partitions.entry(forgotten.partition).or_default();
         if let Some(recorded) = forgotten.cancellation {
-            records.push(cancellation(&Cancelled {
+            records.push(cancellation_record(&Cancelled {
                 job: forgotten.job,
                 workspace: forgotten.workspace.clone(),
                 cancellation: recorded,
