--- a/crates/node/src/front/mod.rs
+++ b/crates/node/src/front/mod.rs
@@ -304,7 +304,7 @@
     pub fn retry_after(&self, job: JobId) -> Duration {
         let is_alone = self.shared.is_alone.load(Ordering::Relaxed);
         let mut refusals = self.refusals.lock().unwrap_or_else(PoisonError::into_inner);
-        refusals.refuse(job, is_alone)
+        refusals.retry_delay(job, is_alone)
     }
 
     /// Returns the state of a job.
--- a/crates/node/tests/comeback.rs
+++ b/crates/node/tests/comeback.rs
@@ -22,7 +22,7 @@
         }
         // If every node is cut off from the store, none of them is isolated on its own.
         let is_isolated = is_cut.iter().any(|cut| !cut) || is_cut.len() == 1;
-        at += refusals.refuse(JobId(job), is_isolated).max(RECONNECT);
+        at += refusals.retry_delay(JobId(job), is_isolated).max(RECONNECT);
         if at >= DEADLINE {
             return None;
         }
@@ -48,24 +48,24 @@
 #[test]
 fn in_an_outage_for_all_nodes_retries_are_spread_over_the_deadline() {
     let mut refusals = Refusals::default();
-    let delays = [(); RETRIES].map(|()| refusals.refuse(JobId(1), false));
+    let delays = [(); RETRIES].map(|()| refusals.retry_delay(JobId(1), false));
     assert_eq!(delays, [SECOND; RETRIES]);
 }
 
 #[test]
 fn a_caller_that_retries_at_the_same_node_is_delayed() {
     let mut refusals = Refusals::default();
-    assert_eq!(refusals.refuse(JobId(1), true), Duration::ZERO);
-    assert_eq!(refusals.refuse(JobId(1), true), SECOND);
-    assert_eq!(refusals.refuse(JobId(1), true), SECOND);
+    assert_eq!(refusals.retry_delay(JobId(1), true), Duration::ZERO);
+    assert_eq!(refusals.retry_delay(JobId(1), true), SECOND);
+    assert_eq!(refusals.retry_delay(JobId(1), true), SECOND);
 }
 
 #[test]
 fn the_number_of_remembered_jobs_is_bounded() {
     let mut refusals = Refusals::default();
     for job in 0..5_000 {
-        refusals.refuse(JobId(job), true);
+        refusals.retry_delay(JobId(job), true);
     }
-    assert_eq!(refusals.refuse(JobId(4_999), true), SECOND);
-    assert_eq!(refusals.refuse(JobId(0), true), Duration::ZERO);
+    assert_eq!(refusals.retry_delay(JobId(4_999), true), SECOND);
+    assert_eq!(refusals.retry_delay(JobId(0), true), Duration::ZERO);
 }
