--- a/crates/node/src/comeback.rs
+++ b/crates/node/src/comeback.rs
@@ -55,7 +55,7 @@
     }
 
     /// Returns the retry delay for requests whose job or outage isn't known.
-    pub const fn usual() -> Duration {
+    pub const fn default_delay() -> Duration {
         OUTAGE_RETRY_DELAY
     }
 }
