--- a/crates/node/src/evacuation.rs
+++ b/crates/node/src/evacuation.rs
@@ -17,14 +17,14 @@
 
 /// The evacuated data centres as last read from the store.
 #[derive(Clone, Debug)]
-pub(crate) struct Reading {
+pub(crate) struct Snapshot {
     /// The evacuated data centres.
     pub(crate) evacuation: Evacuation,
     /// When the store last confirmed that this is the newest state.
     pub(crate) at: Instant,
 }
 
-impl Reading {
+impl Snapshot {
     /// Applies the reading to the owner's engine.
     pub(crate) fn tell(self, engine: &mut Engine, now: Timestamp) {
         let read = now.saturating_sub(self.at.elapsed());
@@ -53,7 +53,7 @@
         evacuation.apply(change);
     }
     log_changes(shared, &before, &evacuation);
-    shared.evacuation.send_replace(Some(Reading {
+    shared.evacuation.send_replace(Some(Snapshot {
         evacuation,
         at: Instant::now(),
     }));
--- a/crates/node/src/owner/control.rs
+++ b/crates/node/src/owner/control.rs
@@ -140,7 +140,7 @@
     /// Another configuration is in force.
     Configured(Arc<Config>),
     /// The set of evacuated data centres was read.
-    Evacuation(evacuation::Reading),
+    Evacuation(evacuation::Snapshot),
     /// The nodes of the cell other than the owner.
     Peers(Vec<Peer>),
     /// The delay for batching orders has passed.
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -138,7 +138,7 @@
     /// How far this node has read the operator's records.
     pub(crate) operator: operator::Reading,
     /// The evacuated data centres, once this node has read them from the store.
-    pub(crate) evacuation: watch::Sender<Option<evacuation::Reading>>,
+    pub(crate) evacuation: watch::Sender<Option<evacuation::Snapshot>>,
     /// The newest claim known to this node.
     pub(crate) claim: watch::Sender<Option<Claim>>,
     /// The strength of the strongest owner known to this node so far, in thousandths of a core.
