--- a/crates/node/src/evacuation.rs
+++ b/crates/node/src/evacuation.rs
@@ -21,13 +21,13 @@
     /// The evacuated data centres.
     pub(crate) evacuation: Evacuation,
     /// When the store last confirmed that this is the newest state.
-    pub(crate) at: Instant,
+    pub(crate) confirmed_at: Instant,
 }
 
 impl Snapshot {
     /// Applies the reading to the owner's engine.
     pub(crate) fn tell(self, engine: &mut Engine, now: Timestamp) {
-        let read = now.saturating_sub(self.at.elapsed());
+        let read = now.saturating_sub(self.confirmed_at.elapsed());
         engine.set_evacuation(self.evacuation, read, now);
     }
 }
@@ -55,7 +55,7 @@
     log_changes(shared, &before, &evacuation);
     shared.evacuation.send_replace(Some(Snapshot {
         evacuation,
-        at: Instant::now(),
+        confirmed_at: Instant::now(),
     }));
 }
 
--- a/crates/node/src/pulse.rs
+++ b/crates/node/src/pulse.rs
@@ -101,7 +101,7 @@
     shared.config_read.send_modify(make_older);
     shared.evacuation.send_modify(|reading| {
         if let Some(reading) = reading {
-            make_older(&mut reading.at);
+            make_older(&mut reading.confirmed_at);
         }
     });
 }
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -312,10 +312,12 @@
             is_later
         });
         self.evacuation.send_if_modified(|reading| {
-            let reading = reading.as_mut().filter(|reading| reading.at < confirmed_at);
+            let reading = reading
+                .as_mut()
+                .filter(|reading| reading.confirmed_at < confirmed_at);
             let is_later = reading.is_some();
             if let Some(reading) = reading {
-                reading.at = confirmed_at;
+                reading.confirmed_at = confirmed_at;
             }
             is_later
         });
