--- a/crates/node/src/evacuation.rs
+++ b/crates/node/src/evacuation.rs
@@ -26,7 +26,7 @@
 
 impl Snapshot {
     /// Applies the reading to the owner's engine.
-    pub(crate) fn tell(self, engine: &mut Engine, now: Timestamp) {
+    pub(crate) fn apply(self, engine: &mut Engine, now: Timestamp) {
         let read = now.saturating_sub(self.confirmed_at.elapsed());
         engine.set_evacuation(self.evacuation, read, now);
     }
--- a/crates/node/src/owner/control.rs
+++ b/crates/node/src/owner/control.rs
@@ -243,7 +243,7 @@
                     .for_each(|change| change.apply_to(engine, now));
             }
             Event::Configured(config) => engine.configure(config.as_ref().clone()),
-            Event::Evacuation(reading) => reading.tell(engine, now),
+            Event::Evacuation(reading) => reading.apply(engine, now),
             Event::Peers(peers) => {
                 let own_peer = self.shared.peer();
                 let names = peers.iter().map(|peer| peer.node.clone());
--- a/crates/node/src/owner/takeover.rs
+++ b/crates/node/src/owner/takeover.rs
@@ -146,7 +146,7 @@
         engine.configure(config.clone());
     }
     if let Some(reading) = shared.evacuation.borrow().clone() {
-        reading.tell(&mut engine, now);
+        reading.apply(&mut engine, now);
     }
     // Wait for other nodes to greet this one: without nodes that send its orders, the owner would
     // connect to each worker itself.
