--- a/crates/node/src/evacuation.rs
+++ b/crates/node/src/evacuation.rs
@@ -36,7 +36,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Scope {
     /// The newest record of each key. An evacuation that isn't among them has been revoked.
-    Whole,
+    Full,
     /// The records since the last reading.
     More,
 }
@@ -46,7 +46,7 @@
     let before = shared.evacuation.borrow().clone();
     let before = before.map(|reading| reading.evacuation).unwrap_or_default();
     let mut evacuation = match scope {
-        Scope::Whole => Evacuation::default(),
+        Scope::Full => Evacuation::default(),
         Scope::More => before.clone(),
     };
     for change in changes {
--- a/crates/node/src/owner/jobs.rs
+++ b/crates/node/src/owner/jobs.rs
@@ -148,7 +148,7 @@
         let read = |record: &Record| JobRecord::read(record, number);
         let page = match self.reader.read(shared, Duration::ZERO).await? {
             Batch::More(page) => return Ok(recall::read(shared, "jobs", page, read)),
-            Batch::Whole(page) => page,
+            Batch::Full(page) => page,
         };
         let topic = Topic::Jobs(number);
         let own = Own {
--- a/crates/node/src/owner/workers.rs
+++ b/crates/node/src/owner/workers.rs
@@ -174,7 +174,7 @@
     batch: Batch,
 ) -> Vec<Change> {
     let page = match batch {
-        Batch::Whole(page) => {
+        Batch::Full(page) => {
             listing.begin_full_read();
             page
         }
--- a/crates/node/src/watch.rs
+++ b/crates/node/src/watch.rs
@@ -56,7 +56,7 @@
 /// The result of a read.
 pub(crate) enum Batch {
     /// The newest record of every key; keys that are not among them were removed.
-    Whole(Page),
+    Full(Page),
     /// The records since the last read.
     More(Page),
 }
@@ -86,7 +86,7 @@
         let result = match self.next {
             None => {
                 let page = shared.newest(self.purpose, self.topic).await;
-                page.map(Batch::Whole)
+                page.map(Batch::Full)
             }
             Some(from) => {
                 let page = shared.read(self.purpose, self.topic, from, wait).await;
@@ -94,7 +94,7 @@
             }
         };
         match &result {
-            Ok(Batch::Whole(page) | Batch::More(page)) => self.next = Some(page.next),
+            Ok(Batch::Full(page) | Batch::More(page)) => self.next = Some(page.next),
             Err(Error::Forgotten { first }) => {
                 slog::warn!(shared.log, "history-gone"; "topic" => self.purpose, "first" => first);
                 self.next = None;
@@ -134,12 +134,12 @@
             }
         };
         let read = match batch {
-            Ok(Batch::Whole(page)) => {
+            Ok(Batch::Full(page)) => {
                 let settled = replace_invalid(&shared, page).await;
                 if settled.is_err() {
                     reader = Reader::new(Topic::Configuration, "configuration");
                 }
-                settled.map(|updates| (Scope::Whole, updates))
+                settled.map(|updates| (Scope::Full, updates))
             }
             // If a record can't be decoded, the last one that could be stays in force.
             Ok(Batch::More(page)) => {
