--- a/crates/node/src/evacuation.rs
+++ b/crates/node/src/evacuation.rs
@@ -38,7 +38,7 @@
     /// The newest record of each key. An evacuation that isn't among them has been revoked.
     Full,
     /// The records since the last reading.
-    More,
+    Incremental,
 }
 
 /// Applies changes that were read just now and logs each data centre whose evacuation begins or ends.
@@ -47,7 +47,7 @@
     let before = before.map(|reading| reading.evacuation).unwrap_or_default();
     let mut evacuation = match scope {
         Scope::Full => Evacuation::default(),
-        Scope::More => before.clone(),
+        Scope::Incremental => before.clone(),
     };
     for change in changes {
         evacuation.apply(change);
--- a/crates/node/src/owner/takeover.rs
+++ b/crates/node/src/owner/takeover.rs
@@ -169,7 +169,7 @@
     let mut reader = Reader::new(TOPIC, PURPOSE);
     loop {
         let settled = match reader.read(shared, Duration::ZERO).await {
-            Ok(Batch::Full(page) | Batch::More(page)) => {
+            Ok(Batch::Full(page) | Batch::Incremental(page)) => {
                 recall::settle(shared, TOPIC, PURPOSE, page, OWNER_RECORDS).await
             }
             Err(error) => Err(error),
--- a/crates/node/src/owner/workers.rs
+++ b/crates/node/src/owner/workers.rs
@@ -125,7 +125,7 @@
             .await?;
         // Later reads start where the first part ended, to get what has been written since.
         follower.reader.begin_at(page.next);
-        let changes = apply_batch(shared, &mut follower.listing, Batch::More(page));
+        let changes = apply_batch(shared, &mut follower.listing, Batch::Incremental(page));
         // The takeover may have been aborted.
         let _ = parts.send(changes);
         match last {
@@ -178,7 +178,7 @@
             listing.begin_full_read();
             page
         }
-        Batch::More(page) => page,
+        Batch::Incremental(page) => page,
     };
     let config = shared.config.borrow().clone();
     let reprocessed = config.map(|config| listing.configure(&config));
--- a/crates/node/src/watch.rs
+++ b/crates/node/src/watch.rs
@@ -58,7 +58,7 @@
     /// The newest record of every key; keys that are not among them were removed.
     Full(Page),
     /// The records since the last read.
-    More(Page),
+    Incremental(Page),
 }
 
 impl Reader {
@@ -90,11 +90,11 @@
             }
             Some(from) => {
                 let page = shared.read(self.purpose, self.topic, from, wait).await;
-                page.map(Batch::More)
+                page.map(Batch::Incremental)
             }
         };
         match &result {
-            Ok(Batch::Full(page) | Batch::More(page)) => self.next = Some(page.next),
+            Ok(Batch::Full(page) | Batch::Incremental(page)) => self.next = Some(page.next),
             Err(Error::Forgotten { first }) => {
                 slog::warn!(shared.log, "history-gone"; "topic" => self.purpose, "first" => first);
                 self.next = None;
@@ -142,10 +142,10 @@
                 settled.map(|updates| (Scope::Full, updates))
             }
             // If a record can't be decoded, the last one that could be stays in force.
-            Ok(Batch::More(page)) => {
+            Ok(Batch::Incremental(page)) => {
                 let decode = |record: &Record| decode(&shared, record);
                 let read = recall::read(&shared, "configuration", page, decode);
-                Ok((Scope::More, read.found))
+                Ok((Scope::Incremental, read.found))
             }
             Err(error) => Err(error),
         };
