--- a/crates/node/src/evacuation.rs
+++ b/crates/node/src/evacuation.rs
@@ -42,7 +42,7 @@
 }
 
 /// Applies changes that were read just now and logs each data centre whose evacuation begins or ends.
-pub(crate) fn take<P: Platform>(shared: &Shared<P>, scope: Scope, changes: Vec<Change>) {
+pub(crate) fn update<P: Platform>(shared: &Shared<P>, scope: Scope, changes: Vec<Change>) {
     let before = shared.evacuation.borrow().clone();
     let before = before.map(|reading| reading.evacuation).unwrap_or_default();
     let mut evacuation = match scope {
--- a/crates/node/src/watch.rs
+++ b/crates/node/src/watch.rs
@@ -201,7 +201,7 @@
             Update::Evacuation(change) => changes.push(change),
         }
     }
-    evacuation::take(shared, scope, changes);
+    evacuation::update(shared, scope, changes);
 }
 
 /// Puts a configuration in force on this node, unless its version is no later than the current one.
