--- a/crates/node/src/health.rs
+++ b/crates/node/src/health.rs
@@ -52,7 +52,7 @@
 
 impl Call {
     /// Returns the time since the call was made.
-    pub(crate) fn took(&self) -> Duration {
+    pub(crate) fn elapsed(&self) -> Duration {
         self.began.elapsed()
     }
 }
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -249,7 +249,7 @@
     }
 
     fn finish_call<T>(&self, call: &Call, purpose: &'static str, result: &Result<T, Error>) {
-        self.meter.store_call(purpose, call.took(), result);
+        self.meter.store_call(purpose, call.elapsed(), result);
         self.store.end(call, result);
     }
 
