--- a/crates/node/src/front/mod.rs
+++ b/crates/node/src/front/mod.rs
@@ -439,7 +439,7 @@
             "queue" => queue.as_str(), "config" => version,
             "workspace" => self.workspace_name().map_or("", WorkspaceName::as_str),
             "store_failing_ms" => millis(self.shared.store.failing_for()),
-            "store_usual_ms" => millis(self.shared.store.usual()),
+            "store_usual_ms" => millis(self.shared.store.typical_latency()),
             "took_ms" => millis(took), "outcome" => outcome);
     }
 }
--- a/crates/node/src/health.rs
+++ b/crates/node/src/health.rs
@@ -195,7 +195,7 @@
     }
 
     /// Returns the moving average of the latency of answered calls.
-    pub(crate) fn usual(&self) -> Duration {
+    pub(crate) fn typical_latency(&self) -> Duration {
         self.state().typical_latency
     }
 
@@ -206,7 +206,7 @@
 
     /// Returns whether the store answers this node slowly.
     pub(crate) fn is_slow(&self) -> bool {
-        self.usual() >= SLOW_LATENCY && !self.is_failing()
+        self.typical_latency() >= SLOW_LATENCY && !self.is_failing()
     }
 
     /// Returns the time after which an answer is overdue.
@@ -216,8 +216,8 @@
 
     /// Returns whether the store counts as unavailable for this node.
     pub(crate) fn is_unavailable(&self) -> bool {
-        let limit =
-            (self.usual() * UNAVAILABLE_FACTOR).clamp(MIN_UNAVAILABLE_TIME, MAX_UNAVAILABLE_TIME);
+        let limit = (self.typical_latency() * UNAVAILABLE_FACTOR)
+            .clamp(MIN_UNAVAILABLE_TIME, MAX_UNAVAILABLE_TIME);
         self.failing_for() >= limit
     }
 }
--- a/crates/node/src/member/follow.rs
+++ b/crates/node/src/member/follow.rs
@@ -66,7 +66,7 @@
 
 /// Returns how long a claim stands without renewal.
 fn lapse_time<P: Platform>(shared: &Shared<P>) -> Duration {
-    LEASE + STORE_LATENCY_FACTOR * shared.store.usual()
+    LEASE + STORE_LATENCY_FACTOR * shared.store.typical_latency()
 }
 
 /// Reads the newest claim again. A renewal that was seen before keeps the time it was first seen.
--- a/crates/node/src/member/mod.rs
+++ b/crates/node/src/member/mod.rs
@@ -164,7 +164,7 @@
 /// each. They get the result of its latest call, or share one probe.
 pub(crate) async fn vouch<P: Platform>(shared: &Shared<P>) -> Option<Duration> {
     if shared.store.has_answered_within(MAX_PROBE_AGE) {
-        return Some(shared.store.usual());
+        return Some(shared.store.typical_latency());
     }
     let mut last = shared.probe.0.lock().await;
     if let Some((at, took)) = *last
--- a/crates/node/src/member/own.rs
+++ b/crates/node/src/member/own.rs
@@ -204,8 +204,8 @@
     };
     // The claim may be stored although no answer arrives, so this node must not go on for longer
     // than it would without the store.
-    let time_limit =
-        MAX_ISOLATED_TIME.min(RENEWAL_TIMEOUT + STORE_LATENCY_FACTOR * shared.store.usual());
+    let time_limit = MAX_ISOLATED_TIME
+        .min(RENEWAL_TIMEOUT + STORE_LATENCY_FACTOR * shared.store.typical_latency());
     let result = timeout(time_limit, append_successor(shared, &successor, end)).await;
     let is_stored = matches!(result, Ok(true));
     slog::info!(shared.log, "hand-over"; "epoch" => %successor.epoch, "why" => reason.word(),
@@ -318,7 +318,7 @@
     let mut is_certain = true;
     loop {
         sleep(LEASE_RENEWAL_INTERVAL).await;
-        let time_limit = RENEWAL_TIMEOUT + STORE_LATENCY_FACTOR * shared.store.usual();
+        let time_limit = RENEWAL_TIMEOUT + STORE_LATENCY_FACTOR * shared.store.typical_latency();
         if !is_certain {
             match timeout(time_limit, try_read_claim(shared)).await {
                 Ok(Some(seen)) if seen.claim.as_ref().is_some_and(|c| is_own(shared, c)) => {
