--- a/crates/node/src/health.rs
+++ b/crates/node/src/health.rs
@@ -200,7 +200,7 @@
     }
 
     /// Returns when the store last answered this node after an outage.
-    pub(crate) fn regained(&self) -> Instant {
+    pub(crate) fn recovered_at(&self) -> Instant {
         self.state().recovered_at
     }
 
--- a/crates/node/src/member/follow.rs
+++ b/crates/node/src/member/follow.rs
@@ -135,7 +135,7 @@
                     let renewal = seen.claim.as_ref().map(|claim| claim.renewal);
                     if renewal.is_some_and(|renewal| renewal <= renewals) {
                         // The claim was not renewed since the owner last answered.
-                        let regained = shared.store.regained();
+                        let regained = shared.store.recovered_at();
                         seen.since = succession::silent_since(seen.since, last_answer_at, regained);
                     }
                 }
