--- a/crates/node/src/health.rs
+++ b/crates/node/src/health.rs
@@ -210,7 +210,7 @@
     }
 
     /// Returns the time after which an answer is overdue.
-    pub(crate) fn patience(&self) -> Duration {
+    pub(crate) fn overdue_time(&self) -> Duration {
         self.state().overdue_time()
     }
 
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -172,7 +172,7 @@
             // A second copy would fail because the first one has moved the end of the topic.
             Condition::EndsAt(_) => self.platform.append(append).await,
             Condition::None | Condition::Writer { .. } => {
-                let retry_delay = self.store.patience();
+                let retry_delay = self.store.overdue_time();
                 hedge::append(&self.platform, &append, retry_delay).await
             }
         };
@@ -190,7 +190,7 @@
     ) -> Result<Page, Error> {
         let call = self.store.begin(purpose, wait);
         let read = |wait| self.platform.read(topic, from, wait);
-        let retry_delay = READ_RETRY_DELAY.max(self.store.patience());
+        let retry_delay = READ_RETRY_DELAY.max(self.store.overdue_time());
         let result = hedge::read(&self.platform, wait, retry_delay, 1, READ_TIMEOUT, read).await;
         self.finish_read(&call, purpose, &result);
         result
@@ -203,7 +203,7 @@
             Topic::Claims | Topic::Configuration => 1,
             Topic::Jobs(_) | Topic::Progress | Topic::Workers => LARGE_TOPIC_DELAY_FACTOR,
         };
-        let retry_delay = READ_RETRY_DELAY.max(self.store.patience());
+        let retry_delay = READ_RETRY_DELAY.max(self.store.overdue_time());
         let read = |_| self.platform.newest(topic);
         let no_wait = Duration::ZERO;
         let result = hedge::read(
