--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -224,7 +224,7 @@
     }
 
     /// Waits until the node has given up its ownership, for `patience` at most.
-    pub async fn disowned(&self, patience: Duration) {
+    pub async fn wait_for_release(&self, patience: Duration) {
         let mut acting = self.shared.acting.subscribe();
         let released = acting.wait_for(Option::is_none);
         // After the timeout, the process ends anyway.
--- a/crates/node/tests/node/record.rs
+++ b/crates/node/tests/node/record.rs
@@ -130,7 +130,7 @@
     sleep(10 * SECOND).await;
     assert_eq!(one.front().job_state(JobId(1)).await, Ok(State::Cancelled));
     one.leave();
-    one.disowned(SECOND).await;
+    one.wait_for_release(SECOND).await;
     one.stop(SECOND).await;
     for partition in 0..FIRST_PARTITIONS {
         platform.block_reads(Topic::Jobs(partition), 2 * SECOND);
@@ -193,7 +193,7 @@
     let one = start_node("one", &platform);
     wait_until_ready(&one).await;
     one.leave();
-    one.disowned(SECOND).await;
+    one.wait_for_release(SECOND).await;
     one.stop(SECOND).await;
     platform.lose_newest_reads(lost);
     let two = start_node("two", &platform);
@@ -227,7 +227,7 @@
         ..newest
     });
     one.leave();
-    one.disowned(SECOND).await;
+    one.wait_for_release(SECOND).await;
     sleep(2 * SECOND).await;
     let epochs: Vec<_> = platform.claims().iter().map(|claim| claim.epoch).collect();
     assert!(epochs.is_sorted(), "{epochs:?}");
--- a/crates/node/tests/node/service.rs
+++ b/crates/node/tests/node/service.rs
@@ -198,7 +198,7 @@
     wait_until(|| async { one.greeted_by().await == 2 }).await;
     let before = platform.claims();
     one.leave();
-    one.disowned(SECOND).await;
+    one.wait_for_release(SECOND).await;
     wait_until(|| async { platform.owner().is_some_and(|owner| owner != "one") }).await;
     let later = &platform.claims()[before.len()..];
     // The former owner writes the first claim of the next epoch for its successor, so no release leaves the cell
@@ -221,7 +221,7 @@
     submit(&two, 1).await.unwrap();
     wait_until_completed(&two, 1).await;
     one.leave();
-    one.disowned(SECOND).await;
+    one.wait_for_release(SECOND).await;
     one.stop(SECOND).await;
     submit(&two, 2).await.unwrap();
     wait_until_completed(&two, 2).await;
@@ -259,7 +259,7 @@
     tokio::time::sleep(4 * SECOND).await;
     assert_eq!(platform.owner().as_deref(), Some("strong"));
     strong.leave();
-    strong.disowned(SECOND).await;
+    strong.wait_for_release(SECOND).await;
     wait_until(|| async { platform.owner().as_deref() == Some("equal") }).await;
 }
 
--- a/crates/node/tests/node/workspace.rs
+++ b/crates/node/tests/node/workspace.rs
@@ -176,7 +176,7 @@
     let two = start_node("two", &platform);
     wait_until_ready(&two).await;
     one.leave();
-    one.disowned(SECOND).await;
+    one.wait_for_release(SECOND).await;
     one.stop(SECOND).await;
     let own = wait_until_admitted(&two, "ka").await;
     wait_until_completed(&own, 1).await;
