--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -232,7 +232,7 @@
     }
 
     /// Returns the number of nodes that have recently greeted this node as the owner.
-    pub async fn greeted_by(&self) -> usize {
+    pub async fn peer_count(&self) -> usize {
         self.shared.greetings.lock().await.len()
     }
 
--- a/crates/node/tests/node/record.rs
+++ b/crates/node/tests/node/record.rs
@@ -215,7 +215,7 @@
     wait_until_ready(&one).await;
     let two = start_node("two", &platform);
     wait_until_ready(&two).await;
-    wait_until(|| async { one.greeted_by().await == 1 }).await;
+    wait_until(|| async { one.peer_count().await == 1 }).await;
     let newest = platform.claims().pop().unwrap();
     platform.write_claim(&Claim {
         spread: Spread::default(),
--- a/crates/node/tests/node/service.rs
+++ b/crates/node/tests/node/service.rs
@@ -93,7 +93,7 @@
     wait_until_ready(&one).await;
     let two = start_node("two", &platform);
     wait_until_ready(&two).await;
-    wait_until(|| async { one.greeted_by().await == 1 }).await;
+    wait_until(|| async { one.peer_count().await == 1 }).await;
     platform.set_mode(Mode::Slow);
     let renewals = |count: usize| {
         let before = platform.claims().len();
@@ -195,7 +195,7 @@
     let (two, three) = (start_node("two", &platform), start_node("three", &platform));
     wait_until_ready(&two).await;
     wait_until_ready(&three).await;
-    wait_until(|| async { one.greeted_by().await == 2 }).await;
+    wait_until(|| async { one.peer_count().await == 2 }).await;
     let before = platform.claims();
     one.leave();
     one.wait_for_release(SECOND).await;
