--- a/crates/node/src/member/mod.rs
+++ b/crates/node/src/member/mod.rs
@@ -162,7 +162,7 @@
 ///
 /// During an outage of the store, all nodes of the cell ask the owner for this, ten times a second
 /// each. They get the result of its latest call, or share one probe.
-pub(crate) async fn vouch<P: Platform>(shared: &Shared<P>) -> Option<Duration> {
+pub(crate) async fn recent_store_latency<P: Platform>(shared: &Shared<P>) -> Option<Duration> {
     if shared.store.has_answered_within(MAX_PROBE_AGE) {
         return Some(shared.store.typical_latency());
     }
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -317,7 +317,7 @@
                 workers,
                 patience,
             } => Reply::Advised(shared.platform.advise(step, workers, patience).await),
-            Question::Store => Reply::Store(member::vouch(shared).await),
+            Question::Store => Reply::Store(member::recent_store_latency(shared).await),
             Question::Configuration(known) => Reply::Configuration(edition::current(shared, known)),
             Question::Orders(orders) => match self.dispatcher.dispatch(orders) {
                 true => Reply::Noted,
