--- a/crates/node/src/member/mod.rs
+++ b/crates/node/src/member/mod.rs
@@ -156,7 +156,7 @@
 
 /// The result of the last probe of the store, and when it was made.
 #[derive(Debug, Default)]
-pub(crate) struct Probe(Mutex<Option<(Instant, Option<Duration>)>>);
+pub(crate) struct ProbeCache(Mutex<Option<(Instant, Option<Duration>)>>);
 
 /// Returns how long the store has recently taken to answer this node; `None` if it doesn't answer.
 ///
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -190,7 +190,7 @@
             greetings: Mutex::default(),
             pulse: Pulse::default(),
             store: StoreHealth::new(parts.log),
-            probe: member::Probe::default(),
+            probe: member::ProbeCache::default(),
             strongest: AtomicU32::new(0),
             is_alone: AtomicBool::new(false),
         });
