--- a/crates/node/src/front/owner.rs
+++ b/crates/node/src/front/owner.rs
@@ -59,7 +59,7 @@
     /// Sends a question to the owner once; returns `None` if the owner is unknown or didn't answer.
     pub(super) async fn ask_owner_once(&self, question: &Question) -> Option<Reply> {
         if let Some(seat) = self.shared.seat() {
-            return owner::accept(&seat, question.clone()).await;
+            return owner::handle_request(&seat, question.clone()).await;
         }
         let address = self.shared.claim.borrow().as_ref()?.address;
         if address == self.shared.address {
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -338,7 +338,7 @@
             }
             other => {
                 let reply = match shared.seat() {
-                    Some(seat) => owner::accept(&seat, other).await,
+                    Some(seat) => owner::handle_request(&seat, other).await,
                     None => None,
                 };
                 reply.unwrap_or_else(|| self.not_owner())
--- a/crates/node/src/owner/answer.rs
+++ b/crates/node/src/owner/answer.rs
@@ -27,7 +27,10 @@
 const MAX_COUNT_AGE: Duration = Duration::from_millis(2_500);
 
 /// Handles a notification or a query from a node; `None` if the owner can't answer.
-pub(crate) async fn accept<P: Platform>(seat: &Seat<P>, question: Question) -> Option<Reply> {
+pub(crate) async fn handle_request<P: Platform>(
+    seat: &Seat<P>,
+    question: Question,
+) -> Option<Reply> {
     match question {
         Question::Accepted(accepted) => notify(seat, Event::Accepted(accepted)).await,
         Question::Announced(accepted) => notify(seat, Event::Announced(accepted)).await,
--- a/crates/node/src/owner/mod.rs
+++ b/crates/node/src/owner/mod.rs
@@ -13,7 +13,7 @@
 mod workers;
 
 pub(crate) use self::{
-    answer::accept,
+    answer::handle_request,
     control::{
         Control,
         Event, //
