--- a/crates/node/src/owner/control.rs
+++ b/crates/node/src/owner/control.rs
@@ -91,7 +91,7 @@
 
 /// The actor that holds the engine. Nothing else issues orders.
 #[derive(Actor)]
-pub(crate) struct Control<P: Platform> {
+pub(crate) struct EngineActor<P: Platform> {
     pub(super) engine: Engine,
     pub(super) shared: Arc<Shared<P>>,
     records: mpsc::UnboundedSender<Vec<Entry>>,
@@ -174,7 +174,7 @@
     pub(super) viewer: Option<WorkspaceName>,
 }
 
-impl<P: Platform> Control<P> {
+impl<P: Platform> EngineActor<P> {
     pub(super) fn new(
         engine: Engine,
         shared: Arc<Shared<P>>,
@@ -364,14 +364,14 @@
 }
 
 /// Sends the actor an event, unless the actor has ended.
-pub(super) async fn tell<P: Platform>(control: &WeakActorRef<Control<P>>, event: Event) {
+pub(super) async fn tell<P: Platform>(control: &WeakActorRef<EngineActor<P>>, event: Event) {
     if let Some(control) = control.upgrade() {
         // The actor may be stopping.
         let _ = control.tell(event).await;
     }
 }
 
-impl<P: Platform> Message<Event> for Control<P> {
+impl<P: Platform> Message<Event> for EngineActor<P> {
     type Reply = ();
 
     async fn handle(&mut self, event: Event, context: &mut Context<Self, ()>) {
@@ -392,7 +392,7 @@
     }
 }
 
-impl<P: Platform> Message<JobQuery> for Control<P> {
+impl<P: Platform> Message<JobQuery> for EngineActor<P> {
     type Reply = JobAnswer;
 
     async fn handle(&mut self, query: JobQuery, _: &mut Context<Self, JobAnswer>) -> JobAnswer {
@@ -403,7 +403,7 @@
     }
 }
 
-impl<P: Platform> Message<PendingQuery> for Control<P> {
+impl<P: Platform> Message<PendingQuery> for EngineActor<P> {
     type Reply = u32;
 
     async fn handle(&mut self, query: PendingQuery, _: &mut Context<Self, u32>) -> u32 {
@@ -414,7 +414,7 @@
 /// Requests an update of the gauges that show the engine's view of the cell.
 pub(super) struct UpdateGauges;
 
-impl<P: Platform> Message<UpdateGauges> for Control<P> {
+impl<P: Platform> Message<UpdateGauges> for EngineActor<P> {
     type Reply = ();
 
     async fn handle(&mut self, _: UpdateGauges, _: &mut Context<Self, ()>) {
--- a/crates/node/src/owner/jobs.rs
+++ b/crates/node/src/owner/jobs.rs
@@ -25,7 +25,7 @@
 };
 
 use super::{
-    Control,
+    EngineActor,
     Event,
     View, //
 };
@@ -214,7 +214,7 @@
     mut partition: Partition,
     view: View,
     writers: Writers,
-    control: WeakActorRef<Control<P>>,
+    control: WeakActorRef<EngineActor<P>>,
 ) {
     loop {
         let may_be_wide = shared.spread().may_use_all_partitions();
@@ -277,7 +277,7 @@
     pub(super) async fn follow<P: Platform>(
         self,
         shared: Arc<Shared<P>>,
-        control: WeakActorRef<Control<P>>,
+        control: WeakActorRef<EngineActor<P>>,
     ) {
         while control.upgrade().is_some() {
             let peers = shared.peers.lock().await.clone();
--- a/crates/node/src/owner/mod.rs
+++ b/crates/node/src/owner/mod.rs
@@ -15,7 +15,7 @@
 pub(crate) use self::{
     answer::handle_request,
     control::{
-        Control,
+        EngineActor,
         Event, //
     },
     takeover::take_over,
--- a/crates/node/src/owner/orders.rs
+++ b/crates/node/src/owner/orders.rs
@@ -12,7 +12,7 @@
 use tokio::time::sleep;
 
 use super::control::{
-    Control,
+    EngineActor,
     Event,
     tell, //
 };
@@ -58,7 +58,7 @@
     }
 }
 
-impl<P: Platform> Control<P> {
+impl<P: Platform> EngineActor<P> {
     /// Sends orders, each from the node that is responsible for the worker.
     pub(super) fn dispatch(&mut self, orders: Vec<Order>, actor_ref: &ActorRef<Self>) {
         let workers = self.engine.worker_count();
--- a/crates/node/src/owner/recorder.rs
+++ b/crates/node/src/owner/recorder.rs
@@ -13,7 +13,7 @@
 use tokio::sync::mpsc;
 
 use super::{
-    Control,
+    EngineActor,
     Event, //
 };
 use crate::{
@@ -49,7 +49,7 @@
     shared: Arc<Shared<P>>,
     epoch: Epoch,
     mut records: mpsc::UnboundedReceiver<Vec<Entry>>,
-    control: WeakActorRef<Control<P>>,
+    control: WeakActorRef<EngineActor<P>>,
 ) {
     let mut sequence = 0;
     while let Some(entries) = records.recv().await {
--- a/crates/node/src/owner/takeover.rs
+++ b/crates/node/src/owner/takeover.rs
@@ -38,7 +38,7 @@
 };
 
 use super::{
-    Control,
+    EngineActor,
     Event,
     View,
     control::UpdateGauges,
@@ -104,7 +104,7 @@
 pub(crate) async fn take_over<P: Platform>(
     shared: &Arc<Shared<P>>,
     claim: &Claim,
-) -> Result<ActorRef<Control<P>>, Error> {
+) -> Result<ActorRef<EngineActor<P>>, Error> {
     let began = Instant::now();
     loop {
         match recorder::fence(shared, claim.epoch).await {
@@ -192,11 +192,11 @@
     view: View,
     list: workers::InitialRead,
     peers: Vec<Peer>,
-) -> ActorRef<Control<P>> {
+) -> ActorRef<EngineActor<P>> {
     let (records, queue) = mpsc::unbounded_channel();
-    let mut control = Control::new(engine, shared.clone(), records, view.clone());
+    let mut control = EngineActor::new(engine, shared.clone(), records, view.clone());
     control.handle_event(Event::Peers(peers));
-    let control = Control::spawn_with_mailbox(control, mailbox::bounded(MAILBOX_CAPACITY));
+    let control = EngineActor::spawn_with_mailbox(control, mailbox::bounded(MAILBOX_CAPACITY));
     let weak = control.downgrade();
     tokio::spawn(recorder::run(
         shared.clone(),
@@ -231,7 +231,7 @@
     control
 }
 
-async fn tick<P: Platform>(control: WeakActorRef<Control<P>>) {
+async fn tick<P: Platform>(control: WeakActorRef<EngineActor<P>>) {
     let mut ticks = interval(TICK_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut gauges_updated_at = Instant::now();
@@ -253,7 +253,7 @@
 /// Sends the actor the newest value that this node knows, and again each time it changes.
 async fn forward_changes<P: Platform, T: Clone>(
     mut values: watch::Receiver<Option<T>>,
-    control: WeakActorRef<Control<P>>,
+    control: WeakActorRef<EngineActor<P>>,
     event: fn(T) -> Event,
 ) {
     loop {
--- a/crates/node/src/owner/workers.rs
+++ b/crates/node/src/owner/workers.rs
@@ -17,7 +17,7 @@
 };
 
 use super::{
-    Control,
+    EngineActor,
     Event,
     control::tell,
     listing::{
@@ -139,7 +139,7 @@
 pub(super) async fn follow<P: Platform>(
     shared: Arc<Shared<P>>,
     mut list: InitialRead,
-    control: WeakActorRef<Control<P>>,
+    control: WeakActorRef<EngineActor<P>>,
 ) {
     while let Some(changes) = list.changes.recv().await {
         tell(&control, Event::WorkersChanged(changes)).await;
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -49,7 +49,7 @@
     member,
     operator,
     owner::{
-        Control,
+        EngineActor,
         View, //
     },
     port::{
@@ -78,7 +78,7 @@
 
 /// The engine's actor, and how far it has read the job records.
 pub(crate) struct Seat<P: Platform> {
-    pub(crate) control: ActorRef<Control<P>>,
+    pub(crate) control: ActorRef<EngineActor<P>>,
     pub(crate) view: View,
 }
 
@@ -258,7 +258,7 @@
     }
 
     /// Returns the engine's actor if this node owns the cell and has completed its takeover.
-    pub(crate) fn control(&self) -> Option<ActorRef<Control<P>>> {
+    pub(crate) fn control(&self) -> Option<ActorRef<EngineActor<P>>> {
         Some(self.seat()?.control)
     }
 
