--- a/crates/node/src/owner/control.rs
+++ b/crates/node/src/owner/control.rs
@@ -55,7 +55,7 @@
     },
 };
 
-use super::{forget, given::DelegatedOrders, listing, orders::Failure, view::View};
+use super::{forget, given::DelegatedOrders, listing, orders::Failure, view::ReadProgress};
 use crate::{
     evacuation,
     hand::Reports,
@@ -95,7 +95,7 @@
     pub(super) engine: Engine,
     pub(super) shared: Arc<Shared<P>>,
     records: mpsc::UnboundedSender<Vec<Entry>>,
-    view: View,
+    view: ReadProgress,
     /// When the actor started.
     started_at: Instant,
     /// Whether a timer is already set for the engine's next pass.
@@ -179,7 +179,7 @@
         engine: Engine,
         shared: Arc<Shared<P>>,
         records: mpsc::UnboundedSender<Vec<Entry>>,
-        view: View,
+        view: ReadProgress,
     ) -> Self {
         let suspended = shared.platform.suspended();
         Self {
--- a/crates/node/src/owner/jobs.rs
+++ b/crates/node/src/owner/jobs.rs
@@ -27,7 +27,7 @@
 use super::{
     EngineActor,
     Event,
-    View, //
+    ReadProgress, //
 };
 use crate::{
     front::{
@@ -195,8 +195,8 @@
 }
 
 /// Creates the view of an owner from how far the partitions have been read.
-pub(super) fn new_view(partitions: &[Partition]) -> View {
-    View::new(
+pub(super) fn new_view(partitions: &[Partition]) -> ReadProgress {
+    ReadProgress::new(
         partitions
             .iter()
             .map(|partition| partition.read_up_to)
@@ -212,7 +212,7 @@
 pub(super) async fn follow<P: Platform>(
     shared: Arc<Shared<P>>,
     mut partition: Partition,
-    view: View,
+    view: ReadProgress,
     writers: Writers,
     control: WeakActorRef<EngineActor<P>>,
 ) {
--- a/crates/node/src/owner/mod.rs
+++ b/crates/node/src/owner/mod.rs
@@ -19,5 +19,5 @@
         Event, //
     },
     takeover::take_over,
-    view::View, //
+    view::ReadProgress, //
 };
--- a/crates/node/src/owner/takeover.rs
+++ b/crates/node/src/owner/takeover.rs
@@ -40,7 +40,7 @@
 use super::{
     EngineActor,
     Event,
-    View,
+    ReadProgress,
     control::UpdateGauges,
     jobs::{
         self,
@@ -189,7 +189,7 @@
     claim: &Claim,
     engine: Engine,
     partitions: Vec<Partition>,
-    view: View,
+    view: ReadProgress,
     list: workers::InitialRead,
     peers: Vec<Peer>,
 ) -> ActorRef<EngineActor<P>> {
--- a/crates/node/src/owner/view.rs
+++ b/crates/node/src/owner/view.rs
@@ -32,7 +32,7 @@
 /// been read. A caller whose cancellation was answered with "no such job" from a view 3.5 s old saw
 /// the job start 3.3 s later.
 #[derive(Clone, Debug)]
-pub(crate) struct View {
+pub(crate) struct ReadProgress {
     /// By partition: everything that was stored by this time has been read.
     read: Arc<watch::Sender<Vec<Instant>>>,
     /// A caller waits until everything that was stored by this time has been read.
@@ -41,7 +41,7 @@
     unreadable: Arc<Mutex<BTreeSet<JobId>>>,
 }
 
-impl View {
+impl ReadProgress {
     /// Creates the view of an owner that has read each partition up to the given time.
     pub(crate) fn new(read: Vec<Instant>) -> Self {
         Self {
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -50,7 +50,7 @@
     operator,
     owner::{
         EngineActor,
-        View, //
+        ReadProgress, //
     },
     port::{
         Append,
@@ -79,7 +79,7 @@
 /// The engine's actor, and how far it has read the job records.
 pub(crate) struct Seat<P: Platform> {
     pub(crate) control: ActorRef<EngineActor<P>>,
-    pub(crate) view: View,
+    pub(crate) view: ReadProgress,
 }
 
 impl<P: Platform> Clone for Seat<P> {
