--- a/crates/node/src/edition.rs
+++ b/crates/node/src/edition.rs
@@ -17,8 +17,8 @@
     message::{
         self,
         Edition,
-        Question,
         Reply, //
+        Request,
     },
     port::{
         Platform,
@@ -59,7 +59,7 @@
             continue;
         };
         let asked = Instant::now();
-        let question = Question::Configuration(version(&shared));
+        let question = Request::Configuration(version(&shared));
         let answer = message::ask(&shared.rpc, owner, &question, CALL_TIMEOUT).await;
         if let Ok(Reply::Configuration(edition)) = answer {
             apply(&shared, edition, asked);
--- a/crates/node/src/front/mod.rs
+++ b/crates/node/src/front/mod.rs
@@ -58,8 +58,8 @@
     },
     message::{
         Absent,
-        Question,
         Reply, //
+        Request,
     },
     port::{
         Platform,
@@ -287,7 +287,7 @@
         let is_announced = self.announce(&accepted);
         let outcome = self.intake.write(&self.shared, record, deadline).await;
         if !matches!(outcome, Outcome::Stored(_)) && is_announced {
-            self.notify_owner_once(Question::Withdrawn(job));
+            self.notify_owner_once(Request::Withdrawn(job));
         }
         match outcome {
             // If the store refused this node's own partition, the record is in another one.
@@ -296,7 +296,7 @@
             Outcome::Unknown => return Err(Refusal::Unknown),
         }
         self.shared.meter.accepted(began.elapsed());
-        self.notify_owner(Question::Accepted(Box::new(accepted)));
+        self.notify_owner(Request::Accepted(Box::new(accepted)));
         Ok(())
     }
 
@@ -324,8 +324,8 @@
         }
     }
 
-    fn state_question(&self, job: JobId, asked: Duration) -> Question {
-        Question::Look {
+    fn state_question(&self, job: JobId, asked: Duration) -> Request {
+        Request::Look {
             job,
             viewer: self.workspace_name().cloned(),
             asked,
@@ -343,7 +343,7 @@
             return Err(self.missing_queue());
         }
         let viewer = self.workspace_name().cloned();
-        let reply = self.ask_owner(|_| Question::Pending(queue.clone(), viewer.clone()));
+        let reply = self.ask_owner(|_| Request::Pending(queue.clone(), viewer.clone()));
         match reply.await? {
             Reply::Pending(count) => Ok(count),
             _ => Err(Refusal::NoOwner),
@@ -390,7 +390,7 @@
             Outcome::NotStored => return Err(Refusal::NotStored),
             Outcome::Unknown => return Err(Refusal::Unknown),
         }
-        self.notify_owner(Question::Cancelled(cancelled));
+        self.notify_owner(Request::Cancelled(cancelled));
         match found {
             Some(Reply::Absent(absent)) => {
                 self.log_absent_job(job, absent);
@@ -407,7 +407,7 @@
         if !self.shared.store.is_slow() {
             return false;
         }
-        self.notify_owner_once(Question::Announced(Box::new(accepted.clone())));
+        self.notify_owner_once(Request::Announced(Box::new(accepted.clone())));
         true
     }
 
--- a/crates/node/src/front/owner.rs
+++ b/crates/node/src/front/owner.rs
@@ -16,8 +16,8 @@
 use crate::{
     message::{
         self,
-        Question,
         Reply, //
+        Request,
     },
     owner,
     port::Platform,
@@ -41,7 +41,7 @@
     /// `question` builds the question for each attempt from the time that has passed since the first one.
     pub(super) async fn ask_owner(
         &self,
-        question: impl Fn(Duration) -> Question,
+        question: impl Fn(Duration) -> Request,
     ) -> Result<Reply, Refusal> {
         let began = Instant::now();
         let deadline = began + MAX_OWNER_WAIT;
@@ -57,7 +57,7 @@
     }
 
     /// Sends a question to the owner once; returns `None` if the owner is unknown or didn't answer.
-    pub(super) async fn ask_owner_once(&self, question: &Question) -> Option<Reply> {
+    pub(super) async fn ask_owner_once(&self, question: &Request) -> Option<Reply> {
         if let Some(seat) = self.shared.seat() {
             return owner::handle_request(&seat, question.clone()).await;
         }
@@ -72,7 +72,7 @@
     }
 
     /// Sends the owner a notification in the background, without retries.
-    pub(super) fn notify_owner_once(&self, question: Question) {
+    pub(super) fn notify_owner_once(&self, question: Request) {
         let front = self.clone();
         tokio::spawn(async move {
             let _ = front.ask_owner_once(&question).await;
@@ -85,7 +85,7 @@
     /// The notification may reach an owner that has been replaced without knowing it, after its successor has read the
     /// stored records. The successor would learn of the record only when it reads the partition again, up to 2 s later,
     /// but a cancellation must take effect within 3 s.
-    pub(super) fn notify_owner(&self, question: Question) {
+    pub(super) fn notify_owner(&self, question: Request) {
         let front = self.clone();
         tokio::spawn(async move {
             let mut failures = 0;
--- a/crates/node/src/hand.rs
+++ b/crates/node/src/hand.rs
@@ -20,7 +20,7 @@
 use crate::{
     message::{
         self,
-        Question, //
+        Request, //
     },
     order::{
         Order,
@@ -155,7 +155,7 @@
 
 /// Sends a batch of reports to an owner, with retries.
 async fn send_batch<P: Platform>(shared: Arc<Shared<P>>, owner: SocketAddr, reports: Reports) {
-    let question = Question::Reports(reports);
+    let question = Request::Reports(reports);
     for _ in 0..MAX_REPORT_ATTEMPTS {
         if message::ask(&shared.rpc, owner, &question, REPORT_CALL_TIMEOUT)
             .await
--- a/crates/node/src/member/isolation.rs
+++ b/crates/node/src/member/isolation.rs
@@ -14,8 +14,8 @@
 use crate::{
     message::{
         self,
-        Question,
         Reply, //
+        Request,
     },
     port::Platform,
     shared::Shared,
@@ -58,7 +58,7 @@
     let answer = message::ask(
         &shared.rpc,
         owner,
-        &Question::Store,
+        &Request::Store,
         PROBE_TIMEOUT + ROUND_TRIP_ALLOWANCE,
     )
     .await;
--- a/crates/node/src/member/own.rs
+++ b/crates/node/src/member/own.rs
@@ -35,8 +35,8 @@
 use crate::{
     message::{
         self,
-        Question,
         Reply, //
+        Request,
     },
     owner::{
         Event,
@@ -135,7 +135,7 @@
         let _ = timeout(RENEWAL_TIMEOUT, append(shared, &claim, end)).await;
     }
     if ending.as_str() != "replaced" {
-        let vacant = Question::Vacant(claim.epoch);
+        let vacant = Request::Vacant(claim.epoch);
         let notifications = peers
             .iter()
             .map(|peer| message::ask(&shared.rpc, peer.address, &vacant, HELLO_TIMEOUT));
@@ -244,7 +244,7 @@
 /// this node.
 async fn announce_successor<P: Platform>(shared: &Shared<P>, successor: Claim, peers: &[Peer]) {
     shared.note_claim(successor.clone());
-    let handed = Question::Handed(successor.clone());
+    let handed = Request::Handed(successor.clone());
     // A node that isn't reached learns of it with its next greeting.
     let _ = message::ask(&shared.rpc, successor.address, &handed, HELLO_TIMEOUT).await;
     let others = peers
@@ -379,7 +379,7 @@
                 message::ask(
                     &shared.rpc,
                     peer.address,
-                    &Question::Store,
+                    &Request::Store,
                     2 * HELLO_TIMEOUT,
                 )
             })
--- a/crates/node/src/message.rs
+++ b/crates/node/src/message.rs
@@ -43,7 +43,7 @@
 
 /// A request of one node to another.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub(crate) enum Question {
+pub(crate) enum Request {
     /// The heartbeat of a node, which also asks the owner whether it still owns the cell.
     Hello(Greeting),
     /// A job was submitted; its record is being written.
@@ -88,7 +88,7 @@
     Handed(Claim),
 }
 
-impl Question {
+impl Request {
     /// Returns the name of the request, as metric labels have it.
     pub(crate) const fn word(&self) -> &'static str {
         match self {
@@ -171,7 +171,7 @@
 pub(crate) async fn ask(
     client: &rpc::Client,
     address: SocketAddr,
-    question: &Question,
+    question: &Request,
     timeout: Duration,
 ) -> Result<Reply, rpc::Error> {
     let malformed = |error: postcard::Error| rpc::Error::Malformed {
@@ -190,7 +190,7 @@
 }
 
 /// Decodes a request from a call; returns `None` if the call carries no valid request.
-pub(crate) fn question(call: &Call) -> Option<Question> {
+pub(crate) fn question(call: &Call) -> Option<Request> {
     match call {
         Call::Peer(request) => postcard::from_bytes(&request.message).ok(),
         _ => None,
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -51,8 +51,8 @@
     member,
     message::{
         self,
-        Question,
         Reply, //
+        Request,
     },
     operator,
     owner::{
@@ -307,29 +307,29 @@
         }
     }
 
-    async fn reply(&self, question: Question) -> Reply {
+    async fn reply(&self, question: Request) -> Reply {
         let shared = &self.shared;
         shared.meter.peer_call(question.word());
         match question {
-            Question::Hello(greeting) => self.record_greeting(greeting).await,
-            Question::Advise {
+            Request::Hello(greeting) => self.record_greeting(greeting).await,
+            Request::Advise {
                 step,
                 workers,
                 patience,
             } => Reply::Advised(shared.platform.advise(step, workers, patience).await),
-            Question::Store => Reply::Store(member::recent_store_latency(shared).await),
-            Question::Configuration(known) => Reply::Configuration(edition::current(shared, known)),
-            Question::Orders(orders) => match self.dispatcher.dispatch(orders) {
+            Request::Store => Reply::Store(member::recent_store_latency(shared).await),
+            Request::Configuration(known) => Reply::Configuration(edition::current(shared, known)),
+            Request::Orders(orders) => match self.dispatcher.dispatch(orders) {
                 true => Reply::Noted,
                 false => self.not_owner(),
             },
-            Question::Vacant(epoch) => {
+            Request::Vacant(epoch) => {
                 if shared.epoch() == epoch {
                     shared.vacant.notify_waiters();
                 }
                 Reply::Noted
             }
-            Question::Handed(claim) => {
+            Request::Handed(claim) => {
                 if claim.epoch > shared.epoch() {
                     shared.note_claim(claim);
                     shared.vacant.notify_one();
--- a/crates/node/src/owner/answer.rs
+++ b/crates/node/src/owner/answer.rs
@@ -12,8 +12,8 @@
 use crate::{
     message::{
         Absent,
-        Question,
         Reply, //
+        Request,
     },
     port::Platform,
     shared::Seat, //
@@ -29,18 +29,18 @@
 /// Handles a notification or a query from a node; `None` if the owner can't answer.
 pub(crate) async fn handle_request<P: Platform>(
     seat: &Seat<P>,
-    question: Question,
+    question: Request,
 ) -> Option<Reply> {
     match question {
-        Question::Accepted(accepted) => notify(seat, Event::Accepted(accepted)).await,
-        Question::Announced(accepted) => notify(seat, Event::Announced(accepted)).await,
-        Question::Withdrawn(job) => notify(seat, Event::Withdrawn(job)).await,
-        Question::Cancelled(cancelled) => notify(seat, Event::Cancelled(cancelled)).await,
-        Question::Reports(reports) => notify(seat, Event::Reports(reports)).await,
-        Question::Look { job, viewer, asked } => {
+        Request::Accepted(accepted) => notify(seat, Event::Accepted(accepted)).await,
+        Request::Announced(accepted) => notify(seat, Event::Announced(accepted)).await,
+        Request::Withdrawn(job) => notify(seat, Event::Withdrawn(job)).await,
+        Request::Cancelled(cancelled) => notify(seat, Event::Cancelled(cancelled)).await,
+        Request::Reports(reports) => notify(seat, Event::Reports(reports)).await,
+        Request::Look { job, viewer, asked } => {
             query_job(seat, JobQuery { job, viewer }, asked).await
         }
-        Question::Pending(queue, viewer) => {
+        Request::Pending(queue, viewer) => {
             count_pending(seat, PendingQuery { queue, viewer }).await
         }
         _ => None,
--- a/crates/node/src/owner/control.rs
+++ b/crates/node/src/owner/control.rs
@@ -61,8 +61,8 @@
     hand::Reports,
     message::{
         self,
-        Question,
         Reply, //
+        Request,
     },
     order::{
         Order,
@@ -352,7 +352,7 @@
         .iter()
         .find(|peer| peer.node == *node)
         .map(|peer| peer.address)?;
-    let question = Question::Advise {
+    let question = Request::Advise {
         step,
         workers,
         patience: time_limit,
--- a/crates/node/src/owner/orders.rs
+++ b/crates/node/src/owner/orders.rs
@@ -23,8 +23,8 @@
     },
     message::{
         self,
-        Question,
         Reply, //
+        Request,
     },
     order::{
         Order,
@@ -107,7 +107,7 @@
         let shared = self.shared.clone();
         let epoch = self.engine.epoch();
         let numbers: Vec<u64> = orders.iter().map(|(number, _)| *number).collect();
-        let orders = Question::Orders(Orders {
+        let orders = Request::Orders(Orders {
             epoch,
             owner: shared.address,
             orders,
