--- a/crates/node/src/front/mod.rs
+++ b/crates/node/src/front/mod.rs
@@ -325,7 +325,7 @@
     }
 
     fn state_question(&self, job: JobId, asked: Duration) -> Request {
-        Request::Look {
+        Request::JobState {
             job,
             viewer: self.workspace_name().cloned(),
             asked,
--- a/crates/node/src/message.rs
+++ b/crates/node/src/message.rs
@@ -55,7 +55,7 @@
     /// A job was cancelled; the cancellation is stored.
     Cancelled(Cancelled),
     /// Asks for the state of a job.
-    Look {
+    JobState {
         /// The job.
         job: JobId,
         /// The workspace of the caller.
@@ -97,7 +97,7 @@
             Self::Withdrawn(_) => "withdrawn",
             Self::Accepted(_) => "accepted",
             Self::Cancelled(_) => "cancelled",
-            Self::Look { .. } => "look",
+            Self::JobState { .. } => "look",
             Self::Pending(..) => "pending",
             Self::Advise { .. } => "advise",
             Self::Store => "store",
--- a/crates/node/src/owner/answer.rs
+++ b/crates/node/src/owner/answer.rs
@@ -37,7 +37,7 @@
         Request::Withdrawn(job) => notify(seat, Event::Withdrawn(job)).await,
         Request::Cancelled(cancelled) => notify(seat, Event::Cancelled(cancelled)).await,
         Request::Reports(reports) => notify(seat, Event::Reports(reports)).await,
-        Request::Look { job, viewer, asked } => {
+        Request::JobState { job, viewer, asked } => {
             query_job(seat, JobQuery { job, viewer }, asked).await
         }
         Request::Pending(queue, viewer) => {
