--- a/crates/node/src/front/mod.rs
+++ b/crates/node/src/front/mod.rs
@@ -328,7 +328,7 @@
         Request::JobState {
             job,
             viewer: self.workspace_name().cloned(),
-            asked,
+            elapsed: asked,
         }
     }
 
--- a/crates/node/src/message.rs
+++ b/crates/node/src/message.rs
@@ -61,7 +61,7 @@
         /// The workspace of the caller.
         viewer: Option<WorkspaceName>,
         /// The time since the caller's request arrived.
-        asked: Duration,
+        elapsed: Duration,
     },
     /// Asks how many jobs of a queue have not started any task, as visible to callers of a workspace.
     Pending(QueueName, Option<WorkspaceName>),
--- a/crates/node/src/owner/answer.rs
+++ b/crates/node/src/owner/answer.rs
@@ -37,9 +37,11 @@
         Request::Withdrawn(job) => notify(seat, Event::Withdrawn(job)).await,
         Request::Cancelled(cancelled) => notify(seat, Event::Cancelled(cancelled)).await,
         Request::Reports(reports) => notify(seat, Event::Reports(reports)).await,
-        Request::JobState { job, viewer, asked } => {
-            query_job(seat, JobQuery { job, viewer }, asked).await
-        }
+        Request::JobState {
+            job,
+            viewer,
+            elapsed,
+        } => query_job(seat, JobQuery { job, viewer }, elapsed).await,
         Request::Pending(queue, viewer) => {
             count_pending(seat, PendingQuery { queue, viewer }).await
         }
