--- a/crates/node/src/message.rs
+++ b/crates/node/src/message.rs
@@ -72,7 +72,7 @@
         /// The workers to ask about.
         workers: Vec<WorkerId>,
         /// The time limit for the advice call.
-        patience: Duration,
+        timeout: Duration,
     },
     /// Asks whether the store answers the other node.
     Store,
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -315,8 +315,8 @@
             Request::Advise {
                 step,
                 workers,
-                patience,
-            } => Reply::Advised(shared.platform.advise(step, workers, patience).await),
+                timeout,
+            } => Reply::Advised(shared.platform.advise(step, workers, timeout).await),
             Request::Store => Reply::Store(member::recent_store_latency(shared).await),
             Request::Configuration(known) => Reply::Configuration(edition::current(shared, known)),
             Request::Orders(orders) => match self.dispatcher.dispatch(orders) {
--- a/crates/node/src/order.rs
+++ b/crates/node/src/order.rs
@@ -75,7 +75,7 @@
     }
 
     /// Returns the time after which an order without an answer is abandoned.
-    pub(crate) fn patience(&self) -> Duration {
+    pub(crate) fn timeout(&self) -> Duration {
         match self {
             Self::Start(_) | Self::Stop(_) | Self::Pace(_) => ORDER,
             Self::Hold(order) => order.wait + INVENTORY,
--- a/crates/node/src/owner/control.rs
+++ b/crates/node/src/owner/control.rs
@@ -355,7 +355,7 @@
     let question = Request::Advise {
         step,
         workers,
-        patience: time_limit,
+        timeout: time_limit,
     };
     match message::ask(&shared.rpc, address, &question, time_limit).await {
         Ok(Reply::Advised(answer)) => answer,
--- a/crates/node/src/owner/given.rs
+++ b/crates/node/src/owner/given.rs
@@ -29,7 +29,7 @@
     /// Adds an order; returns its number.
     pub(crate) fn add(&mut self, order: Order) -> u64 {
         self.last_number += 1;
-        let due = Instant::now() + order.patience() + REPORT_TIMEOUT_MARGIN;
+        let due = Instant::now() + order.timeout() + REPORT_TIMEOUT_MARGIN;
         self.deadlines.insert((due, self.last_number));
         self.orders.insert(self.last_number, order);
         self.last_number
--- a/crates/node/src/port.rs
+++ b/crates/node/src/port.rs
@@ -287,7 +287,7 @@
         &self,
         step: StepId,
         workers: Vec<WorkerId>,
-        patience: Duration,
+        timeout: Duration,
     ) -> impl Future<Output = Option<Vec<Grant>>> + Send;
 
     /// Returns the total time for which the machine was suspended since the process started.
