--- a/crates/node/src/member/isolation.rs
+++ b/crates/node/src/member/isolation.rs
@@ -58,7 +58,7 @@
     let answer = message::ask(
         &shared.rpc,
         owner,
-        &Request::Store,
+        &Request::ProbeStore,
         PROBE_TIMEOUT + ROUND_TRIP_ALLOWANCE,
     )
     .await;
--- a/crates/node/src/member/own.rs
+++ b/crates/node/src/member/own.rs
@@ -379,7 +379,7 @@
                 message::ask(
                     &shared.rpc,
                     peer.address,
-                    &Request::Store,
+                    &Request::ProbeStore,
                     2 * HELLO_TIMEOUT,
                 )
             })
--- a/crates/node/src/message.rs
+++ b/crates/node/src/message.rs
@@ -75,7 +75,7 @@
         timeout: Duration,
     },
     /// Asks whether the store answers the other node.
-    Store,
+    ProbeStore,
     /// Asks for the configuration that the other node uses, if its version is later than this one.
     Configuration(u64),
     /// Asks the other node to send these orders to workers.
@@ -100,7 +100,7 @@
             Self::JobState { .. } => "look",
             Self::Pending(..) => "pending",
             Self::Advise { .. } => "advise",
-            Self::Store => "store",
+            Self::ProbeStore => "store",
             Self::Configuration(_) => "configuration",
             Self::Orders(_) => "orders",
             Self::Reports(_) => "reports",
