--- a/crates/node/src/member/isolation.rs
+++ b/crates/node/src/member/isolation.rs
@@ -62,5 +62,5 @@
         PROBE_TIMEOUT + ROUND_TRIP_ALLOWANCE,
     )
     .await;
-    !matches!(answer, Ok(Reply::Store(None)))
+    !matches!(answer, Ok(Reply::StoreLatency(None)))
 }
--- a/crates/node/src/member/own.rs
+++ b/crates/node/src/member/own.rs
@@ -390,7 +390,7 @@
         while let Some(answer) = asked.next().await {
             match answer {
                 // A store that is slow for the others is slow for the owner too.
-                Ok(Reply::Store(Some(took)))
+                Ok(Reply::StoreLatency(Some(took)))
                     if failing >= PEER_QUERY_THRESHOLD + STORE_LATENCY_FACTOR * took =>
                 {
                     if matches!(
--- a/crates/node/src/message.rs
+++ b/crates/node/src/message.rs
@@ -133,7 +133,7 @@
     /// The workers that may run a step; `None` if the advice service did not answer.
     Advised(Option<Vec<Grant>>),
     /// The latency of the store as just measured by this node; `None` if the store did not answer.
-    Store(Option<Duration>),
+    StoreLatency(Option<Duration>),
     /// The configuration as this node knows it.
     Configuration(Edition),
 }
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -317,7 +317,7 @@
                 workers,
                 timeout,
             } => Reply::Advised(shared.platform.advise(step, workers, timeout).await),
-            Request::ProbeStore => Reply::Store(member::recent_store_latency(shared).await),
+            Request::ProbeStore => Reply::StoreLatency(member::recent_store_latency(shared).await),
             Request::Configuration(known) => Reply::Configuration(edition::current(shared, known)),
             Request::Orders(orders) => match self.dispatcher.dispatch(orders) {
                 true => Reply::Noted,
