--- a/crates/node/src/member/own.rs
+++ b/crates/node/src/member/own.rs
@@ -135,7 +135,7 @@
         let _ = timeout(RENEWAL_TIMEOUT, append(shared, &claim, end)).await;
     }
     if ending.as_str() != "replaced" {
-        let vacant = Request::Vacant(claim.epoch);
+        let vacant = Request::Released(claim.epoch);
         let notifications = peers
             .iter()
             .map(|peer| message::ask(&shared.rpc, peer.address, &vacant, HELLO_TIMEOUT));
--- a/crates/node/src/message.rs
+++ b/crates/node/src/message.rs
@@ -83,7 +83,7 @@
     /// The results of orders that this node sent on behalf of the owner.
     Reports(Reports),
     /// The owner released the cell; carries the epoch of the ownership that ended.
-    Vacant(Epoch),
+    Released(Epoch),
     /// The owner handed the cell over under this claim, which is stored.
     Handed(Claim),
 }
@@ -104,7 +104,7 @@
             Self::Configuration(_) => "configuration",
             Self::Orders(_) => "orders",
             Self::Reports(_) => "reports",
-            Self::Vacant(_) => "vacant",
+            Self::Released(_) => "vacant",
             Self::Handed(_) => "handed",
         }
     }
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -323,7 +323,7 @@
                 true => Reply::Noted,
                 false => self.not_owner(),
             },
-            Request::Vacant(epoch) => {
+            Request::Released(epoch) => {
                 if shared.epoch() == epoch {
                     shared.vacant.notify_waiters();
                 }
