--- a/crates/node/src/member/own.rs
+++ b/crates/node/src/member/own.rs
@@ -244,7 +244,7 @@
 /// this node.
 async fn announce_successor<P: Platform>(shared: &Shared<P>, successor: Claim, peers: &[Peer]) {
     shared.note_claim(successor.clone());
-    let handed = Request::Handed(successor.clone());
+    let handed = Request::HandedOver(successor.clone());
     // A node that isn't reached learns of it with its next greeting.
     let _ = message::ask(&shared.rpc, successor.address, &handed, HELLO_TIMEOUT).await;
     let others = peers
--- a/crates/node/src/message.rs
+++ b/crates/node/src/message.rs
@@ -85,7 +85,7 @@
     /// The owner released the cell; carries the epoch of the ownership that ended.
     Released(Epoch),
     /// The owner handed the cell over under this claim, which is stored.
-    Handed(Claim),
+    HandedOver(Claim),
 }
 
 impl Request {
@@ -105,7 +105,7 @@
             Self::Orders(_) => "orders",
             Self::Reports(_) => "reports",
             Self::Released(_) => "vacant",
-            Self::Handed(_) => "handed",
+            Self::HandedOver(_) => "handed",
         }
     }
 }
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -329,7 +329,7 @@
                 }
                 Reply::Noted
             }
-            Request::Handed(claim) => {
+            Request::HandedOver(claim) => {
                 if claim.epoch > shared.epoch() {
                     shared.note_claim(claim);
                     shared.vacant.notify_one();
