--- a/crates/node/src/health.rs
+++ b/crates/node/src/health.rs
@@ -169,7 +169,7 @@
         }
         let due = due.unwrap_or(call.began).max(state.last_answer);
         state.failing_since = Some(due.min(Instant::now()));
-        self.log_failure(call, error.word());
+        self.log_failure(call, error.as_str());
     }
 
     /// Returns how long the store has been failing: the time since the first failure or unanswered due call.
--- a/crates/node/src/member/follow.rs
+++ b/crates/node/src/member/follow.rs
@@ -285,7 +285,7 @@
             .map_or(0, |claim| claim.consecutive_slow_owners),
     };
     let result = append(shared, &claim, seen.end).await;
-    let outcome = result.as_ref().err().map_or("won", Error::word);
+    let outcome = result.as_ref().err().map_or("won", Error::as_str);
     slog::info!(shared.log, "claim"; "epoch" => %claim.epoch, "why" => why,
         "outcome" => outcome);
     match result {
--- a/crates/node/src/member/own.rs
+++ b/crates/node/src/member/own.rs
@@ -166,7 +166,7 @@
 impl Ending {
     const fn as_str(self) -> &'static str {
         match self {
-            Self::HandOver(reason) => reason.word(),
+            Self::HandOver(reason) => reason.as_str(),
             Self::Released(why) | Self::Lost(why) => why,
         }
     }
@@ -208,7 +208,7 @@
         .min(RENEWAL_TIMEOUT + STORE_LATENCY_FACTOR * shared.store.typical_latency());
     let result = timeout(time_limit, append_successor(shared, &successor, end)).await;
     let is_stored = matches!(result, Ok(true));
-    slog::info!(shared.log, "hand-over"; "epoch" => %successor.epoch, "why" => reason.word(),
+    slog::info!(shared.log, "hand-over"; "epoch" => %successor.epoch, "why" => reason.as_str(),
         "node" => successor.node.as_str(), "lag_ms" => millis(next.lag),
         "age_ms" => millis(next.age), "outcome" => if is_stored { "kept" } else { "not-kept" });
     is_stored.then_some(successor)
--- a/crates/node/src/message.rs
+++ b/crates/node/src/message.rs
@@ -90,7 +90,7 @@
 
 impl Request {
     /// Returns the name of the request, as metric labels have it.
-    pub(crate) const fn word(&self) -> &'static str {
+    pub(crate) const fn as_str(&self) -> &'static str {
         match self {
             Self::Hello(_) => "hello",
             Self::Announced(_) => "announced",
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -309,7 +309,7 @@
 
     async fn reply(&self, question: Request) -> Reply {
         let shared = &self.shared;
-        shared.meter.peer_call(question.word());
+        shared.meter.peer_call(question.as_str());
         match question {
             Request::Hello(greeting) => self.record_greeting(greeting).await,
             Request::Advise {
--- a/crates/node/src/port.rs
+++ b/crates/node/src/port.rs
@@ -134,7 +134,7 @@
 
 impl Error {
     /// Returns the name of the error, as logs and metric labels have it.
-    pub const fn word(&self) -> &'static str {
+    pub const fn as_str(&self) -> &'static str {
         match self {
             Self::Refused(why) => why,
             Self::Unanswered => "unanswered",
@@ -184,7 +184,7 @@
 
 impl Fault {
     /// Returns the name of the fault, as logs and metric labels have it.
-    pub const fn word(self) -> &'static str {
+    pub const fn as_str(self) -> &'static str {
         match self {
             Self::Key => "key",
             Self::Value => "value",
--- a/crates/node/src/report.rs
+++ b/crates/node/src/report.rs
@@ -209,7 +209,7 @@
         took: Duration,
         result: &Result<T, Error>,
     ) {
-        let outcome = result.as_ref().err().map_or("ok", Error::word);
+        let outcome = result.as_ref().err().map_or("ok", Error::as_str);
         let labels = [
             KeyValue::new("purpose", purpose),
             KeyValue::new("outcome", outcome),
@@ -238,7 +238,7 @@
         const KIND: &str = "record-rejected";
         let labels = [
             KeyValue::new("topic", topic),
-            KeyValue::new("fault", rejected.fault.word()),
+            KeyValue::new("fault", rejected.fault.as_str()),
         ];
         self.0.rejected.add(1, &labels);
         if !self.may_log(KIND) {
@@ -247,7 +247,7 @@
         slog::warn!(log, "record-rejected"; "topic" => topic,
             "key" => rejected.key.as_deref().map_or_else(String::new, shorten),
             OptionalField("offset", rejected.offset),
-            "fault" => rejected.fault.word(), "why" => %rejected.fault);
+            "fault" => rejected.fault.as_str(), "why" => %rejected.fault);
     }
 
     /// Sets the gauges that describe the state of the owner's engine.
--- a/crates/node/src/succession.rs
+++ b/crates/node/src/succession.rs
@@ -83,7 +83,7 @@
 
 impl Reason {
     /// Returns the name of the reason, as logs have it.
-    pub const fn word(self) -> &'static str {
+    pub const fn as_str(self) -> &'static str {
         match self {
             Self::Outranked => "outranked",
             Self::Slow => "slow",
