--- a/crates/node/src/message.rs
+++ b/crates/node/src/message.rs
@@ -123,7 +123,7 @@
         incarnation: u64,
     },
     /// The request was processed; there is nothing to return.
-    Noted,
+    Ack,
     /// The state of a job.
     State(State),
     /// The owner doesn't know the job.
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -320,21 +320,21 @@
             Request::ProbeStore => Reply::StoreLatency(member::recent_store_latency(shared).await),
             Request::Configuration(known) => Reply::Configuration(edition::current(shared, known)),
             Request::Orders(orders) => match self.dispatcher.dispatch(orders) {
-                true => Reply::Noted,
+                true => Reply::Ack,
                 false => self.not_owner(),
             },
             Request::Released(epoch) => {
                 if shared.epoch() == epoch {
                     shared.vacant.notify_waiters();
                 }
-                Reply::Noted
+                Reply::Ack
             }
             Request::HandedOver(claim) => {
                 if claim.epoch > shared.epoch() {
                     shared.note_claim(claim);
                     shared.vacant.notify_one();
                 }
-                Reply::Noted
+                Reply::Ack
             }
             other => {
                 let reply = match shared.seat() {
--- a/crates/node/src/owner/answer.rs
+++ b/crates/node/src/owner/answer.rs
@@ -52,7 +52,7 @@
 /// Sends the actor an event, behind all events sent before.
 async fn notify<P: Platform>(seat: &Seat<P>, event: Event) -> Option<Reply> {
     seat.control.tell(event).await.ok()?;
-    Some(Reply::Noted)
+    Some(Reply::Ack)
 }
 
 /// Looks up a job. Reports it as absent only once everything that was stored when the caller asked
--- a/crates/node/src/owner/orders.rs
+++ b/crates/node/src/owner/orders.rs
@@ -115,7 +115,7 @@
         tokio::spawn(async move {
             let answer = message::ask(&shared.rpc, node, &orders, ORDERS_TIMEOUT).await;
             let failure = match answer {
-                Ok(Reply::Noted) => return,
+                Ok(Reply::Ack) => return,
                 Ok(_) => Failure::Unsent,
                 Err(error) if error.not_run() => Failure::Unsent,
                 Err(_) => Failure::Unanswered,
