--- a/crates/node/src/front/mod.rs
+++ b/crates/node/src/front/mod.rs
@@ -57,9 +57,9 @@
         Outcome, //
     },
     message::{
-        Absent,
         Reply, //
         Request,
+        UnknownJob,
     },
     port::{
         Platform,
@@ -316,7 +316,7 @@
         let reply = self.ask_owner(|asked| self.state_question(job, asked));
         match reply.await? {
             Reply::State(state) => Ok(state),
-            Reply::Absent(absent) => {
+            Reply::UnknownJob(absent) => {
                 self.log_absent_job(job, absent);
                 Err(Refusal::NoJob)
             }
@@ -392,7 +392,7 @@
         }
         self.notify_owner(Request::Cancelled(cancelled));
         match found {
-            Some(Reply::Absent(absent)) => {
+            Some(Reply::UnknownJob(absent)) => {
                 self.log_absent_job(job, absent);
                 Err(Refusal::NoJob)
             }
@@ -411,7 +411,7 @@
         true
     }
 
-    fn log_absent_job(&self, job: JobId, absent: Absent) {
+    fn log_absent_job(&self, job: JobId, absent: UnknownJob) {
         if self.shared.meter.may_log("no-job") {
             slog::info!(self.shared.log, "no-job"; "job" => %job, "epoch" => %absent.epoch,
                 "view_ms" => millis(absent.view));
--- a/crates/node/src/message.rs
+++ b/crates/node/src/message.rs
@@ -127,7 +127,7 @@
     /// The state of a job.
     State(State),
     /// The owner doesn't know the job.
-    Absent(Absent),
+    UnknownJob(UnknownJob),
     /// The number of jobs that have not started any task.
     Pending(u32),
     /// The workers that may run a step; `None` if the advice service did not answer.
@@ -160,7 +160,7 @@
 
 /// How reliable an owner's reply is that it doesn't know a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct Absent {
+pub(crate) struct UnknownJob {
     /// The epoch of the ownership under which the owner replies.
     pub(crate) epoch: Epoch,
     /// The longest time for which a job may have been stored without the owner having read its record.
--- a/crates/node/src/owner/answer.rs
+++ b/crates/node/src/owner/answer.rs
@@ -11,9 +11,9 @@
 };
 use crate::{
     message::{
-        Absent,
         Reply, //
         Request,
+        UnknownJob,
     },
     port::Platform,
     shared::Seat, //
@@ -75,7 +75,7 @@
     match found.state {
         Some(state) => Some(Reply::State(state)),
         None if seat.view.is_unreadable(job) => None,
-        None => Some(Reply::Absent(Absent {
+        None => Some(Reply::UnknownJob(UnknownJob {
             epoch: found.epoch,
             view: seat.view.age(),
         })),
