--- a/crates/node/src/edition.rs
+++ b/crates/node/src/edition.rs
@@ -16,7 +16,7 @@
 use crate::{
     message::{
         self,
-        Edition,
+        ConfigState,
         Reply, //
         Request,
     },
@@ -36,11 +36,11 @@
 const CALL_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 /// Returns this node's configuration for a peer that has version `known`; the record is left out if it isn't newer.
-pub(crate) fn current<P: Platform>(shared: &Shared<P>, known: u64) -> Edition {
+pub(crate) fn current<P: Platform>(shared: &Shared<P>, known: u64) -> ConfigState {
     let version = version(shared);
     let record = shared.config_record.borrow().clone();
     let record = record.filter(|_| version > known);
-    Edition {
+    ConfigState {
         version,
         age: shared.config_read.borrow().elapsed(),
         record: record.and_then(|record| Some((record.key, record.value?.to_vec()))),
@@ -68,7 +68,7 @@
 }
 
 /// Applies the owner's configuration, which was asked for at `asked`.
-fn apply<P: Platform>(shared: &Shared<P>, edition: Edition, asked: Instant) {
+fn apply<P: Platform>(shared: &Shared<P>, edition: ConfigState, asked: Instant) {
     if let Some((key, value)) = edition.record {
         let record = Record {
             key,
--- a/crates/node/src/message.rs
+++ b/crates/node/src/message.rs
@@ -135,7 +135,7 @@
     /// The latency of the store as just measured by this node; `None` if the store did not answer.
     StoreLatency(Option<Duration>),
     /// The configuration as this node knows it.
-    Configuration(Edition),
+    Configuration(ConfigState),
 }
 
 /// The position up to which a node has read the operator's records.
@@ -149,7 +149,7 @@
 
 /// A configuration as one node knows it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct Edition {
+pub(crate) struct ConfigState {
     /// The version; zero if the node has no configuration.
     pub(crate) version: u64,
     /// The time since the store last confirmed that this version is the newest.
