--- a/crates/node/src/edition.rs
+++ b/crates/node/src/edition.rs
@@ -60,7 +60,7 @@
         };
         let asked = Instant::now();
         let question = Request::Configuration(version(&shared));
-        let answer = message::ask(&shared.rpc, owner, &question, CALL_TIMEOUT).await;
+        let answer = message::send(&shared.rpc, owner, &question, CALL_TIMEOUT).await;
         if let Ok(Reply::Configuration(edition)) = answer {
             apply(&shared, edition, asked);
         }
--- a/crates/node/src/front/owner.rs
+++ b/crates/node/src/front/owner.rs
@@ -65,7 +65,7 @@
         if address == self.shared.address {
             return None;
         }
-        let reply = message::ask(&self.shared.rpc, address, question, OWNER_CALL_TIMEOUT).await;
+        let reply = message::send(&self.shared.rpc, address, question, OWNER_CALL_TIMEOUT).await;
         reply
             .ok()
             .filter(|reply| !matches!(reply, Reply::NotOwner { .. }))
--- a/crates/node/src/hand.rs
+++ b/crates/node/src/hand.rs
@@ -157,7 +157,7 @@
 async fn send_batch<P: Platform>(shared: Arc<Shared<P>>, owner: SocketAddr, reports: Reports) {
     let question = Request::Reports(reports);
     for _ in 0..MAX_REPORT_ATTEMPTS {
-        if message::ask(&shared.rpc, owner, &question, REPORT_CALL_TIMEOUT)
+        if message::send(&shared.rpc, owner, &question, REPORT_CALL_TIMEOUT)
             .await
             .is_ok()
         {
--- a/crates/node/src/member/follow.rs
+++ b/crates/node/src/member/follow.rs
@@ -192,7 +192,7 @@
     }
     let hello = Request::Hello(shared.greeting());
     let asked = Instant::now();
-    match message::ask(&shared.rpc, claim.address, &hello, HELLO_TIMEOUT).await {
+    match message::send(&shared.rpc, claim.address, &hello, HELLO_TIMEOUT).await {
         Ok(Reply::Owner(newer, extent)) if newer.epoch == claim.epoch => {
             shared.note_spread(&newer);
             if let Some(extent) = extent {
--- a/crates/node/src/member/isolation.rs
+++ b/crates/node/src/member/isolation.rs
@@ -55,7 +55,7 @@
     let Some(owner) = owner.filter(|address| *address != shared.address) else {
         return false;
     };
-    let answer = message::ask(
+    let answer = message::send(
         &shared.rpc,
         owner,
         &Request::ProbeStore,
--- a/crates/node/src/member/mod.rs
+++ b/crates/node/src/member/mod.rs
@@ -131,7 +131,7 @@
     let hello = Request::Hello(shared.greeting());
     let requests = peers
         .iter()
-        .map(|peer| message::ask(&shared.rpc, peer.address, &hello, HELLO_TIMEOUT));
+        .map(|peer| message::send(&shared.rpc, peer.address, &hello, HELLO_TIMEOUT));
     let answers = join_all(requests).await;
     let claims = answers.into_iter().filter_map(|answer| match answer {
         Ok(Reply::Owner(claim, _)) => Some(claim),
--- a/crates/node/src/member/own.rs
+++ b/crates/node/src/member/own.rs
@@ -138,7 +138,7 @@
         let vacant = Request::Released(claim.epoch);
         let notifications = peers
             .iter()
-            .map(|peer| message::ask(&shared.rpc, peer.address, &vacant, HELLO_TIMEOUT));
+            .map(|peer| message::send(&shared.rpc, peer.address, &vacant, HELLO_TIMEOUT));
         join_all(notifications).await;
     }
 }
@@ -246,12 +246,12 @@
     shared.note_claim(successor.clone());
     let handed = Request::HandedOver(successor.clone());
     // A node that isn't reached learns of it with its next greeting.
-    let _ = message::ask(&shared.rpc, successor.address, &handed, HELLO_TIMEOUT).await;
+    let _ = message::send(&shared.rpc, successor.address, &handed, HELLO_TIMEOUT).await;
     let others = peers
         .iter()
         .filter(|peer| peer.address != successor.address);
     let notifications =
-        others.map(|peer| message::ask(&shared.rpc, peer.address, &handed, HELLO_TIMEOUT));
+        others.map(|peer| message::send(&shared.rpc, peer.address, &handed, HELLO_TIMEOUT));
     join_all(notifications).await;
 }
 
@@ -376,7 +376,7 @@
         let mut asked: FuturesUnordered<_> = peers
             .iter()
             .map(|peer| {
-                message::ask(
+                message::send(
                     &shared.rpc,
                     peer.address,
                     &Request::ProbeStore,
--- a/crates/node/src/message.rs
+++ b/crates/node/src/message.rs
@@ -168,7 +168,7 @@
 }
 
 /// Sends a request to a node and waits for the reply.
-pub(crate) async fn ask(
+pub(crate) async fn send(
     client: &rpc::Client,
     address: SocketAddr,
     question: &Request,
--- a/crates/node/src/owner/control.rs
+++ b/crates/node/src/owner/control.rs
@@ -357,7 +357,7 @@
         workers,
         timeout: time_limit,
     };
-    match message::ask(&shared.rpc, address, &question, time_limit).await {
+    match message::send(&shared.rpc, address, &question, time_limit).await {
         Ok(Reply::Advised(answer)) => answer,
         Ok(_) | Err(_) => None,
     }
--- a/crates/node/src/owner/orders.rs
+++ b/crates/node/src/owner/orders.rs
@@ -113,7 +113,7 @@
             orders,
         });
         tokio::spawn(async move {
-            let answer = message::ask(&shared.rpc, node, &orders, ORDERS_TIMEOUT).await;
+            let answer = message::send(&shared.rpc, node, &orders, ORDERS_TIMEOUT).await;
             let failure = match answer {
                 Ok(Reply::Ack) => return,
                 Ok(_) => Failure::Unsent,
