--- a/crates/node/src/message.rs
+++ b/crates/node/src/message.rs
@@ -190,7 +190,7 @@
 }
 
 /// Decodes a request from a call; returns `None` if the call carries no valid request.
-pub(crate) fn question(call: &Call) -> Option<Request> {
+pub(crate) fn decode_request(call: &Call) -> Option<Request> {
     match call {
         Call::Peer(request) => postcard::from_bytes(&request.message).ok(),
         _ => None,
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -295,7 +295,7 @@
         while let Some(incoming) = calls.recv().await {
             let peer_service = self.clone();
             tokio::spawn(async move {
-                let Some(question) = message::question(&incoming.call) else {
+                let Some(question) = message::decode_request(&incoming.call) else {
                     return;
                 };
                 let reply = peer_service.reply(question).await;
