--- a/crates/node/src/order.rs
+++ b/crates/node/src/order.rs
@@ -31,7 +31,7 @@
 use crate::{
     port::{
         INVENTORY,
-        ORDER,
+        ORDER_TIMEOUT,
         Platform, //
     },
     report::Meter, //
@@ -77,7 +77,7 @@
     /// Returns the time after which an order without an answer is abandoned.
     pub(crate) fn timeout(&self) -> Duration {
         match self {
-            Self::Start(_) | Self::Stop(_) | Self::Pace(_) => ORDER,
+            Self::Start(_) | Self::Stop(_) | Self::Pace(_) => ORDER_TIMEOUT,
             Self::Hold(order) => order.wait + INVENTORY,
         }
     }
--- a/crates/node/src/port.rs
+++ b/crates/node/src/port.rs
@@ -33,7 +33,7 @@
 
 /// The timeout of an order to a worker. Workers answer within milliseconds or not at all, and the most urgent jobs
 /// have only 650 ms of slack.
-pub const ORDER: Duration = Duration::from_millis(250);
+pub const ORDER_TIMEOUT: Duration = Duration::from_millis(250);
 /// The time that a worker may take for its inventory beyond the wait requested of it.
 pub const INVENTORY: Duration = Duration::from_millis(800);
 
