--- a/crates/node/src/order.rs
+++ b/crates/node/src/order.rs
@@ -30,7 +30,7 @@
 
 use crate::{
     port::{
-        INVENTORY,
+        INVENTORY_MARGIN,
         ORDER_TIMEOUT,
         Platform, //
     },
@@ -78,7 +78,7 @@
     pub(crate) fn timeout(&self) -> Duration {
         match self {
             Self::Start(_) | Self::Stop(_) | Self::Pace(_) => ORDER_TIMEOUT,
-            Self::Hold(order) => order.wait + INVENTORY,
+            Self::Hold(order) => order.wait + INVENTORY_MARGIN,
         }
     }
 
--- a/crates/node/src/port.rs
+++ b/crates/node/src/port.rs
@@ -35,7 +35,7 @@
 /// have only 650 ms of slack.
 pub const ORDER_TIMEOUT: Duration = Duration::from_millis(250);
 /// The time that a worker may take for its inventory beyond the wait requested of it.
-pub const INVENTORY: Duration = Duration::from_millis(800);
+pub const INVENTORY_MARGIN: Duration = Duration::from_millis(800);
 
 /// The number of partitions that job records are spread over. Each node writes to one of them.
 ///
