--- a/crates/node/src/intake.rs
+++ b/crates/node/src/intake.rs
@@ -41,10 +41,10 @@
         Append,
         Condition,
         Error,
-        FIRST_PARTITIONS,
         JOB_PARTITIONS,
         Platform,
         Record,
+        SMALL_CELL_JOB_PARTITIONS,
         Topic, //
     },
     shared::Shared,
@@ -115,7 +115,7 @@
 pub(crate) fn partition(node: &NodeName, spread: Spread) -> u16 {
     let count = match spread.uses_all_partitions() {
         true => JOB_PARTITIONS,
-        false => FIRST_PARTITIONS,
+        false => SMALL_CELL_JOB_PARTITIONS,
     };
     let mut hasher = FxHasher::default();
     node.hash(&mut hasher);
@@ -198,8 +198,8 @@
     if outcome != Outcome::NotStored || shared.store.failing_for() >= OUTAGE_THRESHOLD {
         return outcome;
     }
-    let count = match partition < FIRST_PARTITIONS {
-        true => FIRST_PARTITIONS,
+    let count = match partition < SMALL_CELL_JOB_PARTITIONS {
+        true => SMALL_CELL_JOB_PARTITIONS,
         false => JOB_PARTITIONS,
     };
     append_to(shared, (partition + 1) % count, records).await
--- a/crates/node/src/owner/jobs.rs
+++ b/crates/node/src/owner/jobs.rs
@@ -37,10 +37,10 @@
     intake,
     port::{
         Error,
-        FIRST_PARTITIONS,
         JOB_PARTITIONS,
         Platform,
         Record,
+        SMALL_CELL_JOB_PARTITIONS,
         Topic, //
     },
     recall::{
@@ -228,7 +228,7 @@
         let is_requested = timeout(READ_INTERVAL_WRITER_ABSENT, requested)
             .await
             .is_ok();
-        if partition.number >= FIRST_PARTITIONS && !may_be_wide {
+        if partition.number >= SMALL_CELL_JOB_PARTITIONS && !may_be_wide {
             // No node writes to this partition.
             view.mark_read(partition.number, Instant::now());
             if control.upgrade().is_none() {
--- a/crates/node/src/port.rs
+++ b/crates/node/src/port.rs
@@ -43,7 +43,7 @@
 /// but can take 0.3 s, so nodes that share a partition would delay each other.
 pub const JOB_PARTITIONS: u16 = 48;
 /// The number of partitions that the job records of a small cell are spread over.
-pub const FIRST_PARTITIONS: u16 = 16;
+pub const SMALL_CELL_JOB_PARTITIONS: u16 = 16;
 
 /// The topics of the store. Each topic keeps at least the newest record of every key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
--- a/crates/node/tests/node/foreign.rs
+++ b/crates/node/tests/node/foreign.rs
@@ -9,7 +9,7 @@
 use fulmarpier_node::{
     Meter,
     port::{
-        FIRST_PARTITIONS,
+        SMALL_CELL_JOB_PARTITIONS,
         Topic, //
     },
 };
@@ -131,7 +131,7 @@
         for key in [job.as_str(), "w/w0", "another"] {
             platform.write(Topic::Progress, key, value);
         }
-        for partition in 0..FIRST_PARTITIONS {
+        for partition in 0..SMALL_CELL_JOB_PARTITIONS {
             for key in [job.as_str(), cancelled.as_str(), "another", "another/x"] {
                 platform.write(Topic::Jobs(partition), key, value);
             }
@@ -208,7 +208,7 @@
     sleep(SECOND).await;
     submit(&one, 1).await.unwrap();
     let key = format!("{}/x", JobId(1));
-    for partition in 0..FIRST_PARTITIONS {
+    for partition in 0..SMALL_CELL_JOB_PARTITIONS {
         platform.write(Topic::Jobs(partition), &key, b"cancel");
     }
     sleep(3 * SECOND).await;
--- a/crates/node/tests/node/record.rs
+++ b/crates/node/tests/node/record.rs
@@ -20,7 +20,7 @@
 use fulmarpier_node::{
     front::Refusal,
     port::{
-        FIRST_PARTITIONS,
+        SMALL_CELL_JOB_PARTITIONS,
         Topic, //
     },
 };
@@ -132,7 +132,7 @@
     one.leave();
     one.wait_for_release(SECOND).await;
     one.stop(SECOND).await;
-    for partition in 0..FIRST_PARTITIONS {
+    for partition in 0..SMALL_CELL_JOB_PARTITIONS {
         platform.block_reads(Topic::Jobs(partition), 2 * SECOND);
     }
     let again = start_node("one", &platform);
@@ -155,12 +155,12 @@
     wait_until_ready(&one).await;
     submit_spec(&one, 1, job(vec![step()], None)).await.unwrap();
     let key = JobId(1).to_string();
-    let own = (0..FIRST_PARTITIONS).find(|p| platform.newest_job(*p, &key).is_some());
+    let own = (0..SMALL_CELL_JOB_PARTITIONS).find(|p| platform.newest_job(*p, &key).is_some());
     let own = own.unwrap();
     platform.refuse_appends(own);
     submit_spec(&one, 2, job(vec![step()], None)).await.unwrap();
     let key = JobId(2).to_string();
-    let next = (own + 1) % FIRST_PARTITIONS;
+    let next = (own + 1) % SMALL_CELL_JOB_PARTITIONS;
     assert!(platform.newest_job(next, &key).is_some());
     sleep(15 * SECOND).await;
     assert_eq!(one.front().job_state(JobId(2)).await, Ok(State::Completed));
--- a/crates/node/tests/node/service.rs
+++ b/crates/node/tests/node/service.rs
@@ -22,8 +22,8 @@
 use fulmarpier_node::{
     front::Refusal,
     port::{
-        FIRST_PARTITIONS,
         JOB_PARTITIONS, //
+        SMALL_CELL_JOB_PARTITIONS,
     },
 };
 use fulmarpier_state::{
@@ -156,7 +156,7 @@
     let platform = Fake::new();
     let one = start_node("one", &platform);
     wait_until_ready(&one).await;
-    for partition in (0..FIRST_PARTITIONS).step_by(2) {
+    for partition in (0..SMALL_CELL_JOB_PARTITIONS).step_by(2) {
         platform.refuse_appends(partition);
     }
     // Whichever partition a node's name selects, this one or the next accepts the record.
@@ -269,7 +269,7 @@
     let (one, two) = (start_node("one", &platform), start_node("two", &platform));
     wait_until_ready(&one).await;
     wait_until_ready(&two).await;
-    for partition in 0..FIRST_PARTITIONS {
+    for partition in 0..SMALL_CELL_JOB_PARTITIONS {
         let accepted = Accepted {
             job: JobId(100 + u64::from(partition)),
             queue: queue().into(),
@@ -280,7 +280,7 @@
         };
         platform.record_job(partition, &accepted);
     }
-    for partition in 0..FIRST_PARTITIONS {
+    for partition in 0..SMALL_CELL_JOB_PARTITIONS {
         let job = 100 + u64::from(partition);
         wait_until_completed(&two, job).await;
         assert_eq!(platform.starts(job), 4);
@@ -323,18 +323,18 @@
     let queue = QueueName::from("q");
     let mut unplaceable = two_step_job();
     unplaceable.steps[0].size = Resources::new(Millicores::from_cores(64), Bytes::from_gib(1), 0);
-    for job in 0..u64::from(FIRST_PARTITIONS) {
+    for job in 0..u64::from(SMALL_CELL_JOB_PARTITIONS) {
         let deadline = Instant::now() + 3 * SECOND;
         let front = one.front();
         let submission = front.submit(&queue, JobId(100 + job), unplaceable.clone(), deadline);
         submission.await.unwrap();
     }
     tokio::time::sleep(SECOND).await;
-    for partition in 0..FIRST_PARTITIONS {
+    for partition in 0..SMALL_CELL_JOB_PARTITIONS {
         platform.record_cancellation(partition, 100 + u64::from(partition));
     }
     tokio::time::sleep(3 * SECOND).await;
-    for job in 100..100 + u64::from(FIRST_PARTITIONS) {
+    for job in 100..100 + u64::from(SMALL_CELL_JOB_PARTITIONS) {
         assert_eq!(
             one.front().job_state(JobId(job)).await,
             Ok(State::Cancelled)
