--- a/crates/node/src/member/follow.rs
+++ b/crates/node/src/member/follow.rs
@@ -297,7 +297,7 @@
                 since: Instant::now(),
             }
         }
-        Err(Error::Moved { .. }) => read_claim(shared).await,
+        Err(Error::WrongEnd { .. }) => read_claim(shared).await,
         Err(_) => {
             pause().await;
             read_claim(shared).await
--- a/crates/node/src/port.rs
+++ b/crates/node/src/port.rs
@@ -108,7 +108,7 @@
     Unanswered,
     /// The topic doesn't end at the expected offset; nothing was appended.
     #[error("the topic ends at offset {end}")]
-    Moved {
+    WrongEnd {
         /// The offset at which the topic ends.
         end: u64,
     },
@@ -138,7 +138,7 @@
         match self {
             Self::Refused(why) => why,
             Self::Unanswered => "unanswered",
-            Self::Moved { .. } => "moved",
+            Self::WrongEnd { .. } => "moved",
             Self::Fenced => "fenced",
             Self::Sequence { .. } => "sequence",
             Self::Forgotten { .. } => "forgotten",
--- a/crates/node/tests/node/platform.rs
+++ b/crates/node/tests/node/platform.rs
@@ -596,7 +596,7 @@
         match append.condition {
             Condition::None => {}
             Condition::EndsAt(at) if at == end => {}
-            Condition::EndsAt(_) => return Err(Error::Moved { end }),
+            Condition::EndsAt(_) => return Err(Error::WrongEnd { end }),
             Condition::Writer { epoch, sequence } => {
                 if epoch.0 < state.fence {
                     return Err(Error::Fenced);
