--- a/crates/node/src/port.rs
+++ b/crates/node/src/port.rs
@@ -123,7 +123,7 @@
     },
     /// The requested records are no longer stored.
     #[error("the store keeps records only from offset {first} on")]
-    Forgotten {
+    Truncated {
         /// The offset of the first stored record.
         first: u64,
     },
@@ -141,7 +141,7 @@
             Self::WrongEnd { .. } => "moved",
             Self::Fenced => "fenced",
             Self::Sequence { .. } => "sequence",
-            Self::Forgotten { .. } => "forgotten",
+            Self::Truncated { .. } => "forgotten",
             Self::Malformed(_) => "malformed",
         }
     }
--- a/crates/node/src/recall.rs
+++ b/crates/node/src/recall.rs
@@ -115,7 +115,7 @@
     let mut from = 0;
     loop {
         let page = match shared.read(purpose, topic, from, Duration::ZERO).await {
-            Err(Error::Forgotten { first }) if first > from => {
+            Err(Error::Truncated { first }) if first > from => {
                 from = first;
                 continue;
             }
--- a/crates/node/src/watch.rs
+++ b/crates/node/src/watch.rs
@@ -95,7 +95,7 @@
         };
         match &result {
             Ok(Batch::Full(page) | Batch::Incremental(page)) => self.next = Some(page.next),
-            Err(Error::Forgotten { first }) => {
+            Err(Error::Truncated { first }) => {
                 slog::warn!(shared.log, "history-gone"; "topic" => self.purpose, "first" => first);
                 self.next = None;
             }
--- a/crates/node/tests/node/platform.rs
+++ b/crates/node/tests/node/platform.rs
@@ -681,7 +681,7 @@
                     .copied()
                     .unwrap_or(0);
                 if from < first {
-                    return Err(Error::Forgotten { first });
+                    return Err(Error::Truncated { first });
                 }
                 let records = state.topics.get(&topic_name(topic));
                 let end = records.map_or(0, |records| records.len() as u64);
