--- a/crates/node/src/front/kept.rs
+++ b/crates/node/src/front/kept.rs
@@ -144,9 +144,9 @@
             };
             let is_valid = **value == CANCELLATION_VALUE;
             let cancelled = is_valid.then_some(Self::Cancelled(cancelled));
-            return cancelled.ok_or(Fault::Form).map(Some);
+            return cancelled.ok_or(Fault::Structure).map(Some);
         }
-        let accepted: Accepted = record::decode(value).map_err(|_| Fault::Form)?;
+        let accepted: Accepted = record::decode(value).map_err(|_| Fault::Structure)?;
         if Ok(Key::acceptance(
             accepted.job,
             accepted.workspace_name().cloned(),
--- a/crates/node/src/member/mod.rs
+++ b/crates/node/src/member/mod.rs
@@ -61,7 +61,7 @@
     read: &|record| {
         let claim = record.value.as_ref();
         let claim = claim.map(|value| record::decode(value));
-        claim.transpose().map_err(|_| Fault::Form)
+        claim.transpose().map_err(|_| Fault::Structure)
     },
 };
 /// How long the owner may take to answer a hello: a round trip takes 3 ms, and some 80 ms if the
--- a/crates/node/src/owner/takeover.rs
+++ b/crates/node/src/owner/takeover.rs
@@ -89,7 +89,7 @@
         let Some(value) = &record.value else {
             return Ok(None);
         };
-        let entry: Entry = record::decode(value).map_err(|_| Fault::Form)?;
+        let entry: Entry = record::decode(value).map_err(|_| Fault::Structure)?;
         let is_own = entry.key() == record.key;
         is_own.then_some(Some(entry)).ok_or(Fault::Id)
     },
--- a/crates/node/src/port.rs
+++ b/crates/node/src/port.rs
@@ -158,7 +158,7 @@
     Value,
     /// The value doesn't have the expected structure.
     #[error("its value is not of the expected form")]
-    Form,
+    Structure,
     /// The id differs from that in the key, or can't be put into an order.
     #[error("its id is not that of its key, or can't be used")]
     Id,
@@ -188,7 +188,7 @@
         match self {
             Self::Key => "key",
             Self::Value => "value",
-            Self::Form => "form",
+            Self::Structure => "form",
             Self::Id => "id",
             Self::Address => "address",
             Self::State => "state",
--- a/crates/node/tests/node/platform.rs
+++ b/crates/node/tests/node/platform.rs
@@ -813,7 +813,7 @@
             ("config", Some(b"1")) => (1, "p"),
             ("config", Some(b"2")) => (2, "elsewhere"),
             ("config", Some(value)) if value.starts_with(KEYS_PREFIX) => (version(value), "p"),
-            ("config", _) => return Err(Fault::Form),
+            ("config", _) => return Err(Fault::Structure),
             _ => return Ok(None),
         };
         let mut config = Config {
@@ -842,7 +842,7 @@
                 data_centre: DataCentre::from(name),
                 is_evacuated: record.value.is_some(),
             })),
-            Some(_) => Err(Fault::Form),
+            Some(_) => Err(Fault::Structure),
         }
     }
 
@@ -854,7 +854,7 @@
         let pool = match record.value.as_deref() {
             Some(b"here") => PoolName::from("p"),
             Some(b"elsewhere") => PoolName::from("elsewhere"),
-            _ => return Err(Fault::Form),
+            _ => return Err(Fault::Structure),
         };
         if !pools.contains(&pool) {
             return Err(Fault::Pool);
