--- a/crates/node/src/port.rs
+++ b/crates/node/src/port.rs
@@ -213,7 +213,7 @@
 
 impl Rejected {
     /// Returns the rejection of a record of a page.
-    pub fn record(record: &Record, fault: Fault) -> Self {
+    pub fn new(record: &Record, fault: Fault) -> Self {
         Self {
             key: Some(record.key.clone()),
             offset: None,
--- a/crates/node/src/recall.rs
+++ b/crates/node/src/recall.rs
@@ -54,7 +54,7 @@
         match decode(record) {
             Ok(value) => found.extend(value),
             Err(fault) => {
-                let invalid = Rejected::record(record, fault);
+                let invalid = Rejected::new(record, fault);
                 shared.turn_away(purpose, &invalid);
                 rejected.push(invalid);
             }
--- a/crates/node/tests/node/platform.rs
+++ b/crates/node/tests/node/platform.rs
@@ -394,7 +394,7 @@
             records.into_iter().partition(is_rejected);
         let rejected = unreadable
             .iter()
-            .map(|record| Rejected::record(record, Fault::Value));
+            .map(|record| Rejected::new(record, Fault::Value));
         Page {
             records,
             rejected: rejected.collect(),
