--- a/crates/node/src/owner/control.rs
+++ b/crates/node/src/owner/control.rs
@@ -181,7 +181,7 @@
         records: mpsc::UnboundedSender<Vec<Entry>>,
         view: ReadProgress,
     ) -> Self {
-        let suspended = shared.platform.suspended();
+        let suspended = shared.platform.total_suspension();
         Self {
             engine,
             shared,
--- a/crates/node/src/port.rs
+++ b/crates/node/src/port.rs
@@ -291,7 +291,7 @@
     ) -> impl Future<Output = Option<Vec<Grant>>> + Send;
 
     /// Returns the total time for which the machine was suspended since the process started.
-    fn suspended(&self) -> Duration;
+    fn total_suspension(&self) -> Duration;
 
     /// Decodes a configuration from its record; `None` if the record holds something else.
     ///
--- a/crates/node/src/pulse.rs
+++ b/crates/node/src/pulse.rs
@@ -70,7 +70,7 @@
 /// Returns for how long the machine was suspended since the last call with the same `total`, which this updates; `None`
 /// if it was not suspended.
 pub(crate) fn slept<P: Platform>(platform: &P, total: &mut Duration) -> Option<Duration> {
-    let now = platform.suspended();
+    let now = platform.total_suspension();
     let suspension = now.saturating_sub(*total);
     *total = now.max(*total);
     (suspension >= MIN_SUSPENSION).then_some(suspension)
@@ -78,7 +78,7 @@
 
 /// Measures the delay of timers and detects suspensions, for as long as the process runs.
 pub(crate) async fn run<P: Platform>(shared: Arc<Shared<P>>) {
-    let mut suspended = shared.platform.suspended();
+    let mut suspended = shared.platform.total_suspension();
     loop {
         let due = Instant::now() + TIMER_CHECK_INTERVAL;
         sleep_until(due).await;
--- a/crates/node/tests/node/platform.rs
+++ b/crates/node/tests/node/platform.rs
@@ -804,7 +804,7 @@
         None
     }
 
-    fn suspended(&self) -> Duration {
+    fn total_suspension(&self) -> Duration {
         *self.suspended.lock().unwrap()
     }
 
