--- a/crates/node/src/member/own.rs
+++ b/crates/node/src/member/own.rs
@@ -46,7 +46,7 @@
     report::millis,
     share::Peer,
     shared::{
-        Acting,
+        Ownership,
         Shared, //
     },
     succession::{
@@ -87,7 +87,7 @@
 
 /// Owns the cell until the claim is lost, given up, or can't be trusted any more.
 pub(super) async fn own_cell<P: Platform>(shared: &Arc<Shared<P>>, mut claim: Claim, mut end: u64) {
-    shared.acting.send_replace(Some(Acting {
+    shared.acting.send_replace(Some(Ownership {
         claim: claim.clone(),
         seat: None,
     }));
--- a/crates/node/src/owner/takeover.rs
+++ b/crates/node/src/owner/takeover.rs
@@ -64,7 +64,7 @@
     report::millis,
     share::Peer,
     shared::{
-        Acting,
+        Ownership,
         Seat,
         Shared, //
     },
@@ -221,7 +221,7 @@
     tokio::spawn(forward_changes(configs, weak.clone(), Event::Configured));
     let evacuations = shared.evacuation.subscribe();
     tokio::spawn(forward_changes(evacuations, weak, Event::Evacuation));
-    shared.acting.send_replace(Some(Acting {
+    shared.acting.send_replace(Some(Ownership {
         claim: claim.clone(),
         seat: Some(Seat {
             control: control.clone(),
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -70,7 +70,7 @@
 };
 
 /// The ownership of the cell by this node.
-pub(crate) struct Acting<P: Platform> {
+pub(crate) struct Ownership<P: Platform> {
     pub(crate) claim: Claim,
     /// The engine's actor; `None` until the takeover has read the store.
     pub(crate) seat: Option<Seat<P>>,
@@ -91,7 +91,7 @@
     }
 }
 
-impl<P: Platform> Clone for Acting<P> {
+impl<P: Platform> Clone for Ownership<P> {
     fn clone(&self) -> Self {
         Self {
             claim: self.claim.clone(),
@@ -144,7 +144,7 @@
     /// The strength of the strongest owner known to this node so far, in thousandths of a core.
     pub(crate) strongest: AtomicU32,
     /// The ownership of the cell by this node, if it is the owner.
-    pub(crate) acting: watch::Sender<Option<Acting<P>>>,
+    pub(crate) acting: watch::Sender<Option<Ownership<P>>>,
     /// The nodes known to the owner, except the owner itself.
     pub(crate) peers: Mutex<Vec<Peer>>,
     pub(crate) is_leaving: AtomicBool,
