--- a/crates/node/src/owner/answer.rs
+++ b/crates/node/src/owner/answer.rs
@@ -16,7 +16,7 @@
         UnknownJob,
     },
     port::Platform,
-    shared::Seat, //
+    shared::EngineHandle, //
 };
 
 /// How long a request waits until the owner has read what the answer depends on; nodes give the
@@ -28,7 +28,7 @@
 
 /// Handles a notification or a query from a node; `None` if the owner can't answer.
 pub(crate) async fn handle_request<P: Platform>(
-    seat: &Seat<P>,
+    seat: &EngineHandle<P>,
     question: Request,
 ) -> Option<Reply> {
     match question {
@@ -50,14 +50,18 @@
 }
 
 /// Sends the actor an event, behind all events sent before.
-async fn notify<P: Platform>(seat: &Seat<P>, event: Event) -> Option<Reply> {
+async fn notify<P: Platform>(seat: &EngineHandle<P>, event: Event) -> Option<Reply> {
     seat.control.tell(event).await.ok()?;
     Some(Reply::Ack)
 }
 
 /// Looks up a job. Reports it as absent only once everything that was stored when the caller asked
 /// has been read.
-async fn query_job<P: Platform>(seat: &Seat<P>, query: JobQuery, asked: Duration) -> Option<Reply> {
+async fn query_job<P: Platform>(
+    seat: &EngineHandle<P>,
+    query: JobQuery,
+    asked: Duration,
+) -> Option<Reply> {
     let required_time = Instant::now().checked_sub(asked)?;
     let job = query.job;
     let found = seat.control.ask(query.clone()).await.ok()?;
@@ -83,7 +87,7 @@
 }
 
 /// Counts the pending jobs of a queue, from a view that is at most [`MAX_COUNT_AGE`] old.
-async fn count_pending<P: Platform>(seat: &Seat<P>, query: PendingQuery) -> Option<Reply> {
+async fn count_pending<P: Platform>(seat: &EngineHandle<P>, query: PendingQuery) -> Option<Reply> {
     let required_time = Instant::now().checked_sub(MAX_COUNT_AGE)?;
     if !seat
         .view
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -73,16 +73,16 @@
 pub(crate) struct Ownership<P: Platform> {
     pub(crate) claim: Claim,
     /// The engine's actor; `None` until the takeover has read the store.
-    pub(crate) seat: Option<Seat<P>>,
+    pub(crate) seat: Option<EngineHandle<P>>,
 }
 
 /// The engine's actor, and how far it has read the job records.
-pub(crate) struct Seat<P: Platform> {
+pub(crate) struct EngineHandle<P: Platform> {
     pub(crate) control: ActorRef<EngineActor<P>>,
     pub(crate) view: ReadProgress,
 }
 
-impl<P: Platform> Clone for Seat<P> {
+impl<P: Platform> Clone for EngineHandle<P> {
     fn clone(&self) -> Self {
         Self {
             control: self.control.clone(),
@@ -264,7 +264,7 @@
 
     /// Returns the engine's actor and how far it has read the job records, if this node owns the cell and has
     /// completed its takeover.
-    pub(crate) fn seat(&self) -> Option<Seat<P>> {
+    pub(crate) fn seat(&self) -> Option<EngineHandle<P>> {
         self.acting.borrow().as_ref()?.seat.clone()
     }
 
