--- a/crates/node/src/member/own.rs
+++ b/crates/node/src/member/own.rs
@@ -89,7 +89,7 @@
 pub(super) async fn own_cell<P: Platform>(shared: &Arc<Shared<P>>, mut claim: Claim, mut end: u64) {
     shared.acting.send_replace(Some(Ownership {
         claim: claim.clone(),
-        seat: None,
+        engine: None,
     }));
     // Discards a notification that is left over from an earlier ownership.
     let _ = shared.stalled.notified().now_or_never();
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -385,7 +385,7 @@
             }
             let acting = self.shared.acting.borrow().clone();
             let Some((acting, control)) =
-                acting.and_then(|acting| Some((acting.claim, acting.seat?.control)))
+                acting.and_then(|acting| Some((acting.claim, acting.engine?.control)))
             else {
                 last_sent = None;
                 continue;
--- a/crates/node/src/owner/takeover.rs
+++ b/crates/node/src/owner/takeover.rs
@@ -223,7 +223,7 @@
     tokio::spawn(forward_changes(evacuations, weak, Event::Evacuation));
     shared.acting.send_replace(Some(Ownership {
         claim: claim.clone(),
-        seat: Some(EngineHandle {
+        engine: Some(EngineHandle {
             control: control.clone(),
             view,
         }),
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -73,7 +73,7 @@
 pub(crate) struct Ownership<P: Platform> {
     pub(crate) claim: Claim,
     /// The engine's actor; `None` until the takeover has read the store.
-    pub(crate) seat: Option<EngineHandle<P>>,
+    pub(crate) engine: Option<EngineHandle<P>>,
 }
 
 /// The engine's actor, and how far it has read the job records.
@@ -95,7 +95,7 @@
     fn clone(&self) -> Self {
         Self {
             claim: self.claim.clone(),
-            seat: self.seat.clone(),
+            engine: self.engine.clone(),
         }
     }
 }
@@ -265,7 +265,7 @@
     /// Returns the engine's actor and how far it has read the job records, if this node owns the cell and has
     /// completed its takeover.
     pub(crate) fn seat(&self) -> Option<EngineHandle<P>> {
-        self.acting.borrow().as_ref()?.seat.clone()
+        self.acting.borrow().as_ref()?.engine.clone()
     }
 
     /// Returns the description of this node that other nodes use.
