--- a/crates/node/src/front/owner.rs
+++ b/crates/node/src/front/owner.rs
@@ -58,7 +58,7 @@
 
     /// Sends a question to the owner once; returns `None` if the owner is unknown or didn't answer.
     pub(super) async fn ask_owner_once(&self, question: &Request) -> Option<Reply> {
-        if let Some(seat) = self.shared.seat() {
+        if let Some(seat) = self.shared.engine_handle() {
             return owner::handle_request(&seat, question.clone()).await;
         }
         let address = self.shared.claim.borrow().as_ref()?.address;
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -337,7 +337,7 @@
                 Reply::Ack
             }
             other => {
-                let reply = match shared.seat() {
+                let reply = match shared.engine_handle() {
                     Some(seat) => owner::handle_request(&seat, other).await,
                     None => None,
                 };
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -259,12 +259,12 @@
 
     /// Returns the engine's actor if this node owns the cell and has completed its takeover.
     pub(crate) fn control(&self) -> Option<ActorRef<EngineActor<P>>> {
-        Some(self.seat()?.control)
+        Some(self.engine_handle()?.control)
     }
 
     /// Returns the engine's actor and how far it has read the job records, if this node owns the cell and has
     /// completed its takeover.
-    pub(crate) fn seat(&self) -> Option<EngineHandle<P>> {
+    pub(crate) fn engine_handle(&self) -> Option<EngineHandle<P>> {
         self.acting.borrow().as_ref()?.engine.clone()
     }
 
