--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -109,7 +109,7 @@
 const READ_TIMEOUT: Duration = Duration::from_millis(3_000);
 
 /// The last heartbeat that this node, as the owner, received from each other node, with its time of arrival.
-pub(crate) type Greetings = Mutex<HashMap<NodeName, (Greeting, Instant)>>;
+pub(crate) type Hellos = Mutex<HashMap<NodeName, (Greeting, Instant)>>;
 
 /// The state that the components of a node share, kept behind an `Arc`.
 pub(crate) struct Shared<P: Platform> {
@@ -153,7 +153,7 @@
     /// Notified when the owner's actor finds that it did not run for a while.
     pub(crate) stalled: Notify,
     /// The last heartbeats of the other nodes to this one as the owner.
-    pub(crate) greetings: Greetings,
+    pub(crate) greetings: Hellos,
     pub(crate) pulse: Pulse,
     pub(crate) store: StoreHealth,
     /// The result of the last store probe that was made at the request of another node.
