--- a/crates/node/src/member/own.rs
+++ b/crates/node/src/member/own.rs
@@ -184,9 +184,9 @@
     end: &mut u64,
     reason: Reason,
 ) -> Option<Claim> {
-    let greetings = recent_greetings(shared).await;
+    let hellos = recent_greetings(shared).await;
     let lag = shared.pulse.owner();
-    let next = succession::choose(shared.strength, lag, reason, &greetings)?;
+    let next = succession::choose(shared.strength, lag, reason, &hellos)?;
     let successor = Claim {
         epoch: claim.epoch.next(),
         node: next.node.clone(),
@@ -257,7 +257,7 @@
 
 /// Returns the recent greetings of other nodes.
 async fn recent_greetings<P: Platform>(shared: &Shared<P>) -> Vec<Greeting> {
-    let greetings = shared.greetings.lock().await;
+    let greetings = shared.hellos.lock().await;
     let fresh = greetings
         .values()
         .filter(|(_, at)| at.elapsed() < MAX_GREETING_AGE);
@@ -302,8 +302,8 @@
             () if owned >= MIN_TENURE => Reason::Outranked,
             () => continue,
         };
-        let greetings = recent_greetings(shared).await;
-        if succession::choose(shared.strength, lag, reason, &greetings).is_some() {
+        let hellos = recent_greetings(shared).await;
+        if succession::choose(shared.strength, lag, reason, &hellos).is_some() {
             return reason;
         }
     }
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -187,7 +187,7 @@
             is_leaving: AtomicBool::new(false),
             vacant: Notify::new(),
             stalled: Notify::new(),
-            greetings: Mutex::default(),
+            hellos: Mutex::default(),
             pulse: Pulse::default(),
             store: StoreHealth::new(parts.log),
             probe: member::ProbeCache::default(),
@@ -233,7 +233,7 @@
 
     /// Returns the number of nodes that have recently greeted this node as the owner.
     pub async fn peer_count(&self) -> usize {
-        self.shared.greetings.lock().await.len()
+        self.shared.hellos.lock().await.len()
     }
 
     /// Stops serving peers; requests in progress get up to `drain` to finish.
@@ -355,7 +355,7 @@
         };
         let peer = Peer::from(&greeting);
         let now = Instant::now();
-        let mut greetings = shared.greetings.lock().await;
+        let mut greetings = shared.hellos.lock().await;
         let previous = greetings.insert(greeting.node.clone(), (greeting, now));
         if previous.is_none_or(|(previous, _)| Peer::from(&previous) != peer) {
             self.peer_change.notify_one();
@@ -390,7 +390,7 @@
                 last_sent = None;
                 continue;
             };
-            let mut greetings = self.shared.greetings.lock().await;
+            let mut greetings = self.shared.hellos.lock().await;
             greetings.retain(|_, (_, at)| at.elapsed() < PEER_TIMEOUT);
             drop(greetings);
             let peers = self.shared.greeted().await;
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -153,7 +153,7 @@
     /// Notified when the owner's actor finds that it did not run for a while.
     pub(crate) stalled: Notify,
     /// The last heartbeats of the other nodes to this one as the owner.
-    pub(crate) greetings: Hellos,
+    pub(crate) hellos: Hellos,
     pub(crate) pulse: Pulse,
     pub(crate) store: StoreHealth,
     /// The result of the last store probe that was made at the request of another node.
@@ -280,7 +280,7 @@
 
     /// Returns the nodes that sent heartbeats to this one as the owner.
     pub(crate) async fn greeted(&self) -> Vec<Peer> {
-        let greetings = self.greetings.lock().await;
+        let greetings = self.hellos.lock().await;
         let mut peers: Vec<Peer> = greetings
             .values()
             .map(|(greeting, _)| greeting.into())
