--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -168,7 +168,7 @@
             incarnation,
             strength: succession::strength(processor, link),
             descriptors,
-            began: Instant::now(),
+            started_at: Instant::now(),
             bounds: parts.bounds,
             revocation: parts.revocation,
             platform: parts.platform,
--- a/crates/node/src/owner/jobs.rs
+++ b/crates/node/src/owner/jobs.rs
@@ -107,7 +107,7 @@
             reader: Reader::new(Topic::Jobs(number), "jobs"),
             requested_at: Instant::now(),
             // Overwritten by the first read, before it is used.
-            read_up_to: shared.began,
+            read_up_to: shared.started_at,
             read_duration: Duration::ZERO,
         };
         let found = partition.read_with_retry(shared).await;
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -121,7 +121,7 @@
     /// The number of files and connections that the process may have open.
     pub(crate) descriptors: u32,
     /// When this incarnation of the node started.
-    pub(crate) began: Instant,
+    pub(crate) started_at: Instant,
     pub(crate) bounds: Bounds,
     pub(crate) revocation: Revocation,
     pub(crate) platform: P,
@@ -298,7 +298,7 @@
             strength: self.strength,
             descriptors: self.descriptors,
             may_own: !self.store.is_failing() && !self.is_leaving(),
-            age: self.began.elapsed(),
+            age: self.started_at.elapsed(),
             lag: self.pulse.timers(),
         }
     }
