--- a/crates/node/src/edition.rs
+++ b/crates/node/src/edition.rs
@@ -42,7 +42,7 @@
     let record = record.filter(|_| version > known);
     ConfigState {
         version,
-        age: shared.config_read.borrow().elapsed(),
+        age: shared.config_confirmed_at.borrow().elapsed(),
         record: record.and_then(|record| Some((record.key, record.value?.to_vec()))),
     }
 }
@@ -51,7 +51,7 @@
 pub(crate) async fn poll_owner<P: Platform>(shared: Arc<Shared<P>>) {
     loop {
         sleep(POLL_INTERVAL).await;
-        if shared.config_read.borrow().elapsed() < MAX_STORE_SILENCE {
+        if shared.config_confirmed_at.borrow().elapsed() < MAX_STORE_SILENCE {
             continue;
         }
         let owner = shared.claim.borrow().as_ref().map(|claim| claim.address);
@@ -87,7 +87,7 @@
     let Some(confirmed) = asked.checked_sub(edition.age) else {
         return;
     };
-    shared.config_read.send_if_modified(|read| {
+    shared.config_confirmed_at.send_if_modified(|read| {
         let is_newer = confirmed > *read;
         *read = confirmed.max(*read);
         is_newer
--- a/crates/node/src/front/mod.rs
+++ b/crates/node/src/front/mod.rs
@@ -189,7 +189,7 @@
     /// unavailable for all nodes, there is no newer configuration, and only the revocation bound applies.
     fn is_config_outdated(&self) -> bool {
         let is_alone = self.shared.is_alone.load(Ordering::Relaxed);
-        let age = self.shared.config_read.borrow().elapsed();
+        let age = self.shared.config_confirmed_at.borrow().elapsed();
         (is_alone && age >= MAX_FRESH_CONFIG_AGE) || self.shared.revocation.forbids(age)
     }
 
@@ -200,7 +200,7 @@
         }
         slog::info!(self.shared.log, "key"; "key" => key.map(KeyDigest::to_string).unwrap_or_default(),
             "config" => config.version,
-            "config_ms" => millis(self.shared.config_read.borrow().elapsed()),
+            "config_ms" => millis(self.shared.config_confirmed_at.borrow().elapsed()),
             "outcome" => outcome);
     }
 
@@ -230,7 +230,7 @@
 
     /// Returns `refusal`, which follows from the configuration, or [`Refusal::NotReady`] if the configuration is stale.
     fn not_ready_if_stale(&self, refusal: Refusal) -> Refusal {
-        match self.shared.config_read.borrow().elapsed() < MAX_FRESH_CONFIG_AGE {
+        match self.shared.config_confirmed_at.borrow().elapsed() < MAX_FRESH_CONFIG_AGE {
             true => refusal,
             false => Refusal::NotReady,
         }
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -178,7 +178,7 @@
             meter: parts.meter,
             config: watch::Sender::new(None),
             config_record: watch::Sender::new(None),
-            config_read: watch::Sender::new(Instant::now()),
+            config_confirmed_at: watch::Sender::new(Instant::now()),
             operator: operator::Reading::default(),
             evacuation: watch::Sender::new(None),
             claim: watch::Sender::new(None),
--- a/crates/node/src/operator.rs
+++ b/crates/node/src/operator.rs
@@ -70,7 +70,7 @@
     let next = *shared.operator.next_offset.borrow();
     next.map(|next| ReadPosition {
         next,
-        age: shared.config_read.borrow().elapsed(),
+        age: shared.config_confirmed_at.borrow().elapsed(),
     })
 }
 
@@ -123,7 +123,7 @@
 
 /// Waits until the last confirmation that there is nothing newer, by the store or the owner, is no longer recent.
 async fn wait_until_unconfirmed<P: Platform>(shared: &Shared<P>) {
-    let mut confirmed = shared.config_read.subscribe();
+    let mut confirmed = shared.config_confirmed_at.subscribe();
     loop {
         let until = *confirmed.borrow_and_update() + CONFIRMATION_VALIDITY;
         tokio::select! {
--- a/crates/node/src/pulse.rs
+++ b/crates/node/src/pulse.rs
@@ -98,7 +98,7 @@
     }
     // If the clock can't represent a time that long ago, the time of reading stays as it is.
     let make_older = |at: &mut Instant| *at = at.checked_sub(suspension).unwrap_or(*at);
-    shared.config_read.send_modify(make_older);
+    shared.config_confirmed_at.send_modify(make_older);
     shared.evacuation.send_modify(|reading| {
         if let Some(reading) = reading {
             make_older(&mut reading.confirmed_at);
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -134,7 +134,7 @@
     /// The operator's record from which that configuration was decoded.
     pub(crate) config_record: watch::Sender<Option<Record>>,
     /// When the store last confirmed, to this node or to the owner, which configuration is the newest.
-    pub(crate) config_read: watch::Sender<Instant>,
+    pub(crate) config_confirmed_at: watch::Sender<Instant>,
     /// How far this node has read the operator's records.
     pub(crate) operator: operator::Reading,
     /// The evacuated data centres, once this node has read them from the store.
@@ -306,7 +306,7 @@
     /// Records when the store confirmed, to this node or another, that this node has read the operator's newest
     /// records.
     pub(crate) fn confirm_operator_read(&self, confirmed_at: Instant) {
-        self.config_read.send_if_modified(|read| {
+        self.config_confirmed_at.send_if_modified(|read| {
             let is_later = confirmed_at > *read;
             *read = confirmed_at.max(*read);
             is_later
--- a/crates/node/src/watch.rs
+++ b/crates/node/src/watch.rs
@@ -193,7 +193,7 @@
 /// Applies the records of a read that has just ended. The end of a waiting call without records confirms that nothing
 /// changed.
 fn apply<P: Platform>(shared: &Shared<P>, scope: Scope, updates: Vec<Update>) {
-    shared.config_read.send_replace(Instant::now());
+    shared.config_confirmed_at.send_replace(Instant::now());
     let mut changes = Vec::new();
     for update in updates {
         match update {
