--- a/crates/node/src/member/follow.rs
+++ b/crates/node/src/member/follow.rs
@@ -249,7 +249,7 @@
 /// Comparing with the last owner would not do: once a weak node had the cell, others like it
 /// claimed it as soon as the strong ones did, and lost it again, for 10 s in a row.
 fn claim_delay<P: Platform>(shared: &Shared<P>) -> Duration {
-    let is_weak = outranks(shared.strongest(), shared.strength);
+    let is_weak = outranks(shared.strongest_owner(), shared.strength);
     let is_slow = !succession::is_quick(shared.pulse.timers());
     let min_delay = match is_weak || is_slow {
         true => WEAK_CLAIM_DELAY,
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -191,7 +191,7 @@
             pulse: Pulse::default(),
             store: StoreHealth::new(parts.log),
             probe: member::ProbeCache::default(),
-            strongest: AtomicU32::new(0),
+            strongest_owner: AtomicU32::new(0),
             is_alone: AtomicBool::new(false),
         });
         let intake = Intake::start(&shared);
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -142,7 +142,7 @@
     /// The newest claim known to this node.
     pub(crate) claim: watch::Sender<Option<Claim>>,
     /// The strength of the strongest owner known to this node so far, in thousandths of a core.
-    pub(crate) strongest: AtomicU32,
+    pub(crate) strongest_owner: AtomicU32,
     /// The ownership of the cell by this node, if it is the owner.
     pub(crate) acting: watch::Sender<Option<Ownership<P>>>,
     /// The nodes known to the owner, except the owner itself.
@@ -325,7 +325,7 @@
 
     /// Records the newest claim known to this node.
     pub(crate) fn note_claim(&self, claim: Claim) {
-        self.strongest
+        self.strongest_owner
             .fetch_max(claim.strength.get(), Ordering::Relaxed);
         self.claim.send_replace(Some(claim));
     }
@@ -349,8 +349,8 @@
     }
 
     /// Returns the strength of the strongest owner known to this node so far.
-    pub(crate) fn strongest(&self) -> Millicores {
-        Millicores(self.strongest.load(Ordering::Relaxed))
+    pub(crate) fn strongest_owner(&self) -> Millicores {
+        Millicores(self.strongest_owner.load(Ordering::Relaxed))
     }
 
     /// Returns the highest epoch known to this node.
