--- a/crates/node/src/member/own.rs
+++ b/crates/node/src/member/own.rs
@@ -87,7 +87,7 @@
 
 /// Owns the cell until the claim is lost, given up, or can't be trusted any more.
 pub(super) async fn own_cell<P: Platform>(shared: &Arc<Shared<P>>, mut claim: Claim, mut end: u64) {
-    shared.acting.send_replace(Some(Ownership {
+    shared.ownership.send_replace(Some(Ownership {
         claim: claim.clone(),
         engine: None,
     }));
@@ -123,7 +123,7 @@
         Ending::Released(_) | Ending::Lost(_) => None,
     };
     depose(shared, &takeover).await;
-    shared.acting.send_replace(None);
+    shared.ownership.send_replace(None);
     if let Some(successor) = successor {
         announce_successor(shared, successor, &peers).await;
         return;
@@ -266,7 +266,7 @@
 
 /// Waits until a worker or the store reports a later owner, or the process is to end.
 async fn wait_for_dismissal<P: Platform>(shared: &Shared<P>) -> Ending {
-    let mut acting = shared.acting.subscribe();
+    let mut acting = shared.ownership.subscribe();
     loop {
         if acting.borrow_and_update().is_none() {
             return Ending::Lost("fenced");
@@ -346,7 +346,7 @@
 
 /// Updates the number of renewals and the spread that this node reports to other nodes.
 fn publish_renewal<P: Platform>(shared: &Shared<P>, claim: &Claim) {
-    shared.acting.send_if_modified(|acting| {
+    shared.ownership.send_if_modified(|acting| {
         if let Some(acting) = acting {
             acting.claim.renewal = claim.renewal;
             acting.claim.spread = claim.spread;
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -182,7 +182,7 @@
             operator: operator::Reading::default(),
             evacuation: watch::Sender::new(None),
             claim: watch::Sender::new(None),
-            acting: watch::Sender::new(None),
+            ownership: watch::Sender::new(None),
             peers: Mutex::default(),
             is_leaving: AtomicBool::new(false),
             vacant: Notify::new(),
@@ -219,13 +219,13 @@
     /// Makes the node give up its ownership and claim no more; it still serves callers.
     pub fn leave(&self) {
         self.shared.is_leaving.store(true, Ordering::Relaxed);
-        self.shared.acting.send_modify(|_| {});
+        self.shared.ownership.send_modify(|_| {});
         self.shared.vacant.notify_waiters();
     }
 
     /// Waits until the node has given up its ownership, for `patience` at most.
     pub async fn wait_for_release(&self, patience: Duration) {
-        let mut acting = self.shared.acting.subscribe();
+        let mut acting = self.shared.ownership.subscribe();
         let released = acting.wait_for(Option::is_none);
         // After the timeout, the process ends anyway.
         let _ = tokio::time::timeout(patience, released).await;
@@ -349,7 +349,7 @@
     /// Answers a greeting and, if this node is the owner, records the peer.
     async fn record_greeting(&self, greeting: Greeting) -> Reply {
         let shared = &self.shared;
-        let acting = shared.acting.borrow().clone();
+        let acting = shared.ownership.borrow().clone();
         let Some(acting) = acting else {
             return self.not_owner();
         };
@@ -375,7 +375,7 @@
         let mut last_sent: Option<(u32, Vec<Peer>)> = None;
         let mut ticks = interval(PEER_CHECK_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
-        let mut ownership = self.shared.acting.subscribe();
+        let mut ownership = self.shared.ownership.subscribe();
         loop {
             tokio::select! {
                 _ = ticks.tick() => {}
@@ -383,7 +383,7 @@
                 // This can't fail: the sender outlives this task.
                 _ = ownership.changed() => {}
             }
-            let acting = self.shared.acting.borrow().clone();
+            let acting = self.shared.ownership.borrow().clone();
             let Some((acting, control)) =
                 acting.and_then(|acting| Some((acting.claim, acting.engine?.control)))
             else {
--- a/crates/node/src/operator.rs
+++ b/crates/node/src/operator.rs
@@ -89,7 +89,7 @@
 
 /// Returns the time for which the next call of this node waits at the store for a change.
 pub(crate) fn read_wait<P: Platform>(shared: &Shared<P>) -> Duration {
-    let is_owner = shared.acting.borrow().is_some();
+    let is_owner = shared.ownership.borrow().is_some();
     let confirmed = *shared.operator.confirmed_at.borrow();
     match confirmed {
         _ if is_owner => OWNER_READ_WAIT,
--- a/crates/node/src/owner/control.rs
+++ b/crates/node/src/owner/control.rs
@@ -289,7 +289,7 @@
                 Effect::Deposed => {
                     slog::warn!(self.shared.log, "fenced"; "epoch" => %self.engine.epoch());
                     self.is_deposed = true;
-                    self.shared.acting.send_replace(None);
+                    self.shared.ownership.send_replace(None);
                 }
             }
         }
--- a/crates/node/src/owner/recorder.rs
+++ b/crates/node/src/owner/recorder.rs
@@ -65,7 +65,7 @@
         // The actor may be stopping.
         let _ = control.tell(event).await;
         if !is_stored {
-            shared.acting.send_replace(None);
+            shared.ownership.send_replace(None);
             return;
         }
     }
--- a/crates/node/src/owner/takeover.rs
+++ b/crates/node/src/owner/takeover.rs
@@ -221,7 +221,7 @@
     tokio::spawn(forward_changes(configs, weak.clone(), Event::Configured));
     let evacuations = shared.evacuation.subscribe();
     tokio::spawn(forward_changes(evacuations, weak, Event::Evacuation));
-    shared.acting.send_replace(Some(Ownership {
+    shared.ownership.send_replace(Some(Ownership {
         claim: claim.clone(),
         engine: Some(EngineHandle {
             control: control.clone(),
--- a/crates/node/src/pulse.rs
+++ b/crates/node/src/pulse.rs
@@ -93,7 +93,7 @@
 /// Handles the end of a suspension: what was read before it counts as older by its length, and an owner is notified.
 fn handle_resume<P: Platform>(shared: &Shared<P>, suspension: Duration) {
     slog::warn!(shared.log, "woke"; "slept_ms" => millis(suspension));
-    if shared.acting.borrow().is_some() {
+    if shared.ownership.borrow().is_some() {
         shared.stalled.notify_one();
     }
     // If the clock can't represent a time that long ago, the time of reading stays as it is.
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -144,7 +144,7 @@
     /// The strength of the strongest owner known to this node so far, in thousandths of a core.
     pub(crate) strongest_owner: AtomicU32,
     /// The ownership of the cell by this node, if it is the owner.
-    pub(crate) acting: watch::Sender<Option<Ownership<P>>>,
+    pub(crate) ownership: watch::Sender<Option<Ownership<P>>>,
     /// The nodes known to the owner, except the owner itself.
     pub(crate) peers: Mutex<Vec<Peer>>,
     pub(crate) is_leaving: AtomicBool,
@@ -265,7 +265,7 @@
     /// Returns the engine's actor and how far it has read the job records, if this node owns the cell and has
     /// completed its takeover.
     pub(crate) fn engine_handle(&self) -> Option<EngineHandle<P>> {
-        self.acting.borrow().as_ref()?.engine.clone()
+        self.ownership.borrow().as_ref()?.engine.clone()
     }
 
     /// Returns the description of this node that other nodes use.
