--- a/crates/node/src/member/follow.rs
+++ b/crates/node/src/member/follow.rs
@@ -107,7 +107,7 @@
     // How often the claim had been renewed when the owner last answered; 0 before its first answer.
     let mut renewals = 0;
     let delay = first_hello_delay(shared, seen.claim.as_ref());
-    let _ = timeout(delay, shared.vacant.notified()).await;
+    let _ = timeout(delay, shared.owner_lost.notified()).await;
     loop {
         if let Some(newer) = newer_claim(shared, &seen) {
             return newer;
@@ -120,7 +120,7 @@
                 // A release of the claim or a message from a peer may arrive before the next hello
                 // is due.
                 let interval = hello_interval(shared, seen.claim.as_ref());
-                let _ = timeout(interval, shared.vacant.notified()).await;
+                let _ = timeout(interval, shared.owner_lost.notified()).await;
                 continue;
             }
             OwnerStatus::Replaced(claim) => return adopt_peer_claim(shared, claim),
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -185,7 +185,7 @@
             ownership: watch::Sender::new(None),
             peers: Mutex::default(),
             is_leaving: AtomicBool::new(false),
-            vacant: Notify::new(),
+            owner_lost: Notify::new(),
             stalled: Notify::new(),
             hellos: Mutex::default(),
             pulse: Pulse::default(),
@@ -220,7 +220,7 @@
     pub fn leave(&self) {
         self.shared.is_leaving.store(true, Ordering::Relaxed);
         self.shared.ownership.send_modify(|_| {});
-        self.shared.vacant.notify_waiters();
+        self.shared.owner_lost.notify_waiters();
     }
 
     /// Waits until the node has given up its ownership, for `patience` at most.
@@ -325,14 +325,14 @@
             },
             Request::Released(epoch) => {
                 if shared.epoch() == epoch {
-                    shared.vacant.notify_waiters();
+                    shared.owner_lost.notify_waiters();
                 }
                 Reply::Ack
             }
             Request::HandedOver(claim) => {
                 if claim.epoch > shared.epoch() {
                     shared.note_claim(claim);
-                    shared.vacant.notify_one();
+                    shared.owner_lost.notify_one();
                 }
                 Reply::Ack
             }
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -149,7 +149,7 @@
     pub(crate) peers: Mutex<Vec<Peer>>,
     pub(crate) is_leaving: AtomicBool,
     /// Notified when the owner may be gone.
-    pub(crate) vacant: Notify,
+    pub(crate) owner_lost: Notify,
     /// Notified when the owner's actor finds that it did not run for a while.
     pub(crate) stalled: Notify,
     /// The last heartbeats of the other nodes to this one as the owner.
