--- a/crates/node/src/member/mod.rs
+++ b/crates/node/src/member/mod.rs
@@ -166,7 +166,7 @@
     if shared.store.has_answered_within(MAX_PROBE_AGE) {
         return Some(shared.store.typical_latency());
     }
-    let mut last = shared.probe.0.lock().await;
+    let mut last = shared.probe_cache.0.lock().await;
     if let Some((at, took)) = *last
         && at.elapsed() <= MAX_PROBE_AGE
     {
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -190,7 +190,7 @@
             hellos: Mutex::default(),
             pulse: Pulse::default(),
             store: StoreHealth::new(parts.log),
-            probe: member::ProbeCache::default(),
+            probe_cache: member::ProbeCache::default(),
             strongest_owner: AtomicU32::new(0),
             is_alone: AtomicBool::new(false),
         });
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -157,7 +157,7 @@
     pub(crate) pulse: Pulse,
     pub(crate) store: StoreHealth,
     /// The result of the last store probe that was made at the request of another node.
-    pub(crate) probe: member::ProbeCache,
+    pub(crate) probe_cache: member::ProbeCache,
     /// Whether the store appears to be unreachable from this node only.
     pub(crate) is_alone: AtomicBool,
 }
