--- a/crates/node/src/front/mod.rs
+++ b/crates/node/src/front/mod.rs
@@ -188,7 +188,7 @@
     /// This is the case if the store has been unreachable for this node alone for some time. While the store is
     /// unavailable for all nodes, there is no newer configuration, and only the revocation bound applies.
     fn is_config_outdated(&self) -> bool {
-        let is_alone = self.shared.is_alone.load(Ordering::Relaxed);
+        let is_alone = self.shared.is_isolated.load(Ordering::Relaxed);
         let age = self.shared.config_confirmed_at.borrow().elapsed();
         (is_alone && age >= MAX_FRESH_CONFIG_AGE) || self.shared.revocation.forbids(age)
     }
@@ -302,7 +302,7 @@
 
     /// Returns how long the caller of a refused job should wait before it retries.
     pub fn retry_after(&self, job: JobId) -> Duration {
-        let is_alone = self.shared.is_alone.load(Ordering::Relaxed);
+        let is_alone = self.shared.is_isolated.load(Ordering::Relaxed);
         let mut refusals = self.refusals.lock().unwrap_or_else(PoisonError::into_inner);
         refusals.retry_delay(job, is_alone)
     }
--- a/crates/node/src/member/isolation.rs
+++ b/crates/node/src/member/isolation.rs
@@ -38,7 +38,7 @@
         sleep(CHECK_INTERVAL).await;
         // The store may be back by the time the owner has answered.
         let is_alone = is_failing(&shared) && is_alone(&shared).await && is_failing(&shared);
-        if shared.is_alone.swap(is_alone, Ordering::Relaxed) != is_alone {
+        if shared.is_isolated.swap(is_alone, Ordering::Relaxed) != is_alone {
             slog::info!(shared.log, "alone"; "is" => is_alone,
                 "store_failing_ms" => crate::report::millis(shared.store.failing_for()));
         }
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -192,7 +192,7 @@
             store: StoreHealth::new(parts.log),
             probe_cache: member::ProbeCache::default(),
             strongest_owner: AtomicU32::new(0),
-            is_alone: AtomicBool::new(false),
+            is_isolated: AtomicBool::new(false),
         });
         let intake = Intake::start(&shared);
         tokio::spawn(store_watch::follow_operator(shared.clone()));
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -159,7 +159,7 @@
     /// The result of the last store probe that was made at the request of another node.
     pub(crate) probe_cache: member::ProbeCache,
     /// Whether the store appears to be unreachable from this node only.
-    pub(crate) is_alone: AtomicBool,
+    pub(crate) is_isolated: AtomicBool,
 }
 
 impl<P: Platform> Shared<P> {
