--- a/crates/node/src/owner/workers.rs
+++ b/crates/node/src/owner/workers.rs
@@ -187,7 +187,7 @@
         match listing.apply(&shared.platform, &record) {
             Entry::Valid(registration) => changes.push(Change::Registered(registration)),
             Entry::Invalid(worker, fault) => {
-                shared.turn_away("workers", &Rejected::new(&record, fault));
+                shared.record_rejected("workers", &Rejected::new(&record, fault));
                 changes.push(Change::Distrusted(worker));
             }
             Entry::Removed => {}
--- a/crates/node/src/recall.rs
+++ b/crates/node/src/recall.rs
@@ -55,7 +55,7 @@
             Ok(value) => found.extend(value),
             Err(fault) => {
                 let invalid = Rejected::new(record, fault);
-                shared.turn_away(purpose, &invalid);
+                shared.record_rejected(purpose, &invalid);
                 rejected.push(invalid);
             }
         }
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -231,7 +231,7 @@
         let result = self.platform.newest_after(topic, after).await;
         self.finish_call(&call, purpose, &result);
         for rejected in result.iter().flat_map(|(page, _)| &page.rejected) {
-            self.turn_away(purpose, rejected);
+            self.record_rejected(purpose, rejected);
         }
         result
     }
@@ -239,12 +239,12 @@
     fn finish_read(&self, call: &Call, purpose: &'static str, result: &Result<Page, Error>) {
         self.finish_call(call, purpose, result);
         for rejected in result.iter().flat_map(|page| &page.rejected) {
-            self.turn_away(purpose, rejected);
+            self.record_rejected(purpose, rejected);
         }
     }
 
     /// Counts and logs a rejected record. Every rejection passes through this function.
-    pub(crate) fn turn_away(&self, topic: &'static str, rejected: &Rejected) {
+    pub(crate) fn record_rejected(&self, topic: &'static str, rejected: &Rejected) {
         self.meter.record_rejected(&self.log, topic, rejected);
     }
 
