--- a/crates/node/src/owner/control.rs
+++ b/crates/node/src/owner/control.rs
@@ -245,7 +245,7 @@
             Event::Configured(config) => engine.configure(config.as_ref().clone()),
             Event::Evacuation(reading) => reading.apply(engine, now),
             Event::Peers(peers) => {
-                let own_peer = self.shared.peer();
+                let own_peer = self.shared.as_peer();
                 let names = peers.iter().map(|peer| peer.node.clone());
                 let names: Vec<NodeName> = names.chain([own_peer.node.clone()]).collect();
                 engine.set_advice_nodes(&names, now);
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -269,7 +269,7 @@
     }
 
     /// Returns the description of this node that other nodes use.
-    pub(crate) fn peer(&self) -> Peer {
+    pub(crate) fn as_peer(&self) -> Peer {
         Peer {
             node: self.name.clone(),
             address: self.address,
