--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -393,7 +393,7 @@
             let mut greetings = self.shared.hellos.lock().await;
             greetings.retain(|_, (_, at)| at.elapsed() < PEER_TIMEOUT);
             drop(greetings);
-            let peers = self.shared.greeted().await;
+            let peers = self.shared.hello_peers().await;
             *self.shared.peers.lock().await = peers.clone();
             let update = (acting.epoch.0, peers.clone());
             if last_sent.as_ref() == Some(&update) {
--- a/crates/node/src/owner/takeover.rs
+++ b/crates/node/src/owner/takeover.rs
@@ -150,7 +150,7 @@
     }
     // Wait for other nodes to greet this one: without nodes that send its orders, the owner would
     // connect to each worker itself.
-    let peers = shared.greeted().await;
+    let peers = shared.hello_peers().await;
     Ok(start_actor(
         shared, claim, engine, partitions, view, list, peers,
     ))
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -279,7 +279,7 @@
     }
 
     /// Returns the nodes that sent heartbeats to this one as the owner.
-    pub(crate) async fn greeted(&self) -> Vec<Peer> {
+    pub(crate) async fn hello_peers(&self) -> Vec<Peer> {
         let greetings = self.hellos.lock().await;
         let mut peers: Vec<Peer> = greetings
             .values()
