--- a/crates/node/src/member/follow.rs
+++ b/crates/node/src/member/follow.rs
@@ -190,7 +190,7 @@
         // The claim is this node's, but this process doesn't hold it.
         return OwnerStatus::Vacant("former-life");
     }
-    let hello = Request::Hello(shared.greeting());
+    let hello = Request::Hello(shared.hello());
     let asked = Instant::now();
     match message::send(&shared.rpc, claim.address, &hello, HELLO_TIMEOUT).await {
         Ok(Reply::Owner(newer, extent)) if newer.epoch == claim.epoch => {
--- a/crates/node/src/member/mod.rs
+++ b/crates/node/src/member/mod.rs
@@ -128,7 +128,7 @@
 /// Asks the nodes that this one knows for a claim newer than its own.
 async fn ask_peers_for_claim<P: Platform>(shared: &Shared<P>) -> Option<Claim> {
     let peers = shared.peers.lock().await.clone();
-    let hello = Request::Hello(shared.greeting());
+    let hello = Request::Hello(shared.hello());
     let requests = peers
         .iter()
         .map(|peer| message::send(&shared.rpc, peer.address, &hello, HELLO_TIMEOUT));
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -290,7 +290,7 @@
     }
 
     /// Returns the content of a heartbeat of this node.
-    pub(crate) fn greeting(&self) -> Greeting {
+    pub(crate) fn hello(&self) -> Greeting {
         Greeting {
             node: self.name.clone(),
             address: self.address,
