--- a/crates/node/src/member/follow.rs
+++ b/crates/node/src/member/follow.rs
@@ -290,7 +290,7 @@
         "outcome" => outcome);
     match result {
         Ok(end) => {
-            shared.note_claim(claim.clone());
+            shared.record_claim(claim.clone());
             Observation {
                 claim: Some(claim),
                 end,
--- a/crates/node/src/member/mod.rs
+++ b/crates/node/src/member/mod.rs
@@ -146,7 +146,7 @@
 fn adopt_peer_claim<P: Platform>(shared: &Shared<P>, claim: Claim) -> Observation {
     slog::info!(shared.log, "owner"; "epoch" => %claim.epoch, "node" => claim.node.as_str(),
         "address" => %claim.address, "released" => claim.released, "by" => "peer");
-    shared.note_claim(claim.clone());
+    shared.record_claim(claim.clone());
     Observation {
         claim: Some(claim),
         end: 0,
@@ -208,7 +208,7 @@
             "address" => %claim.address, "released" => claim.released);
     }
     if let Some(claim) = &claim {
-        shared.note_claim(claim.clone());
+        shared.record_claim(claim.clone());
     }
     Some(Observation {
         claim,
--- a/crates/node/src/member/own.rs
+++ b/crates/node/src/member/own.rs
@@ -243,7 +243,7 @@
 /// Tells the successor first and then the other nodes, so that none of them claims the cell or asks
 /// this node.
 async fn announce_successor<P: Platform>(shared: &Shared<P>, successor: Claim, peers: &[Peer]) {
-    shared.note_claim(successor.clone());
+    shared.record_claim(successor.clone());
     let handed = Request::HandedOver(successor.clone());
     // A node that isn't reached learns of it with its next greeting.
     let _ = message::send(&shared.rpc, successor.address, &handed, HELLO_TIMEOUT).await;
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -331,7 +331,7 @@
             }
             Request::HandedOver(claim) => {
                 if claim.epoch > shared.epoch() {
-                    shared.note_claim(claim);
+                    shared.record_claim(claim);
                     shared.owner_lost.notify_one();
                 }
                 Reply::Ack
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -324,7 +324,7 @@
     }
 
     /// Records the newest claim known to this node.
-    pub(crate) fn note_claim(&self, claim: Claim) {
+    pub(crate) fn record_claim(&self, claim: Claim) {
         self.strongest_owner
             .fetch_max(claim.strength.get(), Ordering::Relaxed);
         self.claim.send_replace(Some(claim));
