--- a/crates/node/src/member/follow.rs
+++ b/crates/node/src/member/follow.rs
@@ -194,7 +194,7 @@
     let asked = Instant::now();
     match message::send(&shared.rpc, claim.address, &hello, HELLO_TIMEOUT).await {
         Ok(Reply::Owner(newer, extent)) if newer.epoch == claim.epoch => {
-            shared.note_spread(&newer);
+            shared.record_spread(&newer);
             if let Some(extent) = extent {
                 operator::confirm(shared, extent, asked);
             }
--- a/crates/node/src/member/own.rs
+++ b/crates/node/src/member/own.rs
@@ -336,7 +336,7 @@
         match timeout(time_limit, append(shared, claim, *end)).await {
             Ok(Ok(newer)) => {
                 *end = newer;
-                shared.note_spread(claim);
+                shared.record_spread(claim);
                 publish_renewal(shared, claim);
             }
             Ok(Err(_)) | Err(_) => is_certain = false,
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -331,7 +331,7 @@
     }
 
     /// Records how many partitions jobs are spread over by the newest renewal of the claim known to this node.
-    pub(crate) fn note_spread(&self, renewed: &Claim) {
+    pub(crate) fn record_spread(&self, renewed: &Claim) {
         self.claim.send_if_modified(|claim| {
             let known = claim.as_mut().filter(|claim| claim.epoch == renewed.epoch);
             if let Some(known) = known {
