--- a/crates/node/src/member/own.rs
+++ b/crates/node/src/member/own.rs
@@ -51,7 +51,7 @@
     },
     succession::{
         self,
-        Greeting,
+        Hello,
         Reason, //
     },
 };
@@ -256,7 +256,7 @@
 }
 
 /// Returns the recent greetings of other nodes.
-async fn recent_greetings<P: Platform>(shared: &Shared<P>) -> Vec<Greeting> {
+async fn recent_greetings<P: Platform>(shared: &Shared<P>) -> Vec<Hello> {
     let greetings = shared.hellos.lock().await;
     let fresh = greetings
         .values()
--- a/crates/node/src/message.rs
+++ b/crates/node/src/message.rs
@@ -38,14 +38,14 @@
         Orders,
         Reports, //
     },
-    succession::Greeting, //
+    succession::Hello, //
 };
 
 /// A request of one node to another.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) enum Request {
     /// The heartbeat of a node, which also asks the owner whether it still owns the cell.
-    Hello(Greeting),
+    Hello(Hello),
     /// A job was submitted; its record is being written.
     Announced(Box<Accepted>),
     /// The record of an announced job was not stored.
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -70,7 +70,7 @@
     shared::Shared,
     succession::{
         self,
-        Greeting, //
+        Hello, //
     },
     watch as store_watch,
 };
@@ -347,7 +347,7 @@
     }
 
     /// Answers a greeting and, if this node is the owner, records the peer.
-    async fn record_greeting(&self, greeting: Greeting) -> Reply {
+    async fn record_greeting(&self, greeting: Hello) -> Reply {
         let shared = &self.shared;
         let acting = shared.ownership.borrow().clone();
         let Some(acting) = acting else {
--- a/crates/node/src/share.rs
+++ b/crates/node/src/share.rs
@@ -26,7 +26,7 @@
 use tokio::time::Instant;
 
 use crate::succession::{
-    Greeting,
+    Hello,
     outranks, //
 };
 
@@ -66,8 +66,8 @@
     }
 }
 
-impl From<&Greeting> for Peer {
-    fn from(greeting: &Greeting) -> Self {
+impl From<&Hello> for Peer {
+    fn from(greeting: &Hello) -> Self {
         Self {
             node: greeting.node.clone(),
             address: greeting.address,
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -66,7 +66,7 @@
     report::Meter,
     revocation::Revocation,
     share::Peer,
-    succession::Greeting, //
+    succession::Hello, //
 };
 
 /// The ownership of the cell by this node.
@@ -109,7 +109,7 @@
 const READ_TIMEOUT: Duration = Duration::from_millis(3_000);
 
 /// The last heartbeat that this node, as the owner, received from each other node, with its time of arrival.
-pub(crate) type Hellos = Mutex<HashMap<NodeName, (Greeting, Instant)>>;
+pub(crate) type Hellos = Mutex<HashMap<NodeName, (Hello, Instant)>>;
 
 /// The state that the components of a node share, kept behind an `Arc`.
 pub(crate) struct Shared<P: Platform> {
@@ -290,8 +290,8 @@
     }
 
     /// Returns the content of a heartbeat of this node.
-    pub(crate) fn hello(&self) -> Greeting {
-        Greeting {
+    pub(crate) fn hello(&self) -> Hello {
+        Hello {
             node: self.name.clone(),
             address: self.address,
             incarnation: self.incarnation,
--- a/crates/node/src/succession.rs
+++ b/crates/node/src/succession.rs
@@ -51,7 +51,7 @@
 
 /// The content of a node's heartbeat to the owner.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Greeting {
+pub struct Hello {
     /// The node.
     pub node: NodeName,
     /// The address at which it answers other nodes.
@@ -135,9 +135,9 @@
     own: Millicores,
     lag: Duration,
     reason: Reason,
-    greetings: &[Greeting],
-) -> Option<&Greeting> {
-    let is_eligible = |greeting: &&Greeting| {
+    greetings: &[Hello],
+) -> Option<&Hello> {
+    let is_eligible = |greeting: &&Hello| {
         greeting.may_own
             && match reason {
                 Reason::Outranked => outranks(greeting.strength, own),
@@ -149,7 +149,7 @@
                 Reason::Leaving => true,
             }
     };
-    let eligible: Vec<&Greeting> = greetings.iter().filter(is_eligible).collect();
+    let eligible: Vec<&Hello> = greetings.iter().filter(is_eligible).collect();
     let strongest = eligible.iter().map(|greeting| greeting.strength).max()?;
     let strong = eligible
         .into_iter()
--- a/crates/node/tests/succession.rs
+++ b/crates/node/tests/succession.rs
@@ -4,7 +4,7 @@
 
 use fulmarpier_cell::id::NodeName;
 use fulmarpier_node::succession::{
-    Greeting,
+    Hello,
     Lag,
     Reason,
     choose,
@@ -23,8 +23,8 @@
 const MILLISECOND: Duration = Duration::from_millis(1);
 const SECOND: Duration = Duration::from_secs(1);
 
-fn greeting(name: &str, strength: u32, age: u64, lag: u64) -> Greeting {
-    Greeting {
+fn greeting(name: &str, strength: u32, age: u64, lag: u64) -> Hello {
+    Hello {
         node: NodeName::from(name),
         address: ([127, 0, 0, 1], 1).into(),
         incarnation: 1,
@@ -36,7 +36,7 @@
     }
 }
 
-fn chosen(own: u32, lag: u64, reason: Reason, greetings: &[Greeting]) -> Option<&str> {
+fn chosen(own: u32, lag: u64, reason: Reason, greetings: &[Hello]) -> Option<&str> {
     let lag = Duration::from_millis(lag);
     choose(Millicores(own), lag, reason, greetings).map(|greeting| greeting.node.as_str())
 }
@@ -120,7 +120,7 @@
     let restarted = greeting("restarted", 250, 3, 1);
     let old = greeting("old", 250, 40, 1);
     let weak = greeting("weak", 60, 1, 1);
-    let leaving = Greeting {
+    let leaving = Hello {
         may_own: false,
         ..greeting("leaving", 250, 1, 1)
     };
