--- a/crates/node/src/member/own.rs
+++ b/crates/node/src/member/own.rs
@@ -110,7 +110,7 @@
     slog::info!(shared.log, "ownership-ends"; "epoch" => %claim.epoch, "why" => ending.as_str(),
         "lag_ms" => millis(shared.pulse.owner()));
     let peers = shared.peers.lock().await.clone();
-    if began.elapsed() >= succession::CALM {
+    if began.elapsed() >= succession::SLOW_SERIES_GAP {
         claim.consecutive_slow_owners = 0;
     }
     // This node goes on scheduling while the successor's claim is being written, unless the
--- a/crates/node/src/succession.rs
+++ b/crates/node/src/succession.rs
@@ -45,7 +45,7 @@
 /// change of owners adds to the backlog if the backlog is what makes them slow.
 const MAX_OWNERSHIP_DOUBLINGS: u8 = 4;
 /// An owner that was not slow for this long ends the series of consecutive slow owners.
-pub const CALM: Duration = Duration::from_secs(60);
+pub const SLOW_SERIES_GAP: Duration = Duration::from_secs(60);
 /// The number of samples of which a lag is the median. The ticks of an owner give that many in 0.2 s.
 const LAG_SAMPLES: usize = 8;
 
