--- a/crates/node/src/succession.rs
+++ b/crates/node/src/succession.rs
@@ -122,7 +122,7 @@
 }
 
 /// Returns whether a node gets processor time promptly, given the lag of its timers.
-pub fn is_quick(lag: Duration) -> bool {
+pub fn is_prompt(lag: Duration) -> bool {
     lag < PROMPT_LAG
 }
 
@@ -143,7 +143,7 @@
                 Reason::Outranked => outranks(greeting.strength, own),
                 Reason::Slow => {
                     let is_faster =
-                        is_quick(greeting.lag) && greeting.lag * MIN_LAG_IMPROVEMENT <= lag;
+                        is_prompt(greeting.lag) && greeting.lag * MIN_LAG_IMPROVEMENT <= lag;
                     is_faster && !outranks(own, greeting.strength)
                 }
                 Reason::Leaving => true,
@@ -154,7 +154,7 @@
     let strong = eligible
         .into_iter()
         .filter(|greeting| !outranks(strongest, greeting.strength));
-    strong.min_by_key(|greeting| (!is_quick(greeting.lag), greeting.age))
+    strong.min_by_key(|greeting| (!is_prompt(greeting.lag), greeting.age))
 }
 
 /// The lag of events: the median of the latest samples, so that a single late event doesn't count as slowness.
