--- a/crates/node/src/member/own.rs
+++ b/crates/node/src/member/own.rs
@@ -186,7 +186,7 @@
 ) -> Option<Claim> {
     let hellos = recent_greetings(shared).await;
     let lag = shared.pulse.owner();
-    let next = succession::choose(shared.strength, lag, reason, &hellos)?;
+    let next = succession::choose_successor(shared.strength, lag, reason, &hellos)?;
     let successor = Claim {
         epoch: claim.epoch.next(),
         node: next.node.clone(),
@@ -303,7 +303,7 @@
             () => continue,
         };
         let hellos = recent_greetings(shared).await;
-        if succession::choose(shared.strength, lag, reason, &hellos).is_some() {
+        if succession::choose_successor(shared.strength, lag, reason, &hellos).is_some() {
             return reason;
         }
     }
--- a/crates/node/src/succession.rs
+++ b/crates/node/src/succession.rs
@@ -131,7 +131,7 @@
 ///
 /// Prefers the strongest nodes, among these the ones that get processor time promptly, and among these the one that was
 /// started last: in a rolling restart, that node will be restarted again last.
-pub fn choose(
+pub fn choose_successor(
     own: Millicores,
     lag: Duration,
     reason: Reason,
--- a/crates/node/tests/succession.rs
+++ b/crates/node/tests/succession.rs
@@ -7,7 +7,7 @@
     Hello,
     Lag,
     Reason,
-    choose,
+    choose_successor,
     is_slow,
     outranks,
     silent_since,
@@ -38,7 +38,7 @@
 
 fn chosen(own: u32, lag: u64, reason: Reason, greetings: &[Hello]) -> Option<&str> {
     let lag = Duration::from_millis(lag);
-    choose(Millicores(own), lag, reason, greetings).map(|greeting| greeting.node.as_str())
+    choose_successor(Millicores(own), lag, reason, greetings).map(|greeting| greeting.node.as_str())
 }
 
 #[rstest]
