--- a/crates/node/src/owner/control.rs
+++ b/crates/node/src/owner/control.rs
@@ -72,8 +72,8 @@
     pulse,
     report::millis,
     share::{
+        Assignment, //
         Peer,
-        Share, //
     },
     shared::Shared,
 };
@@ -106,7 +106,7 @@
     /// suspended by then.
     last_event_at: Instant,
     suspended_total: Duration,
-    pub(super) share: Share,
+    pub(super) share: Assignment,
     pub(super) delegated: DelegatedOrders,
     /// Batches of orders for other nodes to send to workers, by the address of the node.
     pub(super) batches: HashMap<SocketAddr, Vec<(u64, Order)>>,
@@ -192,7 +192,7 @@
             is_deposed: false,
             last_event_at: Instant::now(),
             suspended_total: suspended,
-            share: Share::default(),
+            share: Assignment::default(),
             delegated: DelegatedOrders::default(),
             batches: HashMap::default(),
             is_batch_scheduled: false,
--- a/crates/node/src/share.rs
+++ b/crates/node/src/share.rs
@@ -79,7 +79,7 @@
 
 /// The assignment of workers to the nodes that send their orders.
 #[derive(Debug, Default)]
-pub struct Share {
+pub struct Assignment {
     owner: Option<Peer>,
     /// The nodes that the owner doesn't outrank, the strongest first.
     candidates: Vec<Peer>,
@@ -91,7 +91,7 @@
     avoided: HashMap<SocketAddr, Instant>,
 }
 
-impl Share {
+impl Assignment {
     /// Creates the assignment of an owner that knows the given other nodes.
     pub fn new(owner: Peer, peers: Vec<Peer>) -> Self {
         let mut share = Self::default();
--- a/crates/node/tests/share.rs
+++ b/crates/node/tests/share.rs
@@ -7,8 +7,8 @@
     WorkerId, //
 };
 use fulmarpier_node::share::{
+    Assignment, //
     Peer,
-    Share, //
 };
 use fulmarpier_state::unit::Millicores;
 use rstest::rstest;
@@ -30,7 +30,7 @@
 }
 
 /// Returns the number of workers that each node sends orders to, by its port; the owner counts as port zero.
-fn worker_counts(share: &mut Share, workers: usize) -> BTreeMap<u16, usize> {
+fn worker_counts(share: &mut Assignment, workers: usize) -> BTreeMap<u16, usize> {
     let mut counts = BTreeMap::new();
     for number in 0..workers {
         let node = share.node_of(&worker(number), workers);
@@ -53,7 +53,7 @@
     #[values(8_192, 16_384)] descriptors: u32,
 ) {
     let peers = (1..nodes).map(|port| peer(port, 1_000, descriptors));
-    let mut share = Share::new(peer(nodes, 1_000, descriptors), peers.collect());
+    let mut share = Assignment::new(peer(nodes, 1_000, descriptors), peers.collect());
     let counts = worker_counts(&mut share, workers);
     let most = counts.values().max().copied().unwrap_or(0);
     let bound = usize::try_from(descriptors).unwrap() * 3 / 4;
@@ -64,14 +64,14 @@
 #[test]
 fn a_small_fleet_uses_three_nodes_besides_the_owner() {
     let peers = (1..20).map(|port| peer(port, 1_000, 8_192)).collect();
-    let mut share = Share::new(peer(20, 1_000, 8_192), peers);
+    let mut share = Assignment::new(peer(20, 1_000, 8_192), peers);
     assert_eq!(worker_counts(&mut share, 540).len(), 4);
 }
 
 #[test]
 fn the_owner_sends_all_orders_of_a_very_small_fleet() {
     let peers = (1..8).map(|port| peer(port, 250, 4_100)).collect();
-    let mut share = Share::new(peer(8, 250, 4_100), peers);
+    let mut share = Assignment::new(peer(8, 250, 4_100), peers);
     assert_eq!(worker_counts(&mut share, 48), BTreeMap::from([(0, 48)]));
 }
 
@@ -79,7 +79,7 @@
 #[test]
 fn weak_nodes_send_no_orders() {
     let peers = (1..8).map(|port| peer(port, 120, 4_100)).collect();
-    let mut share = Share::new(peer(8, 1_000, 16_384), peers);
+    let mut share = Assignment::new(peer(8, 1_000, 16_384), peers);
     assert_eq!(
         worker_counts(&mut share, 6_000),
         BTreeMap::from([(0, 6_000)])
@@ -90,7 +90,7 @@
 #[test]
 fn a_worker_keeps_its_node_while_the_nodes_suffice() {
     let peers: Vec<Peer> = (1..8).map(|port| peer(port, 1_000, 8_192)).collect();
-    let mut share = Share::new(peer(8, 1_000, 8_192), peers);
+    let mut share = Assignment::new(peer(8, 1_000, 8_192), peers);
     let mut nodes = |workers| -> Vec<_> {
         let assigned = (0..300).map(|number| share.node_of(&worker(number), workers));
         assigned.collect()
@@ -104,7 +104,7 @@
 #[test]
 fn nodes_of_equal_strength_get_similar_numbers_of_workers() {
     let peers = (1..30).map(|port| peer(port, 1_000, 8_192)).collect();
-    let mut share = Share::new(peer(30, 1_000, 8_192), peers);
+    let mut share = Assignment::new(peer(30, 1_000, 8_192), peers);
     let counts = worker_counts(&mut share, 12_000);
     let others: Vec<usize> = counts
         .iter()
@@ -120,8 +120,8 @@
 fn new_nodes_take_no_workers_from_those_that_send_orders() {
     let peers: Vec<Peer> = (1..=12).map(|port| peer(port, 1_000, 16_384)).collect();
     let owner = peer(13, 1_000, 16_384);
-    let mut share = Share::new(owner.clone(), peers[9..].to_vec());
-    let assign = |share: &mut Share| -> Vec<_> {
+    let mut share = Assignment::new(owner.clone(), peers[9..].to_vec());
+    let assign = |share: &mut Assignment| -> Vec<_> {
         let nodes = (0..400).map(|number| share.node_of(&worker(number), 400));
         nodes.collect()
     };
