--- a/crates/node/src/owner/control.rs
+++ b/crates/node/src/owner/control.rs
@@ -249,7 +249,7 @@
                 let names = peers.iter().map(|peer| peer.node.clone());
                 let names: Vec<NodeName> = names.chain([own_peer.node.clone()]).collect();
                 engine.set_advice_nodes(&names, now);
-                self.share.renew(own_peer, peers);
+                self.share.update_nodes(own_peer, peers);
             }
             Event::Tick(due) => {
                 self.shared.pulse.note_event(due.elapsed());
--- a/crates/node/src/share.rs
+++ b/crates/node/src/share.rs
@@ -95,13 +95,13 @@
     /// Creates the assignment of an owner that knows the given other nodes.
     pub fn new(owner: Peer, peers: Vec<Peer>) -> Self {
         let mut share = Self::default();
-        share.renew(owner, peers);
+        share.update_nodes(owner, peers);
         share
     }
 
     /// Replaces the owner and the other nodes. Among equally strong nodes, those that already send orders are
     /// preferred.
-    pub fn renew(&mut self, owner: Peer, peers: Vec<Peer>) {
+    pub fn update_nodes(&mut self, owner: Peer, peers: Vec<Peer>) {
         let active: Vec<Peer> = self.candidates.drain(..).take(self.active_count).collect();
         let candidates = peers
             .into_iter()
--- a/crates/node/tests/share.rs
+++ b/crates/node/tests/share.rs
@@ -126,12 +126,12 @@
         nodes.collect()
     };
     let before = assign(&mut share);
-    share.renew(owner.clone(), peers.clone());
+    share.update_nodes(owner.clone(), peers.clone());
     assert_eq!(assign(&mut share), before);
     // When one of the sending nodes is gone, only its workers move, and those that its replacement gets.
     let (gone, next) = (peers[10].address, peers[0].address);
     let rest = peers.into_iter().filter(|peer| peer.address != gone);
-    share.renew(owner, rest.collect());
+    share.update_nodes(owner, rest.collect());
     let after = assign(&mut share);
     let moved = before
         .iter()
