--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -258,7 +258,7 @@
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         ticks.tick().await;
-        for (kind, count) in shared.meter.take_left_out() {
+        for (kind, count) in shared.meter.take_omitted_lines() {
             slog::warn!(shared.log, "lines-left-out"; "kind" => kind, "count" => count);
         }
     }
--- a/crates/node/src/report.rs
+++ b/crates/node/src/report.rs
@@ -181,7 +181,7 @@
     }
 
     /// Returns the number of lines of each kind that were left out since the last call.
-    pub(crate) fn take_left_out(&self) -> Vec<(&'static str, u64)> {
+    pub(crate) fn take_omitted_lines(&self) -> Vec<(&'static str, u64)> {
         let Ok(mut rate_limits) = self.0.rate_limits.lock() else {
             return Vec::new();
         };
