--- a/crates/node/src/owner/control.rs
+++ b/crates/node/src/owner/control.rs
@@ -421,7 +421,7 @@
         let counts = self.engine.counts();
         let epoch = u64::from(self.engine.epoch().0);
         let view = self.view.age();
-        self.shared.meter.believed(&counts, epoch, view);
+        self.shared.meter.engine_counts(&counts, epoch, view);
         self.shared.meter.workspaces(self.engine.usage());
         if self.shared.meter.may_log("believed") {
             slog::info!(self.shared.log, "believed"; "epoch" => epoch, "jobs" => counts.jobs,
--- a/crates/node/src/report.rs
+++ b/crates/node/src/report.rs
@@ -251,7 +251,7 @@
     }
 
     /// Sets the gauges that describe the state of the owner's engine.
-    pub(crate) fn believed(&self, counts: &Counts, epoch: u64, view: Duration) {
+    pub(crate) fn engine_counts(&self, counts: &Counts, epoch: u64, view: Duration) {
         let gauges: [(&'static str, usize); 10] = [
             ("jobs", counts.jobs),
             ("waiting", counts.waiting),
