--- a/crates/node/src/hand.rs
+++ b/crates/node/src/hand.rs
@@ -117,7 +117,7 @@
                     report,
                 };
                 if dispatcher.outgoing.try_send(outgoing).is_err() {
-                    dispatcher.shared.meter.report_lost("queue-full");
+                    dispatcher.shared.meter.lost_report("queue-full");
                 }
             });
         }
@@ -164,5 +164,5 @@
             return;
         }
     }
-    shared.meter.report_lost("unanswered");
+    shared.meter.lost_report("unanswered");
 }
--- a/crates/node/src/report.rs
+++ b/crates/node/src/report.rs
@@ -229,7 +229,7 @@
         self.0.peer_calls.add(1, &[KeyValue::new("kind", kind)]);
     }
 
-    pub(crate) fn report_lost(&self, why: &'static str) {
+    pub(crate) fn lost_report(&self, why: &'static str) {
         self.0.lost_reports.add(1, &[KeyValue::new("reason", why)]);
     }
 
