--- a/crates/node/src/owner/control.rs
+++ b/crates/node/src/owner/control.rs
@@ -313,7 +313,7 @@
     }
 
     fn report_note(&self, note: &LogRecord) {
-        self.shared.meter.note(&self.shared.log, note);
+        self.shared.meter.decision(&self.shared.log, note);
     }
 
     /// Calls the advice service from this node, or has another node call it.
--- a/crates/node/src/report.rs
+++ b/crates/node/src/report.rs
@@ -296,7 +296,7 @@
     }
 
     /// Counts and logs a decision.
-    pub(crate) fn note(&self, log: &Logger, note: &LogRecord) {
+    pub(crate) fn decision(&self, log: &Logger, note: &LogRecord) {
         let (kind, reason) = kind_and_reason(note);
         let labels = [KeyValue::new("kind", kind), KeyValue::new("reason", reason)];
         self.0.decisions.add(1, &labels);
