--- a/crates/node/src/member/follow.rs
+++ b/crates/node/src/member/follow.rs
@@ -41,7 +41,7 @@
         self,
         outranks, //
     },
-    watch::pause,
+    watch::wait_to_retry,
 };
 
 /// How often a node asks the owner whether it still owns the cell.
@@ -75,7 +75,7 @@
         Some(newer) if newer.end == seen.end => seen,
         Some(newer) => newer,
         None => {
-            pause().await;
+            wait_to_retry().await;
             // Time in which the store isn't known to answer doesn't count towards the lease.
             Observation {
                 since: Instant::now(),
@@ -162,7 +162,7 @@
             if let Some(claim) = ask_peers_for_claim(shared).await {
                 return adopt_peer_claim(shared, claim);
             }
-            pause().await;
+            wait_to_retry().await;
             return seen;
         };
         if epoch(&fresh) != epoch(&seen) {
@@ -299,7 +299,7 @@
         }
         Err(Error::WrongEnd { .. }) => read_claim(shared).await,
         Err(_) => {
-            pause().await;
+            wait_to_retry().await;
             read_claim(shared).await
         }
     }
--- a/crates/node/src/member/mod.rs
+++ b/crates/node/src/member/mod.rs
@@ -50,7 +50,7 @@
     },
     recall,
     shared::Shared,
-    watch::pause,
+    watch::wait_to_retry,
 };
 
 /// The key of the claim record.
@@ -121,7 +121,7 @@
         if let Some(claim) = ask_peers_for_claim(shared).await {
             return adopt_peer_claim(shared, claim);
         }
-        pause().await;
+        wait_to_retry().await;
     }
 }
 
--- a/crates/node/src/owner/jobs.rs
+++ b/crates/node/src/owner/jobs.rs
@@ -52,7 +52,7 @@
     watch::{
         Batch,
         Reader,
-        pause, //
+        wait_to_retry, //
     },
 };
 
@@ -174,7 +174,7 @@
         loop {
             match self.read_new(shared).await {
                 Ok(found) => return found,
-                Err(_) => pause().await,
+                Err(_) => wait_to_retry().await,
             }
         }
     }
@@ -248,7 +248,7 @@
             return;
         };
         let Ok(found) = found else {
-            pause().await;
+            wait_to_retry().await;
             continue;
         };
         for record in found {
--- a/crates/node/src/owner/recorder.rs
+++ b/crates/node/src/owner/recorder.rs
@@ -26,7 +26,7 @@
         Topic, //
     },
     shared::Shared,
-    watch::pause,
+    watch::wait_to_retry,
 };
 
 /// Raises the writer's epoch in the store, so that it refuses later records of former owners.
@@ -111,7 +111,7 @@
                 slog::warn!(shared.log, "sequence"; "sent" => *sequence, "expected" => expected);
                 *sequence = expected;
             }
-            Err(_) => pause().await,
+            Err(_) => wait_to_retry().await,
         }
     }
 }
--- a/crates/node/src/owner/takeover.rs
+++ b/crates/node/src/owner/takeover.rs
@@ -71,7 +71,7 @@
     watch::{
         Batch,
         Reader,
-        pause, //
+        wait_to_retry, //
     },
 };
 
@@ -110,7 +110,7 @@
         match recorder::fence(shared, claim.epoch).await {
             Ok(()) => break,
             Err(Error::Fenced) => return Err(Error::Fenced),
-            Err(_) => pause().await,
+            Err(_) => wait_to_retry().await,
         }
     }
     // The list is read in the background: the takeover doesn't wait for all of it.
@@ -178,7 +178,7 @@
             Ok(settled) => return settled.found,
             Err(_) => {
                 reader = Reader::new(TOPIC, PURPOSE);
-                pause().await;
+                wait_to_retry().await;
             }
         }
     }
--- a/crates/node/src/owner/workers.rs
+++ b/crates/node/src/owner/workers.rs
@@ -37,7 +37,7 @@
     watch::{
         Batch,
         Reader,
-        pause, //
+        wait_to_retry, //
     },
 };
 
@@ -159,7 +159,7 @@
             return;
         }
         let Ok(changes) = changes else {
-            pause().await;
+            wait_to_retry().await;
             continue;
         };
         tell(&control, Event::WorkersChanged(changes)).await;
--- a/crates/node/src/watch.rs
+++ b/crates/node/src/watch.rs
@@ -106,7 +106,7 @@
 }
 
 /// Waits for between half of the maximum delay and all of it, so that nodes don't retry at the same time.
-pub(crate) async fn pause() {
+pub(crate) async fn wait_to_retry() {
     sleep(MAX_RETRY_DELAY.mul_f64(random_range(0.5..=1.0))).await;
 }
 
@@ -161,7 +161,7 @@
                 apply(&shared, scope, updates);
                 operator::record_read(&shared, reader.next);
             }
-            Err(_) => pause().await,
+            Err(_) => wait_to_retry().await,
         }
     }
 }
