--- a/crates/node/src/edition.rs
+++ b/crates/node/src/edition.rs
@@ -25,7 +25,7 @@
         Record, //
     },
     shared::Shared,
-    watch::take_config,
+    watch::apply_config,
 };
 
 /// How long the store may be silent before the owner is asked. An idle store confirms every 1 s that nothing changed.
@@ -75,7 +75,7 @@
             value: Some(value.into()),
         };
         match shared.platform.configuration(&record) {
-            Ok(Some(config)) => take_config(shared, config, record),
+            Ok(Some(config)) => apply_config(shared, config, record),
             Ok(None) => {}
             Err(fault) => slog::warn!(shared.log, "configuration"; "by" => "owner",
                 "outcome" => "refused", "why" => %fault),
--- a/crates/node/src/watch.rs
+++ b/crates/node/src/watch.rs
@@ -197,7 +197,7 @@
     let mut changes = Vec::new();
     for update in updates {
         match update {
-            Update::Config(config, record) => take_config(shared, config, record),
+            Update::Config(config, record) => apply_config(shared, config, record),
             Update::Evacuation(change) => changes.push(change),
         }
     }
@@ -205,7 +205,7 @@
 }
 
 /// Puts a configuration in force on this node, unless its version is no later than the current one.
-pub(crate) fn take_config<P: Platform>(shared: &Shared<P>, config: Config, record: Record) {
+pub(crate) fn apply_config<P: Platform>(shared: &Shared<P>, config: Config, record: Record) {
     let current = shared.config.borrow().as_ref().map(|config| config.version);
     if current.is_some_and(|current| current >= config.version) {
         return;
