--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -179,7 +179,7 @@
             config: watch::Sender::new(None),
             config_record: watch::Sender::new(None),
             config_confirmed_at: watch::Sender::new(Instant::now()),
-            operator: operator::Reading::default(),
+            operator: operator::ReadState::default(),
             evacuation: watch::Sender::new(None),
             claim: watch::Sender::new(None),
             ownership: watch::Sender::new(None),
--- a/crates/node/src/operator.rs
+++ b/crates/node/src/operator.rs
@@ -41,7 +41,7 @@
 
 /// How far this node and the owner have read the operator's records.
 #[derive(Debug)]
-pub(crate) struct Reading {
+pub(crate) struct ReadState {
     /// The offset of the next record, once this node has read any.
     next_offset: watch::Sender<Option<u64>>,
     /// The offset of the next record as last reported by the owner.
@@ -50,7 +50,7 @@
     confirmed_at: watch::Sender<Option<Instant>>,
 }
 
-impl Default for Reading {
+impl Default for ReadState {
     fn default() -> Self {
         Self {
             next_offset: watch::Sender::new(None),
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -136,7 +136,7 @@
     /// When the store last confirmed, to this node or to the owner, which configuration is the newest.
     pub(crate) config_confirmed_at: watch::Sender<Instant>,
     /// How far this node has read the operator's records.
-    pub(crate) operator: operator::Reading,
+    pub(crate) operator: operator::ReadState,
     /// The evacuated data centres, once this node has read them from the store.
     pub(crate) evacuation: watch::Sender<Option<evacuation::Snapshot>>,
     /// The newest claim known to this node.
