--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -360,7 +360,7 @@
         if previous.is_none_or(|(previous, _)| Peer::from(&previous) != peer) {
             self.peer_change.notify_one();
         }
-        Reply::Owner(acting.claim, operator::extent(shared))
+        Reply::Owner(acting.claim, operator::position(shared))
     }
 
     fn not_owner(&self) -> Reply {
--- a/crates/node/src/operator.rs
+++ b/crates/node/src/operator.rs
@@ -66,7 +66,7 @@
 }
 
 /// Returns how far this node has read, with the time since the store or the owner confirmed that there is no more.
-pub(crate) fn extent<P: Platform>(shared: &Shared<P>) -> Option<ReadPosition> {
+pub(crate) fn position<P: Platform>(shared: &Shared<P>) -> Option<ReadPosition> {
     let next = *shared.operator.next_offset.borrow();
     next.map(|next| ReadPosition {
         next,
