--- a/crates/node/src/member/follow.rs
+++ b/crates/node/src/member/follow.rs
@@ -196,7 +196,7 @@
         Ok(Reply::Owner(newer, extent)) if newer.epoch == claim.epoch => {
             shared.record_spread(&newer);
             if let Some(extent) = extent {
-                operator::confirm(shared, extent, asked);
+                operator::apply_owner_position(shared, extent, asked);
             }
             OwnerStatus::Alive(newer.renewal)
         }
--- a/crates/node/src/operator.rs
+++ b/crates/node/src/operator.rs
@@ -75,7 +75,11 @@
 }
 
 /// Processes the position reported by the owner in reply to a heartbeat sent at `asked`.
-pub(crate) fn confirm<P: Platform>(shared: &Shared<P>, owner: ReadPosition, asked: Instant) {
+pub(crate) fn apply_owner_position<P: Platform>(
+    shared: &Shared<P>,
+    owner: ReadPosition,
+    asked: Instant,
+) {
     let reading = &shared.operator;
     reading.owner_offset.send_replace(owner.next);
     if *reading.next_offset.borrow() != Some(owner.next) {
