--- a/crates/node/src/order.rs
+++ b/crates/node/src/order.rs
@@ -65,7 +65,7 @@
 
 impl Order {
     /// Returns the destination.
-    pub(crate) fn to(&self) -> &Destination {
+    pub(crate) fn destination(&self) -> &Destination {
         match self {
             Self::Start(order) => &order.to,
             Self::Stop(order) => &order.to,
@@ -84,7 +84,7 @@
 
     /// Returns the report on an order without an answer, which may or may not take effect.
     pub(crate) fn unanswered(&self) -> Report {
-        let worker = self.to().worker.clone();
+        let worker = self.destination().worker.clone();
         match self {
             Self::Start(order) => {
                 Report::Started(worker, order.task, order.run, StartAnswer::NoAnswer)
--- a/crates/node/src/owner/orders.rs
+++ b/crates/node/src/owner/orders.rs
@@ -63,7 +63,7 @@
     pub(super) fn dispatch(&mut self, orders: Vec<Order>, actor_ref: &ActorRef<Self>) {
         let workers = self.engine.worker_count();
         for order in orders {
-            match self.share.node_of(&order.to().worker, workers) {
+            match self.share.node_of(&order.destination().worker, workers) {
                 Some(node) => {
                     let number = self.delegated.add(order.clone());
                     let batch = self.batches.entry(node).or_default();
