--- a/crates/node/src/hand.rs
+++ b/crates/node/src/hand.rs
@@ -108,7 +108,7 @@
             let dispatcher = self.clone();
             tokio::spawn(async move {
                 let report = order
-                    .carry_out(&dispatcher.shared.platform, &dispatcher.shared.meter)
+                    .execute(&dispatcher.shared.platform, &dispatcher.shared.meter)
                     .await;
                 let outgoing = Outgoing {
                     epoch,
--- a/crates/node/src/order.rs
+++ b/crates/node/src/order.rs
@@ -112,7 +112,7 @@
     }
 
     /// Sends the order and waits for the answer.
-    pub(crate) async fn carry_out<P: Platform>(self, platform: &P, meter: &Meter) -> Report {
+    pub(crate) async fn execute<P: Platform>(self, platform: &P, meter: &Meter) -> Report {
         let started_at = Instant::now();
         let (kind, report, outcome) = match self {
             Self::Start(order) => {
--- a/crates/node/src/owner/orders.rs
+++ b/crates/node/src/owner/orders.rs
@@ -93,7 +93,7 @@
     fn send_directly(&self, order: Order, actor_ref: WeakActorRef<Self>) {
         let shared = self.shared.clone();
         tokio::spawn(async move {
-            let report = order.carry_out(&shared.platform, &shared.meter).await;
+            let report = order.execute(&shared.platform, &shared.meter).await;
             tell(&actor_ref, Event::Reported(report)).await;
         });
     }
