--- a/crates/node/src/order.rs
+++ b/crates/node/src/order.rs
@@ -83,7 +83,7 @@
     }
 
     /// Returns the report on an order without an answer, which may or may not take effect.
-    pub(crate) fn unanswered(&self) -> Report {
+    pub(crate) fn unanswered_report(&self) -> Report {
         let worker = self.destination().worker.clone();
         match self {
             Self::Start(order) => {
@@ -107,7 +107,7 @@
                 let worker = order.to.worker.clone();
                 Report::Started(worker, order.task, order.run, StartAnswer::Unsent)
             }
-            Self::Stop(_) | Self::Pace(_) | Self::Hold(_) => self.unanswered(),
+            Self::Stop(_) | Self::Pace(_) | Self::Hold(_) => self.unanswered_report(),
         }
     }
 
--- a/crates/node/src/owner/given.rs
+++ b/crates/node/src/owner/given.rs
@@ -50,7 +50,7 @@
     /// Removes orders whose outcome nobody knows; returns the reports that say so.
     pub(crate) fn unanswered(&mut self, numbers: &[u64]) -> Vec<Report> {
         let orders = numbers.iter().filter_map(|n| self.orders.remove(n));
-        orders.map(|order| order.unanswered()).collect()
+        orders.map(|order| order.unanswered_report()).collect()
     }
 
     /// Removes orders whose reports are overdue; returns reports that say that the outcome is
@@ -63,7 +63,7 @@
         {
             self.deadlines.pop_first();
             if let Some(order) = self.orders.remove(&number) {
-                reports.push(order.unanswered());
+                reports.push(order.unanswered_report());
             }
         }
         reports
