--- a/crates/node/src/order.rs
+++ b/crates/node/src/order.rs
@@ -101,7 +101,7 @@
     }
 
     /// Returns the report on an order that is certain never to be sent.
-    pub(crate) fn unsent(&self) -> Report {
+    pub(crate) fn unsent_report(&self) -> Report {
         match self {
             Self::Start(order) => {
                 let worker = order.to.worker.clone();
--- a/crates/node/src/owner/given.rs
+++ b/crates/node/src/owner/given.rs
@@ -44,7 +44,7 @@
     /// Removes orders that were certainly never sent; returns the reports that say so.
     pub(crate) fn unsent(&mut self, numbers: &[u64]) -> Vec<Report> {
         let orders = numbers.iter().filter_map(|n| self.orders.remove(n));
-        orders.map(|order| order.unsent()).collect()
+        orders.map(|order| order.unsent_report()).collect()
     }
 
     /// Removes orders whose outcome nobody knows; returns the reports that say so.
