--- a/crates/node/src/order.rs
+++ b/crates/node/src/order.rs
@@ -60,7 +60,7 @@
     /// The result of an order to run at a share, with the share in percent.
     Paced(WorkerId, TaskId, Run, u8, StopAnswer),
     /// The result of a request for an inventory that was made at this time.
-    Held(WorkerId, Timestamp, HeartbeatAnswer),
+    Inventory(WorkerId, Timestamp, HeartbeatAnswer),
 }
 
 impl Order {
@@ -96,7 +96,7 @@
                 let (task, run, percent) = (order.task, order.run, order.percent);
                 Report::Paced(worker, task, run, percent, StopAnswer::NoAnswer)
             }
-            Self::Hold(order) => Report::Held(worker, order.asked, HeartbeatAnswer::NoAnswer),
+            Self::Hold(order) => Report::Inventory(worker, order.asked, HeartbeatAnswer::NoAnswer),
         }
     }
 
@@ -138,7 +138,7 @@
                 let (worker, asked) = (order.to.worker.clone(), order.asked);
                 let answer = platform.hold(order).await;
                 let outcome = answer.as_str();
-                ("hold", Report::Held(worker, asked, answer), outcome)
+                ("hold", Report::Inventory(worker, asked, answer), outcome)
             }
         };
         meter.worker_call(kind, started_at.elapsed(), outcome);
--- a/crates/node/src/owner/orders.rs
+++ b/crates/node/src/owner/orders.rs
@@ -168,7 +168,7 @@
             Report::Paced(worker, task, run, percent, answer) => {
                 engine.throttled(&worker, task, run, percent, answer, now);
             }
-            Report::Held(worker, asked, answer) => {
+            Report::Inventory(worker, asked, answer) => {
                 engine.handle_heartbeat_answer(&worker, asked, answer, now)
             }
         }
