--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -62,7 +62,7 @@
     port::Platform,
     pulse::{
         self,
-        Pulse, //
+        LagMonitor, //
     },
     report::Meter,
     revocation::Revocation,
@@ -188,7 +188,7 @@
             owner_lost: Notify::new(),
             stalled: Notify::new(),
             hellos: Mutex::default(),
-            pulse: Pulse::default(),
+            pulse: LagMonitor::default(),
             store: StoreHealth::new(parts.log),
             probe_cache: member::ProbeCache::default(),
             strongest_owner: AtomicU32::new(0),
--- a/crates/node/src/pulse.rs
+++ b/crates/node/src/pulse.rs
@@ -30,12 +30,12 @@
 
 /// The lags of this process; cheap to clone.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Pulse {
+pub(crate) struct LagMonitor {
     timers: Arc<Mutex<Lag>>,
     mailbox: Arc<Mutex<Lag>>,
 }
 
-impl Pulse {
+impl LagMonitor {
     fn with_lag<T>(lag: &Mutex<Lag>, f: impl FnOnce(&mut Lag) -> T) -> T {
         f(&mut lag.lock().unwrap_or_else(PoisonError::into_inner))
     }
@@ -83,7 +83,7 @@
         let due = Instant::now() + TIMER_CHECK_INTERVAL;
         sleep_until(due).await;
         let late = due.elapsed();
-        Pulse::with_lag(&shared.pulse.timers, |lag| lag.record(late));
+        LagMonitor::with_lag(&shared.pulse.timers, |lag| lag.record(late));
         if let Some(suspension) = slept(&shared.platform, &mut suspended) {
             handle_resume(&shared, suspension);
         }
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -62,7 +62,7 @@
         Rejected,
         Topic, //
     },
-    pulse::Pulse,
+    pulse::LagMonitor,
     report::Meter,
     revocation::Revocation,
     share::Peer,
@@ -154,7 +154,7 @@
     pub(crate) stalled: Notify,
     /// The last heartbeats of the other nodes to this one as the owner.
     pub(crate) hellos: Hellos,
-    pub(crate) pulse: Pulse,
+    pub(crate) pulse: LagMonitor,
     pub(crate) store: StoreHealth,
     /// The result of the last store probe that was made at the request of another node.
     pub(crate) probe_cache: member::ProbeCache,
