--- a/crates/node/src/owner/control.rs
+++ b/crates/node/src/owner/control.rs
@@ -252,7 +252,7 @@
                 self.share.update_nodes(own_peer, peers);
             }
             Event::Tick(due) => {
-                self.shared.pulse.note_event(due.elapsed());
+                self.shared.pulse.record_event_wait(due.elapsed());
                 for report in self.delegated.overdue() {
                     self.handle_report(report);
                 }
--- a/crates/node/src/pulse.rs
+++ b/crates/node/src/pulse.rs
@@ -41,7 +41,7 @@
     }
 
     /// Records for how long an event waited for the owner's actor.
-    pub(crate) fn note_event(&self, waited: Duration) {
+    pub(crate) fn record_event_wait(&self, waited: Duration) {
         Self::with_lag(&self.mailbox, |lag| lag.record(waited));
     }
 
