--- a/crates/node/src/member/own.rs
+++ b/crates/node/src/member/own.rs
@@ -98,7 +98,7 @@
         let claim = claim.clone();
         async move { take_over(&shared, &claim).await.is_ok() }
     });
-    shared.pulse.forget_events();
+    shared.pulse.reset_event_waits();
     let (began, slow_owners) = (Instant::now(), claim.consecutive_slow_owners);
     let ending = tokio::select! {
         ending = wait_for_dismissal(shared) => ending,
--- a/crates/node/src/pulse.rs
+++ b/crates/node/src/pulse.rs
@@ -46,7 +46,7 @@
     }
 
     /// Discards the recorded waits of events. Called when another ownership begins.
-    pub(crate) fn forget_events(&self) {
+    pub(crate) fn reset_event_waits(&self) {
         Self::with_lag(&self.mailbox, |lag| *lag = Lag::default());
     }
 
