--- a/crates/node/src/pulse.rs
+++ b/crates/node/src/pulse.rs
@@ -51,14 +51,14 @@
     }
 
     /// Returns the median delay with which timers fire.
-    pub(crate) fn timers(&self) -> Duration {
+    pub(crate) fn timer_lag(&self) -> Duration {
         Self::with_lag(&self.timers, |lag| lag.median())
     }
 
     /// Returns the median wait of events for the owner's actor, or that of timers if it is longer.
     pub(crate) fn owner(&self) -> Duration {
         let events = Self::with_lag(&self.mailbox, |lag| lag.median());
-        events.max(self.timers())
+        events.max(self.timer_lag())
     }
 
     /// Returns the longest wait of an event since the last call.
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -299,7 +299,7 @@
             descriptors: self.descriptors,
             may_own: !self.store.is_failing() && !self.is_leaving(),
             age: self.started_at.elapsed(),
-            lag: self.pulse.timers(),
+            lag: self.pulse.timer_lag(),
         }
     }
 
