--- a/crates/node/src/owner/control.rs
+++ b/crates/node/src/owner/control.rs
@@ -428,7 +428,7 @@
                 "waiting" => counts.waiting,
                 "open_steps" => counts.open_steps, "claims" => counts.claims,
                 "listed" => counts.listed_runs,
-                "lag_ms" => millis(self.shared.pulse.take_worst()),
+                "lag_ms" => millis(self.shared.pulse.take_longest_wait()),
                 "owned_ms" => millis(self.started_at.elapsed()),
                 "view_ms" => millis(view),
                 "workers_heard" => counts.workers_heard,
--- a/crates/node/src/pulse.rs
+++ b/crates/node/src/pulse.rs
@@ -62,7 +62,7 @@
     }
 
     /// Returns the longest wait of an event since the last call.
-    pub(crate) fn take_worst(&self) -> Duration {
+    pub(crate) fn take_longest_wait(&self) -> Duration {
         Self::with_lag(&self.mailbox, Lag::take_largest)
     }
 }
