--- a/crates/node/src/pulse.rs
+++ b/crates/node/src/pulse.rs
@@ -69,7 +69,7 @@
 
 /// Returns for how long the machine was suspended since the last call with the same `total`, which this updates; `None`
 /// if it was not suspended.
-pub(crate) fn slept<P: Platform>(platform: &P, total: &mut Duration) -> Option<Duration> {
+pub(crate) fn take_suspension<P: Platform>(platform: &P, total: &mut Duration) -> Option<Duration> {
     let now = platform.total_suspension();
     let suspension = now.saturating_sub(*total);
     *total = now.max(*total);
@@ -84,7 +84,7 @@
         sleep_until(due).await;
         let late = due.elapsed();
         LagMonitor::with_lag(&shared.pulse.timers, |lag| lag.record(late));
-        if let Some(suspension) = slept(&shared.platform, &mut suspended) {
+        if let Some(suspension) = take_suspension(&shared.platform, &mut suspended) {
             handle_resume(&shared, suspension);
         }
     }
