--- a/crates/node/src/member/mod.rs
+++ b/crates/node/src/member/mod.rs
@@ -56,7 +56,7 @@
 /// The key of the claim record.
 const CLAIM_KEY: &str = "owner";
 /// Which records are claims, and how they are decoded.
-const CLAIM_RECORDS: recall::Own<'static, Claim> = recall::Own {
+const CLAIM_RECORDS: recall::Decoder<'static, Claim> = recall::Decoder {
     key: |key| key == CLAIM_KEY,
     read: &|record| {
         let claim = record.value.as_ref();
--- a/crates/node/src/owner/jobs.rs
+++ b/crates/node/src/owner/jobs.rs
@@ -45,7 +45,7 @@
     },
     recall::{
         self,
-        Own,
+        Decoder,
         Settled, //
     },
     shared::Shared,
@@ -151,7 +151,7 @@
             Batch::Full(page) => page,
         };
         let topic = Topic::Jobs(number);
-        let own = Own {
+        let own = Decoder {
             key: JobRecord::is_key,
             read: &read,
         };
--- a/crates/node/src/owner/takeover.rs
+++ b/crates/node/src/owner/takeover.rs
@@ -59,7 +59,7 @@
     },
     recall::{
         self,
-        Own, //
+        Decoder, //
     },
     report::millis,
     share::Peer,
@@ -83,7 +83,7 @@
 const MAILBOX_CAPACITY: usize = 16_384;
 
 /// Which records of the progress topic are the owner's, and how they are decoded.
-const OWNER_RECORDS: Own<'static, Entry> = Own {
+const OWNER_RECORDS: Decoder<'static, Entry> = Decoder {
     key: |key| key.starts_with("w/") || key.parse::<JobId>().is_ok(),
     read: &|record| {
         let Some(value) = &record.value else {
--- a/crates/node/src/recall.rs
+++ b/crates/node/src/recall.rs
@@ -22,7 +22,7 @@
 };
 
 /// How the records of a topic that belong to this program are recognised and decoded.
-pub(crate) struct Own<'a, T> {
+pub(crate) struct Decoder<'a, T> {
     /// Returns whether records under a key belong to this program.
     pub(crate) key: fn(&str) -> bool,
     /// Decodes a record under such a key; `None` if the record removes the key.
@@ -78,7 +78,7 @@
     topic: Topic,
     purpose: &'static str,
     page: Page,
-    own: Own<'_, T>,
+    own: Decoder<'_, T>,
 ) -> Result<Settled<T>, Error> {
     let mut settled = read(shared, purpose, page, |record| {
         match (own.key)(&record.key) {
@@ -109,7 +109,7 @@
     topic: Topic,
     purpose: &'static str,
     wanted: &BTreeSet<String>,
-    own: Own<'_, T>,
+    own: Decoder<'_, T>,
 ) -> Result<BTreeMap<String, Option<T>>, Error> {
     let mut last = BTreeMap::new();
     let mut from = 0;
--- a/crates/node/src/watch.rs
+++ b/crates/node/src/watch.rs
@@ -37,7 +37,7 @@
     },
     recall::{
         self,
-        Own, //
+        Decoder, //
     },
     shared::Shared,
 };
@@ -172,7 +172,7 @@
     shared: &Shared<P>,
     page: Page,
 ) -> Result<Vec<Update>, Error> {
-    let own = Own {
+    let own = Decoder {
         key: |_| true,
         read: &|record| decode(shared, record),
     };
