--- a/crates/node/src/member/mod.rs
+++ b/crates/node/src/member/mod.rs
@@ -57,7 +57,7 @@
 const CLAIM_KEY: &str = "owner";
 /// Which records are claims, and how they are decoded.
 const CLAIM_RECORDS: recall::Decoder<'static, Claim> = recall::Decoder {
-    key: |key| key == CLAIM_KEY,
+    is_own: |key| key == CLAIM_KEY,
     read: &|record| {
         let claim = record.value.as_ref();
         let claim = claim.map(|value| record::decode(value));
--- a/crates/node/src/owner/takeover.rs
+++ b/crates/node/src/owner/takeover.rs
@@ -84,7 +84,7 @@
 
 /// Which records of the progress topic are the owner's, and how they are decoded.
 const OWNER_RECORDS: Decoder<'static, Entry> = Decoder {
-    key: |key| key.starts_with("w/") || key.parse::<JobId>().is_ok(),
+    is_own: |key| key.starts_with("w/") || key.parse::<JobId>().is_ok(),
     read: &|record| {
         let Some(value) = &record.value else {
             return Ok(None);
--- a/crates/node/src/recall.rs
+++ b/crates/node/src/recall.rs
@@ -24,7 +24,7 @@
 /// How the records of a topic that belong to this program are recognised and decoded.
 pub(crate) struct Decoder<'a, T> {
     /// Returns whether records under a key belong to this program.
-    pub(crate) key: fn(&str) -> bool,
+    pub(crate) is_own: fn(&str) -> bool,
     /// Decodes a record under such a key; `None` if the record removes the key.
     pub(crate) read: &'a (dyn Fn(&Record) -> Result<Option<T>, Fault> + Sync),
 }
@@ -81,7 +81,7 @@
     own: Decoder<'_, T>,
 ) -> Result<Settled<T>, Error> {
     let mut settled = read(shared, purpose, page, |record| {
-        match (own.key)(&record.key) {
+        match (own.is_own)(&record.key) {
             true => (own.read)(record),
             false => Err(Fault::Key),
         }
@@ -89,7 +89,7 @@
     let keys = settled.rejected.iter();
     let keys = keys.filter_map(|rejected| rejected.key.clone());
     // Records under other keys never belong to this program, and a long history takes seconds to read.
-    let wanted: BTreeSet<String> = keys.filter(|key| (own.key)(key)).collect();
+    let wanted: BTreeSet<String> = keys.filter(|key| (own.is_own)(key)).collect();
     if wanted.is_empty() {
         return Ok(settled);
     }
--- a/crates/node/src/watch.rs
+++ b/crates/node/src/watch.rs
@@ -173,7 +173,7 @@
     page: Page,
 ) -> Result<Vec<Update>, Error> {
     let own = Decoder {
-        key: |_| true,
+        is_own: |_| true,
         read: &|record| decode(shared, record),
     };
     let topic = Topic::Configuration;
