--- a/crates/node/src/member/mod.rs
+++ b/crates/node/src/member/mod.rs
@@ -58,7 +58,7 @@
 /// Which records are claims, and how they are decoded.
 const CLAIM_RECORDS: recall::Decoder<'static, Claim> = recall::Decoder {
     is_own: |key| key == CLAIM_KEY,
-    read: &|record| {
+    decode: &|record| {
         let claim = record.value.as_ref();
         let claim = claim.map(|value| record::decode(value));
         claim.transpose().map_err(|_| Fault::Structure)
--- a/crates/node/src/owner/jobs.rs
+++ b/crates/node/src/owner/jobs.rs
@@ -153,7 +153,7 @@
         let topic = Topic::Jobs(number);
         let own = Decoder {
             is_own: JobRecord::is_key,
-            read: &read,
+            decode: &read,
         };
         let settled = recall::settle(shared, topic, "jobs", page, own).await;
         if settled.is_err() {
--- a/crates/node/src/owner/takeover.rs
+++ b/crates/node/src/owner/takeover.rs
@@ -85,7 +85,7 @@
 /// Which records of the progress topic are the owner's, and how they are decoded.
 const OWNER_RECORDS: Decoder<'static, Entry> = Decoder {
     is_own: |key| key.starts_with("w/") || key.parse::<JobId>().is_ok(),
-    read: &|record| {
+    decode: &|record| {
         let Some(value) = &record.value else {
             return Ok(None);
         };
--- a/crates/node/src/recall.rs
+++ b/crates/node/src/recall.rs
@@ -26,7 +26,7 @@
     /// Returns whether records under a key belong to this program.
     pub(crate) is_own: fn(&str) -> bool,
     /// Decodes a record under such a key; `None` if the record removes the key.
-    pub(crate) read: &'a (dyn Fn(&Record) -> Result<Option<T>, Fault> + Sync),
+    pub(crate) decode: &'a (dyn Fn(&Record) -> Result<Option<T>, Fault> + Sync),
 }
 
 /// The decoded records of a page. Each record is decoded only once, because a weak node has to decode thousands of them
@@ -82,7 +82,7 @@
 ) -> Result<Settled<T>, Error> {
     let mut settled = read(shared, purpose, page, |record| {
         match (own.is_own)(&record.key) {
-            true => (own.read)(record),
+            true => (own.decode)(record),
             false => Err(Fault::Key),
         }
     });
@@ -128,7 +128,7 @@
         let records = page.records.into_iter();
         let records = records.filter(|record| wanted.contains(&record.key));
         last.extend(records.filter_map(|record| {
-            let value = (own.read)(&record).ok()?;
+            let value = (own.decode)(&record).ok()?;
             Some((record.key, value))
         }));
     }
--- a/crates/node/src/watch.rs
+++ b/crates/node/src/watch.rs
@@ -174,7 +174,7 @@
 ) -> Result<Vec<Update>, Error> {
     let own = Decoder {
         is_own: |_| true,
-        read: &|record| decode(shared, record),
+        decode: &|record| decode(shared, record),
     };
     let topic = Topic::Configuration;
     let settled = recall::settle(shared, topic, "configuration", page, own).await;
