--- a/crates/node/src/owner/jobs.rs
+++ b/crates/node/src/owner/jobs.rs
@@ -45,8 +45,8 @@
     },
     recall::{
         self,
+        Decoded, //
         Decoder,
-        Settled, //
     },
     shared::Shared,
     watch::{
@@ -143,7 +143,7 @@
     async fn read_page<P: Platform>(
         &mut self,
         shared: &Shared<P>,
-    ) -> Result<Settled<JobRecord>, Error> {
+    ) -> Result<Decoded<JobRecord>, Error> {
         let number = self.number;
         let read = |record: &Record| JobRecord::read(record, number);
         let page = match self.reader.read(shared, Duration::ZERO).await? {
--- a/crates/node/src/recall.rs
+++ b/crates/node/src/recall.rs
@@ -31,7 +31,7 @@
 
 /// The decoded records of a page. Each record is decoded only once, because a weak node has to decode thousands of them
 /// during a takeover.
-pub(crate) struct Settled<T> {
+pub(crate) struct Decoded<T> {
     /// The decoded values.
     pub(crate) found: Vec<T>,
     /// The invalid records that no earlier valid record replaces.
@@ -46,7 +46,7 @@
     purpose: &'static str,
     page: Page,
     decode: impl Fn(&Record) -> Result<Option<T>, Fault>,
-) -> Settled<T> {
+) -> Decoded<T> {
     let is_last = page.is_last();
     let mut rejected = page.rejected;
     let mut found = Vec::with_capacity(page.records.len());
@@ -60,7 +60,7 @@
             }
         }
     }
-    Settled {
+    Decoded {
         found,
         rejected,
         is_last,
@@ -79,7 +79,7 @@
     purpose: &'static str,
     page: Page,
     own: Decoder<'_, T>,
-) -> Result<Settled<T>, Error> {
+) -> Result<Decoded<T>, Error> {
     let mut settled = read(shared, purpose, page, |record| {
         match (own.is_own)(&record.key) {
             true => (own.decode)(record),
