--- a/crates/node/src/member/mod.rs
+++ b/crates/node/src/member/mod.rs
@@ -195,7 +195,7 @@
     let end = page.next;
     let settled = recall::settle(shared, Topic::Claims, "claims", page, CLAIM_RECORDS).await;
     let settled = settled.ok()?;
-    let claim = match settled.found.into_iter().next() {
+    let claim = match settled.values.into_iter().next() {
         Some(claim) => Some(claim),
         None if !settled.rejected.iter().any(is_claim) => None,
         None => shared.claim.borrow().clone(),
--- a/crates/node/src/owner/jobs.rs
+++ b/crates/node/src/owner/jobs.rs
@@ -126,7 +126,7 @@
                 // The reader has moved past what was found; the next read returns the rest.
                 Err(_) => return Ok(found),
             };
-            found.extend(settled.found);
+            found.extend(settled.values);
             let keys = settled.rejected.into_iter();
             let keys = keys.filter_map(|record| record.key);
             // A foreign record under the key of a job leaves the state of the job unknown.
--- a/crates/node/src/owner/takeover.rs
+++ b/crates/node/src/owner/takeover.rs
@@ -175,7 +175,7 @@
             Err(error) => Err(error),
         };
         match settled {
-            Ok(settled) => return settled.found,
+            Ok(settled) => return settled.values,
             Err(_) => {
                 reader = Reader::new(TOPIC, PURPOSE);
                 wait_to_retry().await;
--- a/crates/node/src/recall.rs
+++ b/crates/node/src/recall.rs
@@ -33,7 +33,7 @@
 /// during a takeover.
 pub(crate) struct Decoded<T> {
     /// The decoded values.
-    pub(crate) found: Vec<T>,
+    pub(crate) values: Vec<T>,
     /// The invalid records that no earlier valid record replaces.
     pub(crate) rejected: Vec<Rejected>,
     /// Whether the page reaches the end of the topic.
@@ -61,7 +61,7 @@
         }
     }
     Decoded {
-        found,
+        values: found,
         rejected,
         is_last,
     }
@@ -98,7 +98,7 @@
         let key = rejected.key.as_ref();
         key.is_none_or(|key| !last.contains_key(key))
     });
-    settled.found.extend(last.into_values().flatten());
+    settled.values.extend(last.into_values().flatten());
     Ok(settled)
 }
 
--- a/crates/node/src/watch.rs
+++ b/crates/node/src/watch.rs
@@ -145,7 +145,7 @@
             Ok(Batch::Incremental(page)) => {
                 let decode = |record: &Record| decode(&shared, record);
                 let read = recall::read(&shared, "configuration", page, decode);
-                Ok((Scope::Incremental, read.found))
+                Ok((Scope::Incremental, read.values))
             }
             Err(error) => Err(error),
         };
@@ -178,7 +178,7 @@
     };
     let topic = Topic::Configuration;
     let settled = recall::settle(shared, topic, "configuration", page, own).await;
-    settled.map(|settled| settled.found)
+    settled.map(|settled| settled.values)
 }
 
 /// Decodes a record of the operator; `None` if it removes its key or holds something else.
