--- a/crates/node/src/recall.rs
+++ b/crates/node/src/recall.rs
@@ -41,7 +41,7 @@
 }
 
 /// Decodes the records of a page and rejects those that can't be decoded.
-pub(crate) fn read<P: Platform, T>(
+pub(crate) fn decode_page<P: Platform, T>(
     shared: &Shared<P>,
     purpose: &'static str,
     page: Page,
@@ -80,7 +80,7 @@
     page: Page,
     own: Decoder<'_, T>,
 ) -> Result<Decoded<T>, Error> {
-    let mut settled = read(shared, purpose, page, |record| {
+    let mut settled = decode_page(shared, purpose, page, |record| {
         match (own.is_own)(&record.key) {
             true => (own.decode)(record),
             false => Err(Fault::Key),
--- a/crates/node/src/watch.rs
+++ b/crates/node/src/watch.rs
@@ -144,7 +144,7 @@
             // If a record can't be decoded, the last one that could be stays in force.
             Ok(Batch::Incremental(page)) => {
                 let decode = |record: &Record| decode(&shared, record);
-                let read = recall::read(&shared, "configuration", page, decode);
+                let read = recall::decode_page(&shared, "configuration", page, decode);
                 Ok((Scope::Incremental, read.values))
             }
             Err(error) => Err(error),
