--- a/crates/node/src/member/mod.rs
+++ b/crates/node/src/member/mod.rs
@@ -193,7 +193,8 @@
 async fn try_read_claim<P: Platform>(shared: &Shared<P>) -> Option<Observation> {
     let page = shared.newest("claims", Topic::Claims).await.ok()?;
     let end = page.next;
-    let settled = recall::settle(shared, Topic::Claims, "claims", page, CLAIM_RECORDS).await;
+    let settled =
+        recall::decode_with_fallback(shared, Topic::Claims, "claims", page, CLAIM_RECORDS).await;
     let settled = settled.ok()?;
     let claim = match settled.values.into_iter().next() {
         Some(claim) => Some(claim),
--- a/crates/node/src/owner/jobs.rs
+++ b/crates/node/src/owner/jobs.rs
@@ -155,7 +155,7 @@
             is_own: JobRecord::is_key,
             decode: &read,
         };
-        let settled = recall::settle(shared, topic, "jobs", page, own).await;
+        let settled = recall::decode_with_fallback(shared, topic, "jobs", page, own).await;
         if settled.is_err() {
             // The reader has moved past records that are not returned, so reading starts over.
             self.reader = Reader::new(topic, "jobs");
--- a/crates/node/src/owner/takeover.rs
+++ b/crates/node/src/owner/takeover.rs
@@ -170,7 +170,7 @@
     loop {
         let settled = match reader.read(shared, Duration::ZERO).await {
             Ok(Batch::Full(page) | Batch::Incremental(page)) => {
-                recall::settle(shared, TOPIC, PURPOSE, page, OWNER_RECORDS).await
+                recall::decode_with_fallback(shared, TOPIC, PURPOSE, page, OWNER_RECORDS).await
             }
             Err(error) => Err(error),
         };
--- a/crates/node/src/recall.rs
+++ b/crates/node/src/recall.rs
@@ -73,7 +73,7 @@
 /// # Errors
 ///
 /// Fails if the history of the topic can't be read.
-pub(crate) async fn settle<P: Platform, T: Send>(
+pub(crate) async fn decode_with_fallback<P: Platform, T: Send>(
     shared: &Shared<P>,
     topic: Topic,
     purpose: &'static str,
--- a/crates/node/src/watch.rs
+++ b/crates/node/src/watch.rs
@@ -177,7 +177,7 @@
         decode: &|record| decode(shared, record),
     };
     let topic = Topic::Configuration;
-    let settled = recall::settle(shared, topic, "configuration", page, own).await;
+    let settled = recall::decode_with_fallback(shared, topic, "configuration", page, own).await;
     settled.map(|settled| settled.values)
 }
 
