--- a/crates/node/src/revocation.rs
+++ b/crates/node/src/revocation.rs
@@ -11,13 +11,13 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Revocation {
     /// The age of the configuration from which on its keys are refused; `None` sets no limit.
-    pub within: Option<Duration>,
+    pub max_config_age: Option<Duration>,
 }
 
 impl Revocation {
     /// Returns whether the keys of a configuration must be refused, given the time since it was last confirmed.
     pub fn forbids(&self, age: Duration) -> bool {
-        self.within
+        self.max_config_age
             .is_some_and(|within| age + REQUEST_MARGIN >= within)
     }
 }
--- a/crates/node/tests/node/workspace.rs
+++ b/crates/node/tests/node/workspace.rs
@@ -275,7 +275,7 @@
     #[case] expected: bool,
 ) {
     let revocation = Revocation {
-        within: within_ms.map(Duration::from_millis),
+        max_config_age: within_ms.map(Duration::from_millis),
     };
     assert_eq!(revocation.forbids(Duration::from_millis(age_ms)), expected);
 }
