--- a/crates/node/src/revocation.rs
+++ b/crates/node/src/revocation.rs
@@ -16,7 +16,7 @@
 
 impl Revocation {
     /// Returns whether the keys of a configuration must be refused, given the time since it was last confirmed.
-    pub fn forbids(&self, age: Duration) -> bool {
+    pub fn is_exceeded_by(&self, age: Duration) -> bool {
         self.max_config_age
             .is_some_and(|within| age + REQUEST_MARGIN >= within)
     }
--- a/crates/node/tests/node/workspace.rs
+++ b/crates/node/tests/node/workspace.rs
@@ -277,5 +277,8 @@
     let revocation = Revocation {
         max_config_age: within_ms.map(Duration::from_millis),
     };
-    assert_eq!(revocation.forbids(Duration::from_millis(age_ms)), expected);
+    assert_eq!(
+        revocation.is_exceeded_by(Duration::from_millis(age_ms)),
+        expected
+    );
 }
