--- a/crates/node/src/front/mod.rs
+++ b/crates/node/src/front/mod.rs
@@ -106,7 +106,7 @@
 
 impl Refusal {
     /// Returns the label of this reason in logs and metrics.
-    pub const fn label(&self) -> &'static str {
+    pub const fn as_str(&self) -> &'static str {
         match self {
             Self::NotReady => "not-ready",
             Self::Unauthorized => "unauthorized",
@@ -177,7 +177,7 @@
             Ok(workspace) => Ok(self.for_workspace(workspace)),
             Err(_) => {
                 let refusal = self.not_ready_if_stale(Refusal::Unauthorized);
-                self.log_authentication(refusal.label(), config, key);
+                self.log_authentication(refusal.as_str(), config, key);
                 Err(refusal)
             }
         }
@@ -428,7 +428,7 @@
     ) {
         let outcome = match result {
             Ok(()) => "accepted",
-            Err(refusal) => refusal.label(),
+            Err(refusal) => refusal.as_str(),
         };
         self.shared.meter.request(call, outcome);
         if !self.shared.meter.may_log("request") {
