--- a/crates/node/src/front/mod.rs
+++ b/crates/node/src/front/mod.rs
@@ -327,7 +327,7 @@
     fn state_question(&self, job: JobId, asked: Duration) -> Request {
         Request::JobState {
             job,
-            viewer: self.workspace_name().cloned(),
+            workspace: self.workspace_name().cloned(),
             elapsed: asked,
         }
     }
@@ -342,8 +342,8 @@
         if !config.queues.contains_key(queue) {
             return Err(self.missing_queue());
         }
-        let viewer = self.workspace_name().cloned();
-        let reply = self.ask_owner(|_| Request::Pending(queue.clone(), viewer.clone()));
+        let workspace = self.workspace_name().cloned();
+        let reply = self.ask_owner(|_| Request::Pending(queue.clone(), workspace.clone()));
         match reply.await? {
             Reply::Pending(count) => Ok(count),
             _ => Err(Refusal::NoOwner),
--- a/crates/node/src/message.rs
+++ b/crates/node/src/message.rs
@@ -59,7 +59,7 @@
         /// The job.
         job: JobId,
         /// The workspace of the caller.
-        viewer: Option<WorkspaceName>,
+        workspace: Option<WorkspaceName>,
         /// The time since the caller's request arrived.
         elapsed: Duration,
     },
--- a/crates/node/src/owner/answer.rs
+++ b/crates/node/src/owner/answer.rs
@@ -39,11 +39,11 @@
         Request::Reports(reports) => notify(seat, Event::Reports(reports)).await,
         Request::JobState {
             job,
-            viewer,
+            workspace,
             elapsed,
-        } => query_job(seat, JobQuery { job, viewer }, elapsed).await,
-        Request::Pending(queue, viewer) => {
-            count_pending(seat, PendingQuery { queue, viewer }).await
+        } => query_job(seat, JobQuery { job, workspace }, elapsed).await,
+        Request::Pending(queue, workspace) => {
+            count_pending(seat, PendingQuery { queue, workspace }).await
         }
         _ => None,
     }
--- a/crates/node/src/owner/control.rs
+++ b/crates/node/src/owner/control.rs
@@ -157,7 +157,7 @@
 #[derive(Clone)]
 pub(super) struct JobQuery {
     pub(super) job: JobId,
-    pub(super) viewer: Option<WorkspaceName>,
+    pub(super) workspace: Option<WorkspaceName>,
 }
 
 /// The answer to a [`JobQuery`].
@@ -171,7 +171,7 @@
 /// Queries how many jobs of a queue have not started any task, as callers of a workspace see it.
 pub(super) struct PendingQuery {
     pub(super) queue: QueueName,
-    pub(super) viewer: Option<WorkspaceName>,
+    pub(super) workspace: Option<WorkspaceName>,
 }
 
 impl<P: Platform> EngineActor<P> {
@@ -397,7 +397,7 @@
 
     async fn handle(&mut self, query: JobQuery, _: &mut Context<Self, JobAnswer>) -> JobAnswer {
         JobAnswer {
-            state: self.engine.state_for(query.job, query.viewer.as_ref()),
+            state: self.engine.state_for(query.job, query.workspace.as_ref()),
             epoch: self.engine.epoch(),
         }
     }
@@ -407,7 +407,8 @@
     type Reply = u32;
 
     async fn handle(&mut self, query: PendingQuery, _: &mut Context<Self, u32>) -> u32 {
-        self.engine.pending_for(&query.queue, query.viewer.as_ref())
+        self.engine
+            .pending_for(&query.queue, query.workspace.as_ref())
     }
 }
 
