--- a/crates/node/src/front/mod.rs
+++ b/crates/node/src/front/mod.rs
@@ -414,7 +414,7 @@
     fn log_absent_job(&self, job: JobId, absent: UnknownJob) {
         if self.shared.meter.may_log("no-job") {
             slog::info!(self.shared.log, "no-job"; "job" => %job, "epoch" => %absent.epoch,
-                "view_ms" => millis(absent.view));
+                "view_ms" => millis(absent.max_staleness));
         }
     }
 
--- a/crates/node/src/message.rs
+++ b/crates/node/src/message.rs
@@ -164,7 +164,7 @@
     /// The epoch of the ownership under which the owner replies.
     pub(crate) epoch: Epoch,
     /// The longest time for which a job may have been stored without the owner having read its record.
-    pub(crate) view: Duration,
+    pub(crate) max_staleness: Duration,
 }
 
 /// Sends a request to a node and waits for the reply.
--- a/crates/node/src/owner/answer.rs
+++ b/crates/node/src/owner/answer.rs
@@ -81,7 +81,7 @@
         None if seat.view.is_unreadable(job) => None,
         None => Some(Reply::UnknownJob(UnknownJob {
             epoch: found.epoch,
-            view: seat.view.age(),
+            max_staleness: seat.view.age(),
         })),
     }
 }
