--- a/crates/node/src/message.rs
+++ b/crates/node/src/message.rs
@@ -198,7 +198,7 @@
 }
 
 /// Encodes a reply as the answer to a call.
-pub(crate) fn answer(reply: &Reply) -> Option<Answer> {
+pub(crate) fn encode_reply(reply: &Reply) -> Option<Answer> {
     let message = postcard::to_stdvec(reply).ok()?;
     let message = message.into();
     Some(Answer::Peer(peer::Reply { message }))
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -299,7 +299,7 @@
                     return;
                 };
                 let reply = peer_service.reply(question).await;
-                if let Some(answer) = message::answer(&reply) {
+                if let Some(answer) = message::encode_reply(&reply) {
                     // The caller may have given up.
                     let _ = incoming.answer.send(answer);
                 }
