--- a/crates/node/src/owner/jobs.rs
+++ b/crates/node/src/owner/jobs.rs
@@ -130,7 +130,7 @@
             let keys = settled.rejected.into_iter();
             let keys = keys.filter_map(|record| record.key);
             // A foreign record under the key of a job leaves the state of the job unknown.
-            let jobs = keys.filter_map(|is_own| Key::accepted_job(&is_own));
+            let jobs = keys.filter_map(|key| Key::accepted_job(&key));
             found.extend(jobs.map(JobRecord::Unreadable));
             if settled.is_last {
                 self.read_up_to = requested_at;
