--- a/crates/node/src/member/own.rs
+++ b/crates/node/src/member/own.rs
@@ -146,9 +146,9 @@
 /// Stops the owner's actor, or the takeover that would start it.
 async fn depose<P: Platform>(shared: &Shared<P>, takeover: &JoinHandle<bool>) {
     takeover.abort();
-    if let Some(control) = shared.control() {
+    if let Some(actor) = shared.engine_actor() {
         // The actor may have ended already.
-        let _ = control.tell(Event::Deposed).await;
+        let _ = actor.tell(Event::Deposed).await;
     }
 }
 
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -384,8 +384,8 @@
                 _ = ownership.changed() => {}
             }
             let acting = self.shared.ownership.borrow().clone();
-            let Some((acting, control)) =
-                acting.and_then(|acting| Some((acting.claim, acting.engine?.control)))
+            let Some((acting, actor)) =
+                acting.and_then(|acting| Some((acting.claim, acting.engine?.actor)))
             else {
                 last_sent = None;
                 continue;
@@ -402,7 +402,7 @@
             slog::info!(self.shared.log, "nodes"; "epoch" => %acting.epoch,
                 "count" => peers.len() + 1);
             // The actor may be stopping.
-            let _ = control.tell(Event::Peers(peers)).await;
+            let _ = actor.tell(Event::Peers(peers)).await;
             last_sent = Some(update);
             sleep(MIN_PEER_UPDATE_INTERVAL).await;
         }
--- a/crates/node/src/owner/answer.rs
+++ b/crates/node/src/owner/answer.rs
@@ -51,7 +51,7 @@
 
 /// Sends the actor an event, behind all events sent before.
 async fn notify<P: Platform>(seat: &EngineHandle<P>, event: Event) -> Option<Reply> {
-    seat.control.tell(event).await.ok()?;
+    seat.actor.tell(event).await.ok()?;
     Some(Reply::Ack)
 }
 
@@ -64,7 +64,7 @@
 ) -> Option<Reply> {
     let required_time = Instant::now().checked_sub(asked)?;
     let job = query.job;
-    let found = seat.control.ask(query.clone()).await.ok()?;
+    let found = seat.actor.ask(query.clone()).await.ok()?;
     if let Some(state) = found.state {
         return Some(Reply::State(state));
     }
@@ -75,7 +75,7 @@
     {
         return None;
     }
-    let found = seat.control.ask(query).await.ok()?;
+    let found = seat.actor.ask(query).await.ok()?;
     match found.state {
         Some(state) => Some(Reply::State(state)),
         None if seat.view.is_unreadable(job) => None,
@@ -96,6 +96,6 @@
     {
         return None;
     }
-    let count = seat.control.ask(query).await.ok()?;
+    let count = seat.actor.ask(query).await.ok()?;
     Some(Reply::Pending(count))
 }
--- a/crates/node/src/owner/control.rs
+++ b/crates/node/src/owner/control.rs
@@ -364,10 +364,10 @@
 }
 
 /// Sends the actor an event, unless the actor has ended.
-pub(super) async fn tell<P: Platform>(control: &WeakActorRef<EngineActor<P>>, event: Event) {
-    if let Some(control) = control.upgrade() {
+pub(super) async fn tell<P: Platform>(actor: &WeakActorRef<EngineActor<P>>, event: Event) {
+    if let Some(actor) = actor.upgrade() {
         // The actor may be stopping.
-        let _ = control.tell(event).await;
+        let _ = actor.tell(event).await;
     }
 }
 
--- a/crates/node/src/owner/jobs.rs
+++ b/crates/node/src/owner/jobs.rs
@@ -214,7 +214,7 @@
     mut partition: Partition,
     view: ReadProgress,
     writers: Writers,
-    control: WeakActorRef<EngineActor<P>>,
+    actor: WeakActorRef<EngineActor<P>>,
 ) {
     loop {
         let may_be_wide = shared.spread().may_use_all_partitions();
@@ -231,20 +231,20 @@
         if partition.number >= SMALL_CELL_JOB_PARTITIONS && !may_be_wide {
             // No node writes to this partition.
             view.mark_read(partition.number, Instant::now());
-            if control.upgrade().is_none() {
+            if actor.upgrade().is_none() {
                 return;
             }
             continue;
         }
         let is_due = partition.requested_at.elapsed() >= writers.read_interval(partition.number);
         if !is_requested && !is_due {
-            if control.upgrade().is_none() {
+            if actor.upgrade().is_none() {
                 return;
             }
             continue;
         }
         let found = partition.read_new(&shared).await;
-        let Some(control) = control.upgrade() else {
+        let Some(actor) = actor.upgrade() else {
             return;
         };
         let Ok(found) = found else {
@@ -261,7 +261,7 @@
                 }
             };
             // The actor may be stopping.
-            let _ = control.tell(event).await;
+            let _ = actor.tell(event).await;
         }
         // The actor gets the records first: callers that this wakes up query it next.
         view.mark_read(partition.number, partition.read_up_to);
@@ -277,9 +277,9 @@
     pub(super) async fn follow<P: Platform>(
         self,
         shared: Arc<Shared<P>>,
-        control: WeakActorRef<EngineActor<P>>,
+        actor: WeakActorRef<EngineActor<P>>,
     ) {
-        while control.upgrade().is_some() {
+        while actor.upgrade().is_some() {
             let peers = shared.peers.lock().await.clone();
             let present = peers.into_iter().map(|peer| peer.node);
             self.note(present.chain([shared.name.clone()]));
--- a/crates/node/src/owner/recorder.rs
+++ b/crates/node/src/owner/recorder.rs
@@ -49,13 +49,13 @@
     shared: Arc<Shared<P>>,
     epoch: Epoch,
     mut records: mpsc::UnboundedReceiver<Vec<Entry>>,
-    control: WeakActorRef<EngineActor<P>>,
+    actor: WeakActorRef<EngineActor<P>>,
 ) {
     let mut sequence = 0;
     while let Some(entries) = records.recv().await {
         sequence += 1;
         let is_stored = write_group(&shared, epoch, &mut sequence, &entries).await;
-        let Some(control) = control.upgrade() else {
+        let Some(actor) = actor.upgrade() else {
             return;
         };
         let event = match is_stored {
@@ -63,7 +63,7 @@
             false => Event::Deposed,
         };
         // The actor may be stopping.
-        let _ = control.tell(event).await;
+        let _ = actor.tell(event).await;
         if !is_stored {
             shared.ownership.send_replace(None);
             return;
--- a/crates/node/src/owner/takeover.rs
+++ b/crates/node/src/owner/takeover.rs
@@ -194,10 +194,10 @@
     peers: Vec<Peer>,
 ) -> ActorRef<EngineActor<P>> {
     let (records, queue) = mpsc::unbounded_channel();
-    let mut control = EngineActor::new(engine, shared.clone(), records, view.clone());
-    control.handle_event(Event::Peers(peers));
-    let control = EngineActor::spawn_with_mailbox(control, mailbox::bounded(MAILBOX_CAPACITY));
-    let weak = control.downgrade();
+    let mut actor = EngineActor::new(engine, shared.clone(), records, view.clone());
+    actor.handle_event(Event::Peers(peers));
+    let actor = EngineActor::spawn_with_mailbox(actor, mailbox::bounded(MAILBOX_CAPACITY));
+    let weak = actor.downgrade();
     tokio::spawn(recorder::run(
         shared.clone(),
         claim.epoch,
@@ -224,28 +224,28 @@
     shared.ownership.send_replace(Some(Ownership {
         claim: claim.clone(),
         engine: Some(EngineHandle {
-            control: control.clone(),
+            actor: actor.clone(),
             view,
         }),
     }));
-    control
+    actor
 }
 
-async fn tick<P: Platform>(control: WeakActorRef<EngineActor<P>>) {
+async fn tick<P: Platform>(actor: WeakActorRef<EngineActor<P>>) {
     let mut ticks = interval(TICK_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut gauges_updated_at = Instant::now();
     loop {
         let due = ticks.tick().await;
-        let Some(control) = control.upgrade() else {
+        let Some(actor) = actor.upgrade() else {
             return;
         };
-        if control.tell(Event::Tick(due)).await.is_err() {
+        if actor.tell(Event::Tick(due)).await.is_err() {
             return;
         }
         if gauges_updated_at.elapsed() >= GAUGE_UPDATE_INTERVAL {
             gauges_updated_at = Instant::now();
-            let _ = control.tell(UpdateGauges).await;
+            let _ = actor.tell(UpdateGauges).await;
         }
     }
 }
@@ -253,20 +253,20 @@
 /// Sends the actor the newest value that this node knows, and again each time it changes.
 async fn forward_changes<P: Platform, T: Clone>(
     mut values: watch::Receiver<Option<T>>,
-    control: WeakActorRef<EngineActor<P>>,
+    actor: WeakActorRef<EngineActor<P>>,
     event: fn(T) -> Event,
 ) {
     loop {
         let value = values.borrow_and_update().clone();
-        let Some(control) = control.upgrade() else {
+        let Some(actor) = actor.upgrade() else {
             return;
         };
         if let Some(value) = value
-            && control.tell(event(value)).await.is_err()
+            && actor.tell(event(value)).await.is_err()
         {
             return;
         }
-        drop(control);
+        drop(actor);
         if values.changed().await.is_err() {
             return;
         }
--- a/crates/node/src/owner/workers.rs
+++ b/crates/node/src/owner/workers.rs
@@ -139,10 +139,10 @@
 pub(super) async fn follow<P: Platform>(
     shared: Arc<Shared<P>>,
     mut list: InitialRead,
-    control: WeakActorRef<EngineActor<P>>,
+    actor: WeakActorRef<EngineActor<P>>,
 ) {
     while let Some(changes) = list.changes.recv().await {
-        tell(&control, Event::WorkersChanged(changes)).await;
+        tell(&actor, Event::WorkersChanged(changes)).await;
     }
     let Ok(mut follower) = list.follower.await else {
         // The runtime is shutting down.
@@ -155,14 +155,14 @@
     let _ = configured.await;
     loop {
         let changes = follower.read(&shared).await;
-        if control.upgrade().is_none() {
+        if actor.upgrade().is_none() {
             return;
         }
         let Ok(changes) = changes else {
             wait_to_retry().await;
             continue;
         };
-        tell(&control, Event::WorkersChanged(changes)).await;
+        tell(&actor, Event::WorkersChanged(changes)).await;
         sleep(LIST_READ_INTERVAL).await;
     }
 }
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -78,14 +78,14 @@
 
 /// The engine's actor, and how far it has read the job records.
 pub(crate) struct EngineHandle<P: Platform> {
-    pub(crate) control: ActorRef<EngineActor<P>>,
+    pub(crate) actor: ActorRef<EngineActor<P>>,
     pub(crate) view: ReadProgress,
 }
 
 impl<P: Platform> Clone for EngineHandle<P> {
     fn clone(&self) -> Self {
         Self {
-            control: self.control.clone(),
+            actor: self.actor.clone(),
             view: self.view.clone(),
         }
     }
@@ -258,8 +258,8 @@
     }
 
     /// Returns the engine's actor if this node owns the cell and has completed its takeover.
-    pub(crate) fn control(&self) -> Option<ActorRef<EngineActor<P>>> {
-        Some(self.engine_handle()?.control)
+    pub(crate) fn engine_actor(&self) -> Option<ActorRef<EngineActor<P>>> {
+        Some(self.engine_handle()?.actor)
     }
 
     /// Returns the engine's actor and how far it has read the job records, if this node owns the cell and has
