--- a/crates/node/src/pulse.rs
+++ b/crates/node/src/pulse.rs
@@ -56,7 +56,7 @@
     }
 
     /// Returns the median wait of events for the owner's actor, or that of timers if it is longer.
-    pub(crate) fn owner(&self) -> Duration {
+    pub(crate) fn owner_lag(&self) -> Duration {
         let events = Self::with_lag(&self.mailbox, |lag| lag.median());
         events.max(self.timer_lag())
     }
