--- a/crates/node/src/member/follow.rs
+++ b/crates/node/src/member/follow.rs
@@ -250,7 +250,7 @@
 /// claimed it as soon as the strong ones did, and lost it again, for 10 s in a row.
 fn claim_delay<P: Platform>(shared: &Shared<P>) -> Duration {
     let is_weak = outranks(shared.strongest_owner(), shared.strength);
-    let is_slow = !succession::is_prompt(shared.pulse.timer_lag());
+    let is_slow = !succession::is_prompt(shared.lag.timer_lag());
     let min_delay = match is_weak || is_slow {
         true => WEAK_CLAIM_DELAY,
         false => Duration::ZERO,
--- a/crates/node/src/member/own.rs
+++ b/crates/node/src/member/own.rs
@@ -98,7 +98,7 @@
         let claim = claim.clone();
         async move { take_over(&shared, &claim).await.is_ok() }
     });
-    shared.pulse.reset_event_waits();
+    shared.lag.reset_event_waits();
     let (began, slow_owners) = (Instant::now(), claim.consecutive_slow_owners);
     let ending = tokio::select! {
         ending = wait_for_dismissal(shared) => ending,
@@ -108,7 +108,7 @@
         () = shared.stalled.notified() => Ending::Released("stalled"),
     };
     slog::info!(shared.log, "ownership-ends"; "epoch" => %claim.epoch, "why" => ending.as_str(),
-        "lag_ms" => millis(shared.pulse.owner_lag()));
+        "lag_ms" => millis(shared.lag.owner_lag()));
     let peers = shared.peers.lock().await.clone();
     if began.elapsed() >= succession::SLOW_SERIES_GAP {
         claim.consecutive_slow_owners = 0;
@@ -185,7 +185,7 @@
     reason: Reason,
 ) -> Option<Claim> {
     let hellos = recent_greetings(shared).await;
-    let lag = shared.pulse.owner_lag();
+    let lag = shared.lag.owner_lag();
     let next = succession::choose_successor(shared.strength, lag, reason, &hellos)?;
     let successor = Claim {
         epoch: claim.epoch.next(),
@@ -296,7 +296,7 @@
     loop {
         sleep(SUCCESSION_CHECK_INTERVAL).await;
         let owned = began.elapsed();
-        let lag = shared.pulse.owner_lag();
+        let lag = shared.lag.owner_lag();
         let reason = match () {
             () if succession::is_slow(lag, owned, slow_owners) => Reason::Slow,
             () if owned >= MIN_TENURE => Reason::Outranked,
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -188,7 +188,7 @@
             owner_lost: Notify::new(),
             stalled: Notify::new(),
             hellos: Mutex::default(),
-            pulse: LagMonitor::default(),
+            lag: LagMonitor::default(),
             store: StoreHealth::new(parts.log),
             probe_cache: member::ProbeCache::default(),
             strongest_owner: AtomicU32::new(0),
--- a/crates/node/src/owner/control.rs
+++ b/crates/node/src/owner/control.rs
@@ -252,7 +252,7 @@
                 self.share.update_nodes(own_peer, peers);
             }
             Event::Tick(due) => {
-                self.shared.pulse.record_event_wait(due.elapsed());
+                self.shared.lag.record_event_wait(due.elapsed());
                 for report in self.delegated.overdue() {
                     self.handle_report(report);
                 }
@@ -429,7 +429,7 @@
                 "waiting" => counts.waiting,
                 "open_steps" => counts.open_steps, "claims" => counts.claims,
                 "listed" => counts.listed_runs,
-                "lag_ms" => millis(self.shared.pulse.take_longest_wait()),
+                "lag_ms" => millis(self.shared.lag.take_longest_wait()),
                 "owned_ms" => millis(self.started_at.elapsed()),
                 "view_ms" => millis(view),
                 "workers_heard" => counts.workers_heard,
--- a/crates/node/src/pulse.rs
+++ b/crates/node/src/pulse.rs
@@ -83,7 +83,7 @@
         let due = Instant::now() + TIMER_CHECK_INTERVAL;
         sleep_until(due).await;
         let late = due.elapsed();
-        LagMonitor::with_lag(&shared.pulse.timers, |lag| lag.record(late));
+        LagMonitor::with_lag(&shared.lag.timers, |lag| lag.record(late));
         if let Some(suspension) = take_suspension(&shared.platform, &mut suspended) {
             handle_resume(&shared, suspension);
         }
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -154,7 +154,7 @@
     pub(crate) stalled: Notify,
     /// The last heartbeats of the other nodes to this one as the owner.
     pub(crate) hellos: Hellos,
-    pub(crate) pulse: LagMonitor,
+    pub(crate) lag: LagMonitor,
     pub(crate) store: StoreHealth,
     /// The result of the last store probe that was made at the request of another node.
     pub(crate) probe_cache: member::ProbeCache,
@@ -299,7 +299,7 @@
             descriptors: self.descriptors,
             may_own: !self.store.is_failing() && !self.is_leaving(),
             age: self.started_at.elapsed(),
-            lag: self.pulse.timer_lag(),
+            lag: self.lag.timer_lag(),
         }
     }
 
