--- a/crates/node/src/owner/answer.rs
+++ b/crates/node/src/owner/answer.rs
@@ -69,7 +69,7 @@
         return Some(Reply::State(state));
     }
     if !seat
-        .view
+        .read_progress
         .wait_until_read(required_time, CATCH_UP_TIMEOUT)
         .await
     {
@@ -78,10 +78,10 @@
     let found = seat.actor.ask(query).await.ok()?;
     match found.state {
         Some(state) => Some(Reply::State(state)),
-        None if seat.view.is_unreadable(job) => None,
+        None if seat.read_progress.is_unreadable(job) => None,
         None => Some(Reply::UnknownJob(UnknownJob {
             epoch: found.epoch,
-            max_staleness: seat.view.age(),
+            max_staleness: seat.read_progress.age(),
         })),
     }
 }
@@ -90,7 +90,7 @@
 async fn count_pending<P: Platform>(seat: &EngineHandle<P>, query: PendingQuery) -> Option<Reply> {
     let required_time = Instant::now().checked_sub(MAX_COUNT_AGE)?;
     if !seat
-        .view
+        .read_progress
         .wait_until_read(required_time, CATCH_UP_TIMEOUT)
         .await
     {
--- a/crates/node/src/owner/control.rs
+++ b/crates/node/src/owner/control.rs
@@ -95,7 +95,7 @@
     pub(super) engine: Engine,
     pub(super) shared: Arc<Shared<P>>,
     records: mpsc::UnboundedSender<Vec<Entry>>,
-    view: ReadProgress,
+    read_progress: ReadProgress,
     /// When the actor started.
     started_at: Instant,
     /// Whether a timer is already set for the engine's next pass.
@@ -179,14 +179,14 @@
         engine: Engine,
         shared: Arc<Shared<P>>,
         records: mpsc::UnboundedSender<Vec<Entry>>,
-        view: ReadProgress,
+        read_progress: ReadProgress,
     ) -> Self {
         let suspended = shared.platform.total_suspension();
         Self {
             engine,
             shared,
             records,
-            view,
+            read_progress,
             started_at: Instant::now(),
             is_pass_scheduled: false,
             is_deposed: false,
@@ -421,8 +421,8 @@
     async fn handle(&mut self, _: UpdateGauges, _: &mut Context<Self, ()>) {
         let counts = self.engine.counts();
         let epoch = u64::from(self.engine.epoch().0);
-        let view = self.view.age();
-        self.shared.meter.engine_counts(&counts, epoch, view);
+        let staleness = self.read_progress.age();
+        self.shared.meter.engine_counts(&counts, epoch, staleness);
         self.shared.meter.workspaces(self.engine.usage());
         if self.shared.meter.may_log("believed") {
             slog::info!(self.shared.log, "believed"; "epoch" => epoch, "jobs" => counts.jobs,
@@ -431,7 +431,7 @@
                 "listed" => counts.listed_runs,
                 "lag_ms" => millis(self.shared.lag.take_longest_wait()),
                 "owned_ms" => millis(self.started_at.elapsed()),
-                "view_ms" => millis(view),
+                "view_ms" => millis(staleness),
                 "workers_heard" => counts.workers_heard,
                 "workers_silent" => counts.workers_silent,
                 "workers_unheard" => counts.workers_not_yet_heard,
--- a/crates/node/src/owner/jobs.rs
+++ b/crates/node/src/owner/jobs.rs
@@ -212,7 +212,7 @@
 pub(super) async fn follow<P: Platform>(
     shared: Arc<Shared<P>>,
     mut partition: Partition,
-    view: ReadProgress,
+    read_progress: ReadProgress,
     writers: Writers,
     actor: WeakActorRef<EngineActor<P>>,
 ) {
@@ -224,13 +224,13 @@
             MIN_REQUESTED_READ_GAP
         };
         sleep_until(partition.requested_at + gap).await;
-        let requested = view.wait_for_request(partition.number);
+        let requested = read_progress.wait_for_request(partition.number);
         let is_requested = timeout(READ_INTERVAL_WRITER_ABSENT, requested)
             .await
             .is_ok();
         if partition.number >= SMALL_CELL_JOB_PARTITIONS && !may_be_wide {
             // No node writes to this partition.
-            view.mark_read(partition.number, Instant::now());
+            read_progress.mark_read(partition.number, Instant::now());
             if actor.upgrade().is_none() {
                 return;
             }
@@ -256,7 +256,7 @@
                 JobRecord::Accepted(accepted) => Event::Accepted(accepted),
                 JobRecord::Cancelled(cancelled) => Event::Cancelled(cancelled),
                 JobRecord::Unreadable(job) => {
-                    view.note_unreadable(job);
+                    read_progress.note_unreadable(job);
                     continue;
                 }
             };
@@ -264,7 +264,7 @@
             let _ = actor.tell(event).await;
         }
         // The actor gets the records first: callers that this wakes up query it next.
-        view.mark_read(partition.number, partition.read_up_to);
+        read_progress.mark_read(partition.number, partition.read_up_to);
     }
 }
 
--- a/crates/node/src/owner/takeover.rs
+++ b/crates/node/src/owner/takeover.rs
@@ -125,17 +125,17 @@
             Entry::RemovedWorker(_) => {}
         }
     }
-    let view = jobs::new_view(&partitions);
+    let read_progress = jobs::new_view(&partitions);
     for record in found {
         match record {
             JobRecord::Accepted(accepted) => inheritance.accepted.push(*accepted),
             JobRecord::Cancelled(cancelled) => inheritance.cancelled.push(cancelled),
-            JobRecord::Unreadable(job) => view.note_unreadable(job),
+            JobRecord::Unreadable(job) => read_progress.note_unreadable(job),
         }
     }
     slog::info!(shared.log, "takeover"; "epoch" => %claim.epoch,
         "jobs" => inheritance.accepted.len(), "workers" => inheritance.workers.len(),
-        "view_ms" => millis(view.age()),
+        "view_ms" => millis(read_progress.age()),
         "progress_ms" => millis(progress_took), "jobs_ms" => millis(jobs_took),
         "took_ms" => millis(began.elapsed()));
     let now = shared.clock.now();
@@ -152,7 +152,13 @@
     // connect to each worker itself.
     let peers = shared.hello_peers().await;
     Ok(start_actor(
-        shared, claim, engine, partitions, view, list, peers,
+        shared,
+        claim,
+        engine,
+        partitions,
+        read_progress,
+        list,
+        peers,
     ))
 }
 
@@ -189,12 +195,12 @@
     claim: &Claim,
     engine: Engine,
     partitions: Vec<Partition>,
-    view: ReadProgress,
+    read_progress: ReadProgress,
     list: workers::InitialRead,
     peers: Vec<Peer>,
 ) -> ActorRef<EngineActor<P>> {
     let (records, queue) = mpsc::unbounded_channel();
-    let mut actor = EngineActor::new(engine, shared.clone(), records, view.clone());
+    let mut actor = EngineActor::new(engine, shared.clone(), records, read_progress.clone());
     actor.handle_event(Event::Peers(peers));
     let actor = EngineActor::spawn_with_mailbox(actor, mailbox::bounded(MAILBOX_CAPACITY));
     let weak = actor.downgrade();
@@ -211,7 +217,7 @@
         tokio::spawn(jobs::follow(
             shared.clone(),
             partition,
-            view.clone(),
+            read_progress.clone(),
             writers.clone(),
             weak.clone(),
         ));
@@ -225,7 +231,7 @@
         claim: claim.clone(),
         engine: Some(EngineHandle {
             actor: actor.clone(),
-            view,
+            read_progress,
         }),
     }));
     actor
--- a/crates/node/src/report.rs
+++ b/crates/node/src/report.rs
@@ -251,7 +251,7 @@
     }
 
     /// Sets the gauges that describe the state of the owner's engine.
-    pub(crate) fn engine_counts(&self, counts: &Counts, epoch: u64, view: Duration) {
+    pub(crate) fn engine_counts(&self, counts: &Counts, epoch: u64, staleness: Duration) {
         let gauges: [(&'static str, usize); 10] = [
             ("jobs", counts.jobs),
             ("waiting", counts.waiting),
@@ -270,7 +270,7 @@
                 .believed
                 .record(value, &[KeyValue::new("kind", kind)]);
         }
-        for (kind, value) in [("epoch", epoch), ("view_ms", millis(view))] {
+        for (kind, value) in [("epoch", epoch), ("view_ms", millis(staleness))] {
             let labels = [KeyValue::new("kind", kind)];
             self.0.believed.record(value, &labels);
         }
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -79,14 +79,14 @@
 /// The engine's actor, and how far it has read the job records.
 pub(crate) struct EngineHandle<P: Platform> {
     pub(crate) actor: ActorRef<EngineActor<P>>,
-    pub(crate) view: ReadProgress,
+    pub(crate) read_progress: ReadProgress,
 }
 
 impl<P: Platform> Clone for EngineHandle<P> {
     fn clone(&self) -> Self {
         Self {
             actor: self.actor.clone(),
-            view: self.view.clone(),
+            read_progress: self.read_progress.clone(),
         }
     }
 }
