--- a/crates/node/src/front/owner.rs
+++ b/crates/node/src/front/owner.rs
@@ -73,9 +73,9 @@
 
     /// Sends the owner a notification in the background, without retries.
     pub(super) fn notify_owner_once(&self, question: Request) {
-        let front = self.clone();
+        let frontend = self.clone();
         tokio::spawn(async move {
-            let _ = front.ask_owner_once(&question).await;
+            let _ = frontend.ask_owner_once(&question).await;
         });
     }
 
@@ -86,15 +86,15 @@
     /// stored records. The successor would learn of the record only when it reads the partition again, up to 2 s later,
     /// but a cancellation must take effect within 3 s.
     pub(super) fn notify_owner(&self, question: Request) {
-        let front = self.clone();
+        let frontend = self.clone();
         tokio::spawn(async move {
             let mut failures = 0;
             while failures < MAX_NOTIFICATION_FAILURES {
-                let epoch = front.shared.epoch();
-                if front.ask_owner_once(&question).await.is_none() {
+                let epoch = frontend.shared.epoch();
+                if frontend.ask_owner_once(&question).await.is_none() {
                     failures += 1;
                     sleep(OWNER_RETRY_PAUSE * 4).await;
-                } else if !front.is_replaced(epoch).await {
+                } else if !frontend.is_replaced(epoch).await {
                     return;
                 }
             }
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -139,7 +139,7 @@
 /// A running node.
 pub struct Node<P: Platform> {
     shared: Arc<Shared<P>>,
-    front: Frontend<P>,
+    frontend: Frontend<P>,
     server: rpc::Server,
 }
 
@@ -203,17 +203,17 @@
         let peer_service = PeerService::new(shared.clone());
         tokio::spawn(peer_service.clone().track_peers());
         tokio::spawn(peer_service.run(calls));
-        let front = Frontend::new(shared.clone(), intake);
+        let frontend = Frontend::new(shared.clone(), intake);
         Ok(Self {
             shared,
-            front,
+            frontend,
             server,
         })
     }
 
     /// Returns the handle that serves callers.
-    pub fn front(&self) -> Frontend<P> {
-        self.front.clone()
+    pub fn frontend(&self) -> Frontend<P> {
+        self.frontend.clone()
     }
 
     /// Makes the node give up its ownership and claim no more; it still serves callers.
--- a/crates/node/tests/node/evacuation.rs
+++ b/crates/node/tests/node/evacuation.rs
@@ -41,7 +41,7 @@
     sleep(SECOND).await;
     submit(&one, 1).await.unwrap();
     sleep(30 * SECOND).await;
-    assert_eq!(one.front().job_state(JobId(1)).await, Ok(State::Queued));
+    assert_eq!(one.frontend().job_state(JobId(1)).await, Ok(State::Queued));
     assert_eq!(platform.starts(1), 0);
     end_evacuation(&platform);
     wait_until_completed(&one, 1).await;
--- a/crates/node/tests/node/foreign.rs
+++ b/crates/node/tests/node/foreign.rs
@@ -47,7 +47,7 @@
     sleep(SECOND).await;
     submit(&one, 2).await.unwrap();
     sleep(30 * SECOND).await;
-    assert_eq!(one.front().job_state(JobId(2)).await, Ok(State::Queued));
+    assert_eq!(one.frontend().job_state(JobId(2)).await, Ok(State::Queued));
     platform.write(Topic::Workers, "w0", b"here");
     wait_until_completed(&one, 2).await;
     assert_eq!(platform.starts(2), 4);
@@ -61,7 +61,7 @@
     wait_until_ready(&one).await;
     submit(&one, 1).await.unwrap();
     sleep(3 * SECOND).await;
-    assert_eq!(one.front().job_state(JobId(1)).await, Ok(State::Queued));
+    assert_eq!(one.frontend().job_state(JobId(1)).await, Ok(State::Queued));
     platform.write(Topic::Configuration, "config", b"2");
     wait_until_completed(&one, 1).await;
 }
@@ -151,7 +151,10 @@
     sleep(2 * SECOND).await;
     submit(&one, 2).await.unwrap();
     wait_until_completed(&one, 2).await;
-    assert_eq!(one.front().job_state(JobId(1)).await, Ok(State::Completed));
+    assert_eq!(
+        one.frontend().job_state(JobId(1)).await,
+        Ok(State::Completed)
+    );
     assert_eq!((platform.starts(1), platform.starts(2)), (4, 4));
     assert_eq!(platform.owner().as_deref(), Some("one"));
     assert!(
@@ -187,7 +190,10 @@
     // This node has read neither the claim nor the configuration before.
     let two = start_node("two", &platform);
     wait_until_ready(&two).await;
-    assert_eq!(two.front().job_state(JobId(1)).await, Ok(State::Completed));
+    assert_eq!(
+        two.frontend().job_state(JobId(1)).await,
+        Ok(State::Completed)
+    );
     submit(&two, 2).await.unwrap();
     wait_until_completed(&two, 2).await;
     assert_eq!((platform.starts(1), platform.starts(2)), (4, 4));
@@ -212,7 +218,7 @@
         platform.write(Topic::Jobs(partition), &key, b"cancel");
     }
     sleep(3 * SECOND).await;
-    assert_eq!(one.front().job_state(JobId(1)).await, Ok(State::Queued));
+    assert_eq!(one.frontend().job_state(JobId(1)).await, Ok(State::Queued));
     platform.write(Topic::Workers, "w0", b"here");
     wait_until_completed(&one, 1).await;
 }
--- a/crates/node/tests/node/history.rs
+++ b/crates/node/tests/node/history.rs
@@ -150,8 +150,8 @@
         let job = self.random_job();
         let queue = QueueName::from("q");
         let deadline = Instant::now() + 3 * SECOND;
-        let front = self.node.front();
-        let answer = front.cancel(&queue, JobId(job), deadline).await;
+        let frontend = self.node.frontend();
+        let answer = frontend.cancel(&queue, JobId(job), deadline).await;
         let now = Instant::now();
         let due = match answer {
             // There may have been no owner to notify.
@@ -166,7 +166,7 @@
     async fn look(&mut self) {
         let job = self.random_job();
         let is_there = self.jobs.contains(&job);
-        let found = self.node.front().job_state(JobId(job)).await;
+        let found = self.node.frontend().job_state(JobId(job)).await;
         let shown = match found {
             Ok(_) => true,
             Err(Refusal::NoJob) => false,
@@ -219,7 +219,7 @@
                 );
                 self.violations.push(line);
             }
-            let state = self.node.front().job_state(JobId(job)).await;
+            let state = self.node.frontend().job_state(JobId(job)).await;
             let is_expected = match state {
                 Ok(State::Completed) => true,
                 Ok(State::Cancelled) => due.is_some(),
--- a/crates/node/tests/node/record.rs
+++ b/crates/node/tests/node/record.rs
@@ -60,7 +60,7 @@
     platform.delay_reads(Topic::Jobs(0), Duration::from_millis(delay_ms));
     let one = start_node("one", &platform);
     let takeover = timeout(60 * SECOND, async {
-        while one.front().pending(&QueueName::from("q")).await.is_err() {
+        while one.frontend().pending(&QueueName::from("q")).await.is_err() {
             sleep(SECOND / 20).await;
         }
     });
@@ -128,7 +128,10 @@
         .unwrap();
     assert_eq!(cancel(&one, 1).await, Ok(()));
     sleep(10 * SECOND).await;
-    assert_eq!(one.front().job_state(JobId(1)).await, Ok(State::Cancelled));
+    assert_eq!(
+        one.frontend().job_state(JobId(1)).await,
+        Ok(State::Cancelled)
+    );
     one.leave();
     one.wait_for_release(SECOND).await;
     one.stop(SECOND).await;
@@ -140,7 +143,7 @@
     assert_eq!(cancel(&again, 1).await, Ok(()));
     wait_until_ready(&again).await;
     assert_eq!(
-        again.front().job_state(JobId(1)).await,
+        again.frontend().job_state(JobId(1)).await,
         Ok(State::Cancelled)
     );
 }
@@ -163,7 +166,10 @@
     let next = (own + 1) % SMALL_CELL_JOB_PARTITIONS;
     assert!(platform.newest_job(next, &key).is_some());
     sleep(15 * SECOND).await;
-    assert_eq!(one.front().job_state(JobId(2)).await, Ok(State::Completed));
+    assert_eq!(
+        one.frontend().job_state(JobId(2)).await,
+        Ok(State::Completed)
+    );
     assert!(
         platform.newest_job(next, &key).is_none(),
         "its record is still in the store"
@@ -178,7 +184,7 @@
     wait_until_ready(&one).await;
     platform.put_in_partition(3, &JobId(1).to_string(), vec![0xff]);
     sleep(3 * SECOND).await;
-    let found = one.front().job_state(JobId(1)).await;
+    let found = one.frontend().job_state(JobId(1)).await;
     assert_ne!(found, Err(Refusal::NoJob));
 }
 
@@ -199,7 +205,7 @@
     let two = start_node("two", &platform);
     wait_until(|| async { platform.owner().as_deref() == Some("two") }).await;
     let claimed = Instant::now();
-    wait_until(|| async { two.front().pending(&QueueName::from("q")).await.is_ok() }).await;
+    wait_until(|| async { two.frontend().pending(&QueueName::from("q")).await.is_ok() }).await;
     let took = claimed.elapsed().as_millis();
     assert!(took <= max_ms, "{took} ms");
 }
--- a/crates/node/tests/node/service.rs
+++ b/crates/node/tests/node/service.rs
@@ -123,12 +123,12 @@
     platform.set_own_mode(Mode::Unresponsive);
     let queue = QueueName::from("q");
     let far_deadline = Instant::now() + 300 * SECOND;
-    let front = one.front();
+    let frontend = one.frontend();
     let (sent, waiting) = tokio::join!(
-        front.submit(&queue, JobId(1), two_step_job(), far_deadline),
+        frontend.submit(&queue, JobId(1), two_step_job(), far_deadline),
         async {
             tokio::time::sleep(SECOND / 10).await;
-            front
+            frontend
                 .submit(&queue, JobId(2), two_step_job(), far_deadline)
                 .await
         }
@@ -225,7 +225,10 @@
     one.stop(SECOND).await;
     submit(&two, 2).await.unwrap();
     wait_until_completed(&two, 2).await;
-    assert_eq!(two.front().job_state(JobId(1)).await, Ok(State::Completed));
+    assert_eq!(
+        two.frontend().job_state(JobId(1)).await,
+        Ok(State::Completed)
+    );
     assert_eq!(platform.starts(1), 4);
 }
 
@@ -325,8 +328,8 @@
     unplaceable.steps[0].size = Resources::new(Millicores::from_cores(64), Bytes::from_gib(1), 0);
     for job in 0..u64::from(SMALL_CELL_JOB_PARTITIONS) {
         let deadline = Instant::now() + 3 * SECOND;
-        let front = one.front();
-        let submission = front.submit(&queue, JobId(100 + job), unplaceable.clone(), deadline);
+        let frontend = one.frontend();
+        let submission = frontend.submit(&queue, JobId(100 + job), unplaceable.clone(), deadline);
         submission.await.unwrap();
     }
     tokio::time::sleep(SECOND).await;
@@ -336,7 +339,7 @@
     tokio::time::sleep(3 * SECOND).await;
     for job in 100..100 + u64::from(SMALL_CELL_JOB_PARTITIONS) {
         assert_eq!(
-            one.front().job_state(JobId(job)).await,
+            one.frontend().job_state(JobId(job)).await,
             Ok(State::Cancelled)
         );
     }
@@ -398,7 +401,10 @@
     platform.set_mode(Mode::Healthy);
     wait_until_ready(&one).await;
     assert!(!platform.has_record(&JobId(1).to_string()));
-    assert_eq!(one.front().job_state(JobId(1)).await, Err(Refusal::NoJob));
+    assert_eq!(
+        one.frontend().job_state(JobId(1)).await,
+        Err(Refusal::NoJob)
+    );
 }
 
 #[tokio::test]
@@ -450,18 +456,18 @@
     let queue = QueueName::from("q");
     let deadline = Instant::now() + 3 * SECOND;
     submit(&one, 1).await.unwrap();
-    wait_until(|| async { one.front().job_state(JobId(1)).await.is_ok() }).await;
-    let front = one.front();
-    front.cancel(&queue, JobId(1), deadline).await.unwrap();
+    wait_until(|| async { one.frontend().job_state(JobId(1)).await.is_ok() }).await;
+    let frontend = one.frontend();
+    frontend.cancel(&queue, JobId(1), deadline).await.unwrap();
     wait_until(|| async {
-        let state = one.front().job_state(JobId(1)).await;
+        let state = one.frontend().job_state(JobId(1)).await;
         matches!(state, Ok(State::Cancelled | State::Completed))
     })
     .await;
-    let unknown = front.cancel(&queue, JobId(9), deadline).await;
+    let unknown = frontend.cancel(&queue, JobId(9), deadline).await;
     assert_eq!(unknown, Err(Refusal::NoJob));
     let missing = QueueName::from("missing");
-    let refused = front
+    let refused = frontend
         .submit(&missing, JobId(3), two_step_job(), deadline)
         .await;
     assert_eq!(refused, Err(Refusal::NoQueue));
@@ -475,14 +481,14 @@
     wait_until_ready(&one).await;
     let missing = QueueName::from("missing");
     let deadline = Instant::now() + 300 * SECOND;
-    let front = one.front();
-    let submit = || front.submit(&missing, JobId(1), two_step_job(), deadline);
+    let frontend = one.frontend();
+    let submit = || frontend.submit(&missing, JobId(1), two_step_job(), deadline);
     assert_eq!(submit().await, Err(Refusal::NoQueue));
-    assert_eq!(front.pending(&missing).await, Err(Refusal::NoQueue));
+    assert_eq!(frontend.pending(&missing).await, Err(Refusal::NoQueue));
     platform.set_mode(Mode::Unresponsive);
     tokio::time::sleep(4 * SECOND).await;
     assert_eq!(submit().await, Err(Refusal::NotReady));
-    assert_eq!(front.pending(&missing).await, Err(Refusal::NotReady));
+    assert_eq!(frontend.pending(&missing).await, Err(Refusal::NotReady));
     platform.set_mode(Mode::Healthy);
     tokio::time::sleep(SECOND).await;
     assert_eq!(submit().await, Err(Refusal::NoQueue));
--- a/crates/node/tests/node/size.rs
+++ b/crates/node/tests/node/size.rs
@@ -93,7 +93,7 @@
     platform.write(Topic::Configuration, "config", b"2");
     let from = Instant::now();
     wait_until(|| async {
-        node.front()
+        node.frontend()
             .config()
             .is_some_and(|config| config.version == 2)
     })
--- a/crates/node/tests/node/support.rs
+++ b/crates/node/tests/node/support.rs
@@ -103,7 +103,8 @@
 /// Waits until a node accepts jobs and can tell which jobs exist.
 pub(crate) async fn wait_until_ready(node: &Node<Fake>) {
     wait_until(|| async {
-        node.front().is_ready() && node.front().job_state(JobId(0)).await == Err(Refusal::NoJob)
+        node.frontend().is_ready()
+            && node.frontend().job_state(JobId(0)).await == Err(Refusal::NoJob)
     })
     .await;
 }
@@ -175,20 +176,21 @@
 
 pub(crate) async fn submit_spec(node: &Node<Fake>, id: u64, spec: Spec) -> Result<(), Refusal> {
     let deadline = Instant::now() + 3 * SECOND;
-    let front = node.front();
-    front
+    let frontend = node.frontend();
+    frontend
         .submit(&QueueName::from("q"), JobId(id), spec, deadline)
         .await
 }
 
 pub(crate) async fn cancel(node: &Node<Fake>, id: u64) -> Result<(), Refusal> {
     let deadline = Instant::now() + 3 * SECOND;
-    let front = node.front();
-    front
+    let frontend = node.frontend();
+    frontend
         .cancel(&QueueName::from("q"), JobId(id), deadline)
         .await
 }
 
 pub(crate) async fn wait_until_completed(node: &Node<Fake>, id: u64) {
-    wait_until(|| async { node.front().job_state(JobId(id)).await == Ok(State::Completed) }).await;
+    wait_until(|| async { node.frontend().job_state(JobId(id)).await == Ok(State::Completed) })
+        .await;
 }
--- a/crates/node/tests/node/view.rs
+++ b/crates/node/tests/node/view.rs
@@ -134,7 +134,7 @@
     for partition in 0..16 {
         let job = 100 + u64::from(partition);
         platform.record_job(partition, &acceptance(job, quick_job(), partition));
-        let found = one.front().job_state(JobId(job)).await;
+        let found = one.frontend().job_state(JobId(job)).await;
         assert!(found.is_ok(), "{found:?}");
         // The lookups fall on different moments between two reads of a partition.
         sleep(Duration::from_millis(130)).await;
@@ -149,11 +149,14 @@
     wait_until_ready(&one).await;
     assert_eq!(cancel(&one, 1).await, Err(Refusal::NoJob));
     assert_eq!(cancel(&one, 2).await, Err(Refusal::NoJob));
-    let never_submitted = one.front().job_state(JobId(2)).await;
+    let never_submitted = one.frontend().job_state(JobId(2)).await;
     assert_eq!(never_submitted, Err(Refusal::NoJob));
     platform.record_job(5, &acceptance(1, quick_job(), 5));
     sleep(10 * SECOND).await;
-    assert_eq!(one.front().job_state(JobId(1)).await, Ok(State::Cancelled));
+    assert_eq!(
+        one.frontend().job_state(JobId(1)).await,
+        Ok(State::Cancelled)
+    );
     assert_eq!(platform.starts(1), 0);
 }
 
@@ -172,7 +175,7 @@
     }
     let queue = QueueName::from("q");
     let count = loop {
-        match one.front().pending(&queue).await {
+        match one.frontend().pending(&queue).await {
             Ok(count) => break count,
             Err(_) => sleep(Duration::from_millis(10)).await,
         }
@@ -188,7 +191,7 @@
     let one = start_node("one", &platform);
     wait_until_ready(&one).await;
     let queue = QueueName::from("q");
-    assert_eq!(one.front().pending(&queue).await, Ok(0));
+    assert_eq!(one.frontend().pending(&queue).await, Ok(0));
     platform.block_reads(Topic::Jobs(BLOCKED_PARTITION), 6 * SECOND);
     platform.record_job(
         BLOCKED_PARTITION,
@@ -196,9 +199,9 @@
     );
     sleep(3 * SECOND).await;
     assert_eq!(platform.owner().as_deref(), Some("one"));
-    assert_eq!(one.front().pending(&queue).await, Err(Refusal::NoOwner));
+    assert_eq!(one.frontend().pending(&queue).await, Err(Refusal::NoOwner));
     sleep(4 * SECOND).await;
-    assert_eq!(one.front().pending(&queue).await, Ok(1));
+    assert_eq!(one.frontend().pending(&queue).await, Ok(1));
 }
 
 /// Guards against callers who exhaust the store by looking up jobs that do not exist: it takes 2,000 reads a second.
@@ -210,11 +213,14 @@
     let before = platform.job_reads();
     let began = Instant::now();
     for job in 1_000..1_100 {
-        assert_eq!(one.front().job_state(JobId(job)).await, Err(Refusal::NoJob));
+        assert_eq!(
+            one.frontend().job_state(JobId(job)).await,
+            Err(Refusal::NoJob)
+        );
     }
     let many = (0..1_000).map(|job| {
-        let front = one.front();
-        async move { front.job_state(JobId(2_000 + job)).await }
+        let frontend = one.frontend();
+        async move { frontend.job_state(JobId(2_000 + job)).await }
     });
     for answer in futures::future::join_all(many).await {
         assert_eq!(answer, Err(Refusal::NoJob));
--- a/crates/node/tests/node/workspace.rs
+++ b/crates/node/tests/node/workspace.rs
@@ -61,9 +61,9 @@
 
 /// Authenticates a caller by its key.
 fn authenticate(node: &Node<Fake>, key: &str) -> Result<Frontend<Fake>, Refusal> {
-    let front = node.front();
-    let config = front.config().ok_or(Refusal::NotReady)?;
-    front.authenticate(&config, &ingress(false), Some(&KeyDigest::of(key)))
+    let frontend = node.frontend();
+    let config = frontend.config().ok_or(Refusal::NotReady)?;
+    frontend.authenticate(&config, &ingress(false), Some(&KeyDigest::of(key)))
 }
 
 /// Returns the version of the configuration that [`configure`] writes for a text.
@@ -73,7 +73,7 @@
 
 async fn wait_until_admitted(node: &Node<Fake>, key: &str) -> Frontend<Fake> {
     wait_until(|| async {
-        let config = node.front().config();
+        let config = node.frontend().config();
         let has_keys = config.is_some_and(|config| config.directory.is_some());
         has_keys && authenticate(node, key).is_ok()
     })
@@ -81,23 +81,23 @@
     authenticate(node, key).unwrap()
 }
 
-async fn submit(front: &Frontend<Fake>, id: u64) -> Result<(), Refusal> {
+async fn submit(frontend: &Frontend<Fake>, id: u64) -> Result<(), Refusal> {
     let deadline = Instant::now() + 3 * SECOND;
     let queue = QueueName::from("q");
-    front
+    frontend
         .submit(&queue, JobId(id), two_step_job(), deadline)
         .await
 }
 
-async fn cancel(front: &Frontend<Fake>, id: u64) -> Result<(), Refusal> {
+async fn cancel(frontend: &Frontend<Fake>, id: u64) -> Result<(), Refusal> {
     let deadline = Instant::now() + 3 * SECOND;
-    front
+    frontend
         .cancel(&QueueName::from("q"), JobId(id), deadline)
         .await
 }
 
-async fn wait_until_completed(front: &Frontend<Fake>, id: u64) {
-    wait_until(|| async { front.job_state(JobId(id)).await == Ok(State::Completed) }).await;
+async fn wait_until_completed(frontend: &Frontend<Fake>, id: u64) {
+    wait_until(|| async { frontend.job_state(JobId(id)).await == Ok(State::Completed) }).await;
 }
 
 #[tokio::test]
@@ -105,17 +105,17 @@
     let platform = Fake::new();
     let one = start_node("one", &platform);
     wait_until_ready(&one).await;
-    let config = one.front().config().unwrap();
+    let config = one.frontend().config().unwrap();
     let try_key = |is_public, key: Option<&str>| {
-        let front = one.front();
-        let config = front.config().unwrap();
+        let frontend = one.frontend();
+        let config = frontend.config().unwrap();
         let key = key.map(KeyDigest::of);
-        front
+        frontend
             .authenticate(&config, &ingress(is_public), key.as_ref())
             .map(drop)
     };
-    let front = one.front().authenticate(&config, &ingress(false), None);
-    assert!(front.is_ok(), "without workspaces no key is needed");
+    let frontend = one.frontend().authenticate(&config, &ingress(false), None);
+    assert!(frontend.is_ok(), "without workspaces no key is needed");
     configure(&platform, "a=ka,kb b=kc");
     wait_until_admitted(&one, "ka").await;
     assert_eq!(try_key(false, Some("kb")), Ok(()));
@@ -202,16 +202,16 @@
     configure(&platform, later);
     wait_until_completed(&own, 1).await;
     wait_until(|| async {
-        let front = one.front();
-        let config = front.config().unwrap();
+        let frontend = one.frontend();
+        let config = frontend.config().unwrap();
         config.version == version(later)
     })
     .await;
-    let front = wait_until_admitted(&one, key).await;
-    assert_eq!(front.job_state(JobId(1)).await, expected);
+    let frontend = wait_until_admitted(&one, key).await;
+    assert_eq!(frontend.job_state(JobId(1)).await, expected);
     // Submitted again by a caller of its workspace, it is the same job.
     if expected.is_ok() {
-        submit(&front, 1).await.unwrap();
+        submit(&frontend, 1).await.unwrap();
         sleep(SECOND / 2).await;
         assert_eq!(platform.starts(1), 4);
     }
