--- a/crates/node/src/edition.rs
+++ b/crates/node/src/edition.rs
@@ -17,8 +17,8 @@
     message::{
         self,
         ConfigState,
-        Reply, //
-        Request,
+        Reply,
+        Request, //
     },
     port::{
         Platform,
--- a/crates/node/src/front/mod.rs
+++ b/crates/node/src/front/mod.rs
@@ -57,9 +57,9 @@
         Outcome, //
     },
     message::{
-        Reply, //
+        Reply,
         Request,
-        UnknownJob,
+        UnknownJob, //
     },
     port::{
         Platform,
--- a/crates/node/src/front/owner.rs
+++ b/crates/node/src/front/owner.rs
@@ -16,8 +16,8 @@
 use crate::{
     message::{
         self,
-        Reply, //
-        Request,
+        Reply,
+        Request, //
     },
     owner,
     port::Platform,
--- a/crates/node/src/member/follow.rs
+++ b/crates/node/src/member/follow.rs
@@ -28,8 +28,8 @@
 use crate::{
     message::{
         self,
-        Reply, //
-        Request,
+        Reply,
+        Request, //
     },
     operator,
     port::{
--- a/crates/node/src/member/isolation.rs
+++ b/crates/node/src/member/isolation.rs
@@ -14,8 +14,8 @@
 use crate::{
     message::{
         self,
-        Reply, //
-        Request,
+        Reply,
+        Request, //
     },
     port::Platform,
     shared::Shared,
--- a/crates/node/src/member/mod.rs
+++ b/crates/node/src/member/mod.rs
@@ -35,8 +35,8 @@
 use crate::{
     message::{
         self,
-        Reply, //
-        Request,
+        Reply,
+        Request, //
     },
     port::{
         Append,
--- a/crates/node/src/member/own.rs
+++ b/crates/node/src/member/own.rs
@@ -35,8 +35,8 @@
 use crate::{
     message::{
         self,
-        Reply, //
-        Request,
+        Reply,
+        Request, //
     },
     owner::{
         Event,
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -51,8 +51,8 @@
     member,
     message::{
         self,
-        Reply, //
-        Request,
+        Reply,
+        Request, //
     },
     operator,
     owner::{
--- a/crates/node/src/owner/answer.rs
+++ b/crates/node/src/owner/answer.rs
@@ -11,9 +11,9 @@
 };
 use crate::{
     message::{
-        Reply, //
+        Reply,
         Request,
-        UnknownJob,
+        UnknownJob, //
     },
     port::Platform,
     shared::EngineHandle, //
--- a/crates/node/src/owner/control.rs
+++ b/crates/node/src/owner/control.rs
@@ -61,8 +61,8 @@
     hand::Reports,
     message::{
         self,
-        Reply, //
-        Request,
+        Reply,
+        Request, //
     },
     order::{
         Order,
@@ -72,8 +72,8 @@
     pulse,
     report::millis,
     share::{
-        Assignment, //
-        Peer,
+        Assignment,
+        Peer, //
     },
     shared::Shared,
 };
--- a/crates/node/src/owner/jobs.rs
+++ b/crates/node/src/owner/jobs.rs
@@ -45,8 +45,8 @@
     },
     recall::{
         self,
-        Decoded, //
-        Decoder,
+        Decoded,
+        Decoder, //
     },
     shared::Shared,
     watch::{
--- a/crates/node/src/owner/orders.rs
+++ b/crates/node/src/owner/orders.rs
@@ -23,8 +23,8 @@
     },
     message::{
         self,
-        Reply, //
-        Request,
+        Reply,
+        Request, //
     },
     order::{
         Order,
--- a/crates/node/tests/node/service.rs
+++ b/crates/node/tests/node/service.rs
@@ -22,8 +22,8 @@
 use fulmarpier_node::{
     front::Refusal,
     port::{
-        JOB_PARTITIONS, //
-        SMALL_CELL_JOB_PARTITIONS,
+        JOB_PARTITIONS,
+        SMALL_CELL_JOB_PARTITIONS, //
     },
 };
 use fulmarpier_state::{
--- a/crates/node/tests/share.rs
+++ b/crates/node/tests/share.rs
@@ -7,8 +7,8 @@
     WorkerId, //
 };
 use fulmarpier_node::share::{
-    Assignment, //
-    Peer,
+    Assignment,
+    Peer, //
 };
 use fulmarpier_state::unit::Millicores;
 use rstest::rstest;
