--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -9,7 +9,7 @@
 //! | [`comeback`] | how long a refused caller should wait before it retries |
 //! | `edition` | reads the configuration from the owner while the store is silent |
 //! | `evacuation` | the data centres that the operator has evacuated |
-//! | [`front`] | submits, looks up and cancels jobs for callers |
+//! | [`frontend`] | submits, looks up and cancels jobs for callers |
 //! | `health` | tracks whether and how fast the store answers this node |
 //! | `hand` | sends orders to workers on behalf of the owner and reports the results |
 //! | `hedge` | sends another copy of a store call whose answer is overdue |
@@ -29,7 +29,7 @@
 pub mod comeback;
 mod edition;
 mod evacuation;
-pub mod front;
+pub mod frontend;
 mod hand;
 mod health;
 mod hedge;
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -44,7 +44,7 @@
 
 use crate::{
     edition,
-    front::Frontend,
+    frontend::Frontend,
     hand::Dispatcher,
     health::StoreHealth,
     intake::Intake,
--- a/crates/node/src/owner/forget.rs
+++ b/crates/node/src/owner/forget.rs
@@ -11,7 +11,7 @@
 };
 
 use crate::{
-    front::{
+    frontend::{
         Key,
         cancellation_record, //
     },
--- a/crates/node/src/owner/jobs.rs
+++ b/crates/node/src/owner/jobs.rs
@@ -30,7 +30,7 @@
     ReadProgress, //
 };
 use crate::{
-    front::{
+    frontend::{
         JobRecord,
         Key, //
     },
--- a/crates/node/src/owner/takeover.rs
+++ b/crates/node/src/owner/takeover.rs
@@ -50,7 +50,7 @@
     workers, //
 };
 use crate::{
-    front::JobRecord,
+    frontend::JobRecord,
     port::{
         Error,
         Fault,
--- a/crates/node/tests/node/history.rs
+++ b/crates/node/tests/node/history.rs
@@ -18,7 +18,7 @@
 };
 use fulmarpier_node::{
     Node,
-    front::Refusal,
+    frontend::Refusal,
     port::Topic, //
 };
 use rand::{
--- a/crates/node/tests/node/record.rs
+++ b/crates/node/tests/node/record.rs
@@ -18,7 +18,7 @@
     spread::Spread,
 };
 use fulmarpier_node::{
-    front::Refusal,
+    frontend::Refusal,
     port::{
         SMALL_CELL_JOB_PARTITIONS,
         Topic, //
--- a/crates/node/tests/node/service.rs
+++ b/crates/node/tests/node/service.rs
@@ -20,7 +20,7 @@
     spread::Spread,
 };
 use fulmarpier_node::{
-    front::Refusal,
+    frontend::Refusal,
     port::{
         JOB_PARTITIONS,
         SMALL_CELL_JOB_PARTITIONS, //
--- a/crates/node/tests/node/support.rs
+++ b/crates/node/tests/node/support.rs
@@ -27,7 +27,7 @@
     Meter,
     Node,
     Parts,
-    front::Refusal,
+    frontend::Refusal,
     revocation::Revocation, //
 };
 use fulmarpier_state::{
--- a/crates/node/tests/node/view.rs
+++ b/crates/node/tests/node/view.rs
@@ -17,7 +17,7 @@
     job::Spec,
 };
 use fulmarpier_node::{
-    front::Refusal,
+    frontend::Refusal,
     port::Topic, //
 };
 use rstest::rstest;
--- a/crates/node/tests/node/workspace.rs
+++ b/crates/node/tests/node/workspace.rs
@@ -13,7 +13,7 @@
 };
 use fulmarpier_node::{
     Node,
-    front::{
+    frontend::{
         Frontend,
         Refusal, //
     },
