--- a/crates/node/src/frontend/mod.rs
+++ b/crates/node/src/frontend/mod.rs
@@ -1,11 +1,11 @@
 //! Serves callers on any node: submits, looks up and cancels jobs.
 //!
-//! `owner` sends requests to the cell's owner; `kept` encodes and decodes the records of jobs and cancellations.
+//! `owner` sends requests to the cell's owner; `job_record` encodes and decodes the records of jobs and cancellations.
 
-mod kept;
+mod job_record;
 mod owner;
 
-pub(crate) use self::kept::{
+pub(crate) use self::job_record::{
     JobRecord,
     Key,
     cancellation_record, //
@@ -384,7 +384,7 @@
             workspace: self.workspace_name().cloned(),
             cancellation,
         };
-        let record = kept::cancellation_record(&cancelled);
+        let record = job_record::cancellation_record(&cancelled);
         match self.intake.write(&self.shared, record, deadline).await {
             Outcome::Stored(_) => {}
             Outcome::NotStored => return Err(Refusal::NotStored),
