--- a/crates/node/src/frontend/mod.rs
+++ b/crates/node/src/frontend/mod.rs
@@ -50,7 +50,6 @@
 use tokio::time::Instant;
 
 use crate::{
-    comeback::Refusals,
     intake::{
         self,
         Intake,
@@ -66,6 +65,7 @@
         Record, //
     },
     report::millis,
+    retry_delay::Refusals,
     shared::Shared,
 };
 
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -6,7 +6,7 @@
 //!
 //! | module | responsibility |
 //! |---|---|
-//! | [`comeback`] | how long a refused caller should wait before it retries |
+//! | [`retry_delay`] | how long a refused caller should wait before it retries |
 //! | `edition` | reads the configuration from the owner while the store is silent |
 //! | `evacuation` | the data centres that the operator has evacuated |
 //! | [`frontend`] | submits, looks up and cancels jobs for callers |
@@ -26,7 +26,6 @@
 //! | [`share`] | assigns workers to the nodes that send their orders |
 //! | [`succession`] | decides which node should own the cell next and when an owner should give up |
 
-pub mod comeback;
 mod edition;
 mod evacuation;
 pub mod frontend;
@@ -44,6 +43,7 @@
 mod pulse;
 mod recall;
 mod report;
+pub mod retry_delay;
 pub mod revocation;
 pub mod share;
 mod shared;
--- a/crates/node/tests/comeback.rs
+++ b/crates/node/tests/retry_delay.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use fulmarpier_cell::id::JobId;
-use fulmarpier_node::comeback::Refusals;
+use fulmarpier_node::retry_delay::Refusals;
 use rstest::rstest;
 
 const SECOND: Duration = Duration::from_secs(1);
