--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -11,7 +11,7 @@
 //! | `evacuation` | the data centres that the operator has evacuated |
 //! | [`frontend`] | submits, looks up and cancels jobs for callers |
 //! | `health` | tracks whether and how fast the store answers this node |
-//! | `hand` | sends orders to workers on behalf of the owner and reports the results |
+//! | `dispatch` | sends orders to workers on behalf of the owner and reports the results |
 //! | `hedge` | sends another copy of a store call whose answer is overdue |
 //! | `intake` | writes jobs and cancellations to the store in batches |
 //! | `member` | follows the ownership of the cell and claims it |
@@ -26,10 +26,10 @@
 //! | [`share`] | assigns workers to the nodes that send their orders |
 //! | [`succession`] | decides which node should own the cell next and when an owner should give up |
 
+mod dispatch;
 mod edition;
 mod evacuation;
 pub mod frontend;
-mod hand;
 mod health;
 mod hedge;
 mod intake;
--- a/crates/node/src/message.rs
+++ b/crates/node/src/message.rs
@@ -34,7 +34,7 @@
 };
 
 use crate::{
-    hand::{
+    dispatch::{
         Orders,
         Reports, //
     },
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -43,9 +43,9 @@
 };
 
 use crate::{
+    dispatch::Dispatcher,
     edition,
     frontend::Frontend,
-    hand::Dispatcher,
     health::StoreHealth,
     intake::Intake,
     member,
--- a/crates/node/src/owner/control.rs
+++ b/crates/node/src/owner/control.rs
@@ -57,8 +57,8 @@
 
 use super::{forget, given::DelegatedOrders, listing, orders::Failure, view::ReadProgress};
 use crate::{
+    dispatch::Reports,
     evacuation,
-    hand::Reports,
     message::{
         self,
         Reply,
--- a/crates/node/src/owner/orders.rs
+++ b/crates/node/src/owner/orders.rs
@@ -17,7 +17,7 @@
     tell, //
 };
 use crate::{
-    hand::{
+    dispatch::{
         Orders,
         Reports, //
     },
