--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -7,7 +7,7 @@
 //! | module | responsibility |
 //! |---|---|
 //! | [`retry_delay`] | how long a refused caller should wait before it retries |
-//! | `edition` | reads the configuration from the owner while the store is silent |
+//! | `config_exchange` | reads the configuration from the owner while the store is silent |
 //! | `evacuation` | the data centres that the operator has evacuated |
 //! | [`frontend`] | submits, looks up and cancels jobs for callers |
 //! | `health` | tracks whether and how fast the store answers this node |
@@ -26,8 +26,8 @@
 //! | [`share`] | assigns workers to the nodes that send their orders |
 //! | [`succession`] | decides which node should own the cell next and when an owner should give up |
 
+mod config_exchange;
 mod dispatch;
-mod edition;
 mod evacuation;
 pub mod frontend;
 mod health;
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -43,8 +43,8 @@
 };
 
 use crate::{
+    config_exchange,
     dispatch::Dispatcher,
-    edition,
     frontend::Frontend,
     health::StoreHealth,
     intake::Intake,
@@ -196,7 +196,7 @@
         });
         let intake = Intake::start(&shared);
         tokio::spawn(store_watch::follow_operator(shared.clone()));
-        tokio::spawn(edition::poll_owner(shared.clone()));
+        tokio::spawn(config_exchange::poll_owner(shared.clone()));
         tokio::spawn(member::run(shared.clone()));
         tokio::spawn(log_suppressed_lines(shared.clone()));
         tokio::spawn(pulse::run(shared.clone()));
@@ -318,7 +318,9 @@
                 timeout,
             } => Reply::Advised(shared.platform.advise(step, workers, timeout).await),
             Request::ProbeStore => Reply::StoreLatency(member::recent_store_latency(shared).await),
-            Request::Configuration(known) => Reply::Configuration(edition::current(shared, known)),
+            Request::Configuration(known) => {
+                Reply::Configuration(config_exchange::current(shared, known))
+            }
             Request::Orders(orders) => match self.dispatcher.dispatch(orders) {
                 true => Reply::Ack,
                 false => self.not_owner(),
