--- a/crates/node/src/config_exchange.rs
+++ b/crates/node/src/config_exchange.rs
@@ -20,7 +20,7 @@
         Reply,
         Request, //
     },
-    port::{
+    platform::{
         Platform,
         Record, //
     },
--- a/crates/node/src/dispatch.rs
+++ b/crates/node/src/dispatch.rs
@@ -26,7 +26,7 @@
         Order,
         Report, //
     },
-    port::Platform,
+    platform::Platform,
     shared::Shared,
 };
 
--- a/crates/node/src/evacuation.rs
+++ b/crates/node/src/evacuation.rs
@@ -11,7 +11,7 @@
 use tokio::time::Instant;
 
 use crate::{
-    port::Platform,
+    platform::Platform,
     shared::Shared, //
 };
 
--- a/crates/node/src/frontend/job_record.rs
+++ b/crates/node/src/frontend/job_record.rs
@@ -11,7 +11,7 @@
     workspace::WorkspaceName,
 };
 
-use crate::port::{
+use crate::platform::{
     Fault,
     Record, //
 };
--- a/crates/node/src/frontend/mod.rs
+++ b/crates/node/src/frontend/mod.rs
@@ -60,7 +60,7 @@
         Request,
         UnknownJob, //
     },
-    port::{
+    platform::{
         Platform,
         Record, //
     },
--- a/crates/node/src/frontend/owner.rs
+++ b/crates/node/src/frontend/owner.rs
@@ -20,7 +20,7 @@
         Request, //
     },
     owner,
-    port::Platform,
+    platform::Platform,
 };
 
 /// The timeout of one call to the owner.
--- a/crates/node/src/health.rs
+++ b/crates/node/src/health.rs
@@ -15,7 +15,7 @@
 use tokio::time::Instant;
 
 use crate::{
-    port::Error,
+    platform::Error,
     report::millis, //
 };
 
--- a/crates/node/src/hedge.rs
+++ b/crates/node/src/hedge.rs
@@ -16,7 +16,7 @@
     timeout, //
 };
 
-use crate::port::{
+use crate::platform::{
     Append,
     Condition,
     Error,
--- a/crates/node/src/intake.rs
+++ b/crates/node/src/intake.rs
@@ -37,7 +37,7 @@
 };
 
 use crate::{
-    port::{
+    platform::{
         Append,
         Condition,
         Error,
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! All nodes run the same program. Each node accepts jobs from callers and writes their records to the store. One node
 //! at a time owns the cell and makes its scheduling decisions; the others ask the advice service and send orders to
-//! workers on its behalf. A node reaches the platform through the [`port::Platform`] that it is built with.
+//! workers on its behalf. A node reaches the platform through the [`platform::Platform`] that it is built with.
 //!
 //! | module | responsibility |
 //! |---|---|
@@ -39,7 +39,7 @@
 mod operator;
 mod order;
 mod owner;
-pub mod port;
+pub mod platform;
 mod pulse;
 mod recall;
 mod report;
--- a/crates/node/src/member/follow.rs
+++ b/crates/node/src/member/follow.rs
@@ -32,7 +32,7 @@
         Request, //
     },
     operator,
-    port::{
+    platform::{
         Error,
         Platform, //
     },
--- a/crates/node/src/member/isolation.rs
+++ b/crates/node/src/member/isolation.rs
@@ -17,7 +17,7 @@
         Reply,
         Request, //
     },
-    port::Platform,
+    platform::Platform,
     shared::Shared,
 };
 
--- a/crates/node/src/member/mod.rs
+++ b/crates/node/src/member/mod.rs
@@ -38,7 +38,7 @@
         Reply,
         Request, //
     },
-    port::{
+    platform::{
         Append,
         Condition,
         Error,
--- a/crates/node/src/member/own.rs
+++ b/crates/node/src/member/own.rs
@@ -42,7 +42,7 @@
         Event,
         take_over, //
     },
-    port::Platform,
+    platform::Platform,
     report::millis,
     share::Peer,
     shared::{
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -59,7 +59,7 @@
         self,
         Event, //
     },
-    port::Platform,
+    platform::Platform,
     pulse::{
         self,
         LagMonitor, //
--- a/crates/node/src/operator.rs
+++ b/crates/node/src/operator.rs
@@ -21,7 +21,7 @@
 
 use crate::{
     message::ReadPosition,
-    port::Platform,
+    platform::Platform,
     shared::Shared, //
 };
 
--- a/crates/node/src/order.rs
+++ b/crates/node/src/order.rs
@@ -29,7 +29,7 @@
 use tokio::time::Instant;
 
 use crate::{
-    port::{
+    platform::{
         INVENTORY_MARGIN,
         ORDER_TIMEOUT,
         Platform, //
--- a/crates/node/src/owner/answer.rs
+++ b/crates/node/src/owner/answer.rs
@@ -15,7 +15,7 @@
         Request,
         UnknownJob, //
     },
-    port::Platform,
+    platform::Platform,
     shared::EngineHandle, //
 };
 
--- a/crates/node/src/owner/control.rs
+++ b/crates/node/src/owner/control.rs
@@ -68,7 +68,7 @@
         Order,
         Report, //
     },
-    port::Platform,
+    platform::Platform,
     pulse,
     report::millis,
     share::{
--- a/crates/node/src/owner/forget.rs
+++ b/crates/node/src/owner/forget.rs
@@ -15,7 +15,7 @@
         Key,
         cancellation_record, //
     },
-    port::{
+    platform::{
         Append,
         Condition,
         Platform,
--- a/crates/node/src/owner/jobs.rs
+++ b/crates/node/src/owner/jobs.rs
@@ -35,7 +35,7 @@
         Key, //
     },
     intake,
-    port::{
+    platform::{
         Error,
         JOB_PARTITIONS,
         Platform,
--- a/crates/node/src/owner/listing.rs
+++ b/crates/node/src/owner/listing.rs
@@ -17,7 +17,7 @@
 
 use fulmarpier_state::clock::Timestamp;
 
-use crate::port::{
+use crate::platform::{
     Fault,
     Platform,
     Record, //
--- a/crates/node/src/owner/orders.rs
+++ b/crates/node/src/owner/orders.rs
@@ -30,7 +30,7 @@
         Order,
         Report, //
     },
-    port::Platform,
+    platform::Platform,
 };
 
 /// How long orders for other nodes are collected into a batch. Each call between nodes costs the
--- a/crates/node/src/owner/recorder.rs
+++ b/crates/node/src/owner/recorder.rs
@@ -17,7 +17,7 @@
     Event, //
 };
 use crate::{
-    port::{
+    platform::{
         Append,
         Condition,
         Error,
--- a/crates/node/src/owner/takeover.rs
+++ b/crates/node/src/owner/takeover.rs
@@ -51,7 +51,7 @@
 };
 use crate::{
     frontend::JobRecord,
-    port::{
+    platform::{
         Error,
         Fault,
         Platform,
--- a/crates/node/src/owner/workers.rs
+++ b/crates/node/src/owner/workers.rs
@@ -27,7 +27,7 @@
     }, //
 };
 use crate::{
-    port::{
+    platform::{
         Error,
         Platform,
         Rejected,
--- a/crates/node/src/pulse.rs
+++ b/crates/node/src/pulse.rs
@@ -16,7 +16,7 @@
 };
 
 use crate::{
-    port::Platform,
+    platform::Platform,
     report::millis,
     shared::Shared,
     succession::Lag, //
--- a/crates/node/src/recall.rs
+++ b/crates/node/src/recall.rs
@@ -9,7 +9,7 @@
 };
 
 use crate::{
-    port::{
+    platform::{
         Error,
         Fault,
         Page,
--- a/crates/node/src/report.rs
+++ b/crates/node/src/report.rs
@@ -36,7 +36,7 @@
 use slog::Logger;
 use tokio::time::Instant;
 
-use crate::port::{
+use crate::platform::{
     Error,
     Rejected, //
 };
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -52,7 +52,7 @@
         EngineActor,
         ReadProgress, //
     },
-    port::{
+    platform::{
         Append,
         Condition,
         Error,
--- a/crates/node/src/watch.rs
+++ b/crates/node/src/watch.rs
@@ -27,7 +27,7 @@
         Scope, //
     },
     operator,
-    port::{
+    platform::{
         Error,
         Fault,
         Page,
--- a/crates/node/tests/node/evacuation.rs
+++ b/crates/node/tests/node/evacuation.rs
@@ -6,7 +6,7 @@
     engine::State,
     id::JobId, //
 };
-use fulmarpier_node::port::Topic;
+use fulmarpier_node::platform::Topic;
 use rstest::rstest;
 use tokio::time::sleep;
 
--- a/crates/node/tests/node/foreign.rs
+++ b/crates/node/tests/node/foreign.rs
@@ -8,7 +8,7 @@
 };
 use fulmarpier_node::{
     Meter,
-    port::{
+    platform::{
         SMALL_CELL_JOB_PARTITIONS,
         Topic, //
     },
--- a/crates/node/tests/node/history.rs
+++ b/crates/node/tests/node/history.rs
@@ -19,7 +19,7 @@
 use fulmarpier_node::{
     Node,
     frontend::Refusal,
-    port::Topic, //
+    platform::Topic, //
 };
 use rand::{
     RngExt,
--- a/crates/node/tests/node/platform.rs
+++ b/crates/node/tests/node/platform.rs
@@ -59,7 +59,7 @@
         Workspace, //
     },
 };
-use fulmarpier_node::port::{
+use fulmarpier_node::platform::{
     Append,
     Condition,
     Error,
--- a/crates/node/tests/node/record.rs
+++ b/crates/node/tests/node/record.rs
@@ -19,7 +19,7 @@
 };
 use fulmarpier_node::{
     frontend::Refusal,
-    port::{
+    platform::{
         SMALL_CELL_JOB_PARTITIONS,
         Topic, //
     },
--- a/crates/node/tests/node/service.rs
+++ b/crates/node/tests/node/service.rs
@@ -21,7 +21,7 @@
 };
 use fulmarpier_node::{
     frontend::Refusal,
-    port::{
+    platform::{
         JOB_PARTITIONS,
         SMALL_CELL_JOB_PARTITIONS, //
     },
--- a/crates/node/tests/node/size.rs
+++ b/crates/node/tests/node/size.rs
@@ -4,7 +4,7 @@
 
 use fulmarpier_node::{
     Node,
-    port::Topic, //
+    platform::Topic, //
 };
 use fulmarpier_state::unit::Millicores;
 use rstest::rstest;
--- a/crates/node/tests/node/view.rs
+++ b/crates/node/tests/node/view.rs
@@ -18,7 +18,7 @@
 };
 use fulmarpier_node::{
     frontend::Refusal,
-    port::Topic, //
+    platform::Topic, //
 };
 use rstest::rstest;
 use tokio::time::{
--- a/crates/node/tests/node/workspace.rs
+++ b/crates/node/tests/node/workspace.rs
@@ -17,7 +17,7 @@
         Frontend,
         Refusal, //
     },
-    port::Topic,
+    platform::Topic,
     revocation::Revocation, //
 };
 use rstest::rstest;
