--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -23,9 +23,10 @@
 //! | `pulse` | measures how late timers and events run in this process |
 //! | `report` | logs and metrics |
 //! | [`revocation`] | how long a node may accept keys while it can't read the configuration |
-//! | [`share`] | assigns workers to the nodes that send their orders |
+//! | [`assignment`] | assigns workers to the nodes that send their orders |
 //! | [`succession`] | decides which node should own the cell next and when an owner should give up |
 
+pub mod assignment;
 mod config_exchange;
 mod dispatch;
 mod evacuation;
@@ -45,7 +46,6 @@
 mod report;
 pub mod retry_delay;
 pub mod revocation;
-pub mod share;
 mod shared;
 pub mod succession;
 mod watch;
--- a/crates/node/src/member/own.rs
+++ b/crates/node/src/member/own.rs
@@ -33,6 +33,7 @@
     try_read_claim, //
 };
 use crate::{
+    assignment::Peer,
     message::{
         self,
         Reply,
@@ -44,7 +45,6 @@
     },
     platform::Platform,
     report::millis,
-    share::Peer,
     shared::{
         Ownership,
         Shared, //
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -43,6 +43,7 @@
 };
 
 use crate::{
+    assignment::Peer,
     config_exchange,
     dispatch::Dispatcher,
     frontend::Frontend,
@@ -66,7 +67,6 @@
     },
     report::Meter,
     revocation::Revocation,
-    share::Peer,
     shared::Shared,
     succession::{
         self,
--- a/crates/node/src/owner/control.rs
+++ b/crates/node/src/owner/control.rs
@@ -57,6 +57,10 @@
 
 use super::{forget, given::DelegatedOrders, listing, orders::Failure, view::ReadProgress};
 use crate::{
+    assignment::{
+        Assignment,
+        Peer, //
+    },
     dispatch::Reports,
     evacuation,
     message::{
@@ -71,10 +75,6 @@
     platform::Platform,
     pulse,
     report::millis,
-    share::{
-        Assignment,
-        Peer, //
-    },
     shared::Shared,
 };
 
--- a/crates/node/src/owner/takeover.rs
+++ b/crates/node/src/owner/takeover.rs
@@ -50,6 +50,7 @@
     workers, //
 };
 use crate::{
+    assignment::Peer,
     frontend::JobRecord,
     platform::{
         Error,
@@ -62,7 +63,6 @@
         Decoder, //
     },
     report::millis,
-    share::Peer,
     shared::{
         EngineHandle,
         Ownership,
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -40,6 +40,7 @@
 };
 
 use crate::{
+    assignment::Peer,
     evacuation,
     health::{
         Call,
@@ -65,7 +66,6 @@
     pulse::LagMonitor,
     report::Meter,
     revocation::Revocation,
-    share::Peer,
     succession::Hello, //
 };
 
--- a/crates/node/tests/share.rs
+++ b/crates/node/tests/assignment.rs
@@ -6,7 +6,7 @@
     NodeName,
     WorkerId, //
 };
-use fulmarpier_node::share::{
+use fulmarpier_node::assignment::{
     Assignment,
     Peer, //
 };
