--- a/crates/node/src/frontend/mod.rs
+++ b/crates/node/src/frontend/mod.rs
@@ -64,9 +64,9 @@
         Platform,
         Record, //
     },
-    report::millis,
     retry_delay::Refusals,
     shared::Shared,
+    telemetry::millis,
 };
 
 /// The age, since the store last confirmed it, up to which a configuration counts as the newest.
--- a/crates/node/src/health.rs
+++ b/crates/node/src/health.rs
@@ -16,7 +16,7 @@
 
 use crate::{
     platform::Error,
-    report::millis, //
+    telemetry::millis, //
 };
 
 /// The store counts as unavailable once it has been failing for this multiple of its typical latency, clamped to
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -21,7 +21,7 @@
 //! | `watch` | follows the configuration and the list of workers |
 //! | `message` | the messages between nodes |
 //! | `pulse` | measures how late timers and events run in this process |
-//! | `report` | logs and metrics |
+//! | `telemetry` | logs and metrics |
 //! | [`revocation`] | how long a node may accept keys while it can't read the configuration |
 //! | [`assignment`] | assigns workers to the nodes that send their orders |
 //! | [`succession`] | decides which node should own the cell next and when an owner should give up |
@@ -43,11 +43,11 @@
 pub mod platform;
 mod pulse;
 mod recall;
-mod report;
 pub mod retry_delay;
 pub mod revocation;
 mod shared;
 pub mod succession;
+mod telemetry;
 mod watch;
 
 pub use self::{
@@ -57,5 +57,5 @@
         Node,
         Parts, //
     },
-    report::Meter,
+    telemetry::Meter,
 };
--- a/crates/node/src/member/isolation.rs
+++ b/crates/node/src/member/isolation.rs
@@ -40,7 +40,7 @@
         let is_alone = is_failing(&shared) && is_alone(&shared).await && is_failing(&shared);
         if shared.is_isolated.swap(is_alone, Ordering::Relaxed) != is_alone {
             slog::info!(shared.log, "alone"; "is" => is_alone,
-                "store_failing_ms" => crate::report::millis(shared.store.failing_for()));
+                "store_failing_ms" => crate::telemetry::millis(shared.store.failing_for()));
         }
     }
 }
--- a/crates/node/src/member/own.rs
+++ b/crates/node/src/member/own.rs
@@ -44,7 +44,6 @@
         take_over, //
     },
     platform::Platform,
-    report::millis,
     shared::{
         Ownership,
         Shared, //
@@ -54,6 +53,7 @@
         Hello,
         Reason, //
     },
+    telemetry::millis,
 };
 
 /// How often the owner renews its claim.
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -65,13 +65,13 @@
         self,
         LagMonitor, //
     },
-    report::Meter,
     revocation::Revocation,
     shared::Shared,
     succession::{
         self,
         Hello, //
     },
+    telemetry::Meter,
     watch as store_watch,
 };
 
--- a/crates/node/src/order.rs
+++ b/crates/node/src/order.rs
@@ -34,7 +34,7 @@
         ORDER_TIMEOUT,
         Platform, //
     },
-    report::Meter, //
+    telemetry::Meter, //
 };
 
 /// An order to a worker.
--- a/crates/node/src/owner/control.rs
+++ b/crates/node/src/owner/control.rs
@@ -74,8 +74,8 @@
     },
     platform::Platform,
     pulse,
-    report::millis,
     shared::Shared,
+    telemetry::millis,
 };
 
 /// Added to twice the expected duration of an advice call to give its timeout. The duration counts
--- a/crates/node/src/owner/takeover.rs
+++ b/crates/node/src/owner/takeover.rs
@@ -62,12 +62,12 @@
         self,
         Decoder, //
     },
-    report::millis,
     shared::{
         EngineHandle,
         Ownership,
         Shared, //
     },
+    telemetry::millis,
     watch::{
         Batch,
         Reader,
--- a/crates/node/src/pulse.rs
+++ b/crates/node/src/pulse.rs
@@ -17,9 +17,9 @@
 
 use crate::{
     platform::Platform,
-    report::millis,
     shared::Shared,
-    succession::Lag, //
+    succession::Lag,
+    telemetry::millis, //
 };
 
 /// The shortest suspension that is detected. A shorter one can't be told from the time between the readings of two
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -64,9 +64,9 @@
         Topic, //
     },
     pulse::LagMonitor,
-    report::Meter,
     revocation::Revocation,
-    succession::Hello, //
+    succession::Hello,
+    telemetry::Meter, //
 };
 
 /// The ownership of the cell by this node.
