--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -20,7 +20,7 @@
 //! | `owner` | the owner's actor, its takeover, and its reads and writes of the store |
 //! | `watch` | follows the configuration and the list of workers |
 //! | `message` | the messages between nodes |
-//! | `pulse` | measures how late timers and events run in this process |
+//! | `lag` | measures how late timers and events run in this process |
 //! | `telemetry` | logs and metrics |
 //! | [`revocation`] | how long a node may accept keys while it can't read the configuration |
 //! | [`assignment`] | assigns workers to the nodes that send their orders |
@@ -34,6 +34,7 @@
 mod health;
 mod hedge;
 mod intake;
+mod lag;
 mod member;
 mod message;
 mod node;
@@ -41,7 +42,6 @@
 mod order;
 mod owner;
 pub mod platform;
-mod pulse;
 mod recall;
 pub mod retry_delay;
 pub mod revocation;
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -49,6 +49,10 @@
     frontend::Frontend,
     health::StoreHealth,
     intake::Intake,
+    lag::{
+        self,
+        LagMonitor, //
+    },
     member,
     message::{
         self,
@@ -61,10 +65,6 @@
         Event, //
     },
     platform::Platform,
-    pulse::{
-        self,
-        LagMonitor, //
-    },
     revocation::Revocation,
     shared::Shared,
     succession::{
@@ -199,7 +199,7 @@
         tokio::spawn(config_exchange::poll_owner(shared.clone()));
         tokio::spawn(member::run(shared.clone()));
         tokio::spawn(log_suppressed_lines(shared.clone()));
-        tokio::spawn(pulse::run(shared.clone()));
+        tokio::spawn(lag::run(shared.clone()));
         let peer_service = PeerService::new(shared.clone());
         tokio::spawn(peer_service.clone().track_peers());
         tokio::spawn(peer_service.run(calls));
--- a/crates/node/src/owner/control.rs
+++ b/crates/node/src/owner/control.rs
@@ -62,7 +62,7 @@
         Peer, //
     },
     dispatch::Reports,
-    evacuation,
+    evacuation, lag,
     message::{
         self,
         Reply,
@@ -73,7 +73,6 @@
         Report, //
     },
     platform::Platform,
-    pulse,
     shared::Shared,
     telemetry::millis,
 };
@@ -206,7 +205,7 @@
     /// count go on, so suspension is checked separately.
     fn check_stall(&mut self) {
         let idle = std::mem::replace(&mut self.last_event_at, Instant::now()).elapsed();
-        let suspended = pulse::take_suspension(&self.shared.platform, &mut self.suspended_total);
+        let suspended = lag::take_suspension(&self.shared.platform, &mut self.suspended_total);
         if (idle < STALL_THRESHOLD && suspended.is_none()) || self.is_deposed {
             return;
         }
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -47,6 +47,7 @@
         StoreHealth, //
     },
     hedge,
+    lag::LagMonitor,
     member,
     operator,
     owner::{
@@ -63,7 +64,6 @@
         Rejected,
         Topic, //
     },
-    pulse::LagMonitor,
     revocation::Revocation,
     succession::Hello,
     telemetry::Meter, //
