--- a/crates/node/src/member/mod.rs
+++ b/crates/node/src/member/mod.rs
@@ -33,6 +33,7 @@
 
 use self::{follow::follow, own::own_cell};
 use crate::{
+    fallback,
     message::{
         self,
         Reply,
@@ -48,7 +49,6 @@
         Rejected,
         Topic, //
     },
-    recall,
     shared::Shared,
     watch::wait_to_retry,
 };
@@ -56,7 +56,7 @@
 /// The key of the claim record.
 const CLAIM_KEY: &str = "owner";
 /// Which records are claims, and how they are decoded.
-const CLAIM_RECORDS: recall::Decoder<'static, Claim> = recall::Decoder {
+const CLAIM_RECORDS: fallback::Decoder<'static, Claim> = fallback::Decoder {
     is_own: |key| key == CLAIM_KEY,
     decode: &|record| {
         let claim = record.value.as_ref();
@@ -194,7 +194,7 @@
     let page = shared.newest("claims", Topic::Claims).await.ok()?;
     let end = page.next;
     let settled =
-        recall::decode_with_fallback(shared, Topic::Claims, "claims", page, CLAIM_RECORDS).await;
+        fallback::decode_with_fallback(shared, Topic::Claims, "claims", page, CLAIM_RECORDS).await;
     let settled = settled.ok()?;
     let claim = match settled.values.into_iter().next() {
         Some(claim) => Some(claim),
--- a/crates/node/src/owner/jobs.rs
+++ b/crates/node/src/owner/jobs.rs
@@ -30,6 +30,11 @@
     ReadProgress, //
 };
 use crate::{
+    fallback::{
+        self,
+        Decoded,
+        Decoder, //
+    },
     frontend::{
         JobRecord,
         Key, //
@@ -43,11 +48,6 @@
         SMALL_CELL_JOB_PARTITIONS,
         Topic, //
     },
-    recall::{
-        self,
-        Decoded,
-        Decoder, //
-    },
     shared::Shared,
     watch::{
         Batch,
@@ -147,7 +147,9 @@
         let number = self.number;
         let read = |record: &Record| JobRecord::read(record, number);
         let page = match self.reader.read(shared, Duration::ZERO).await? {
-            Batch::Incremental(page) => return Ok(recall::decode_page(shared, "jobs", page, read)),
+            Batch::Incremental(page) => {
+                return Ok(fallback::decode_page(shared, "jobs", page, read));
+            }
             Batch::Full(page) => page,
         };
         let topic = Topic::Jobs(number);
@@ -155,7 +157,7 @@
             is_own: JobRecord::is_key,
             decode: &read,
         };
-        let settled = recall::decode_with_fallback(shared, topic, "jobs", page, own).await;
+        let settled = fallback::decode_with_fallback(shared, topic, "jobs", page, own).await;
         if settled.is_err() {
             // The reader has moved past records that are not returned, so reading starts over.
             self.reader = Reader::new(topic, "jobs");
--- a/crates/node/src/owner/takeover.rs
+++ b/crates/node/src/owner/takeover.rs
@@ -51,6 +51,10 @@
 };
 use crate::{
     assignment::Peer,
+    fallback::{
+        self,
+        Decoder, //
+    },
     frontend::JobRecord,
     platform::{
         Error,
@@ -58,10 +62,6 @@
         Platform,
         Topic, //
     },
-    recall::{
-        self,
-        Decoder, //
-    },
     shared::{
         EngineHandle,
         Ownership,
@@ -176,7 +176,7 @@
     loop {
         let settled = match reader.read(shared, Duration::ZERO).await {
             Ok(Batch::Full(page) | Batch::Incremental(page)) => {
-                recall::decode_with_fallback(shared, TOPIC, PURPOSE, page, OWNER_RECORDS).await
+                fallback::decode_with_fallback(shared, TOPIC, PURPOSE, page, OWNER_RECORDS).await
             }
             Err(error) => Err(error),
         };
--- a/crates/node/src/watch.rs
+++ b/crates/node/src/watch.rs
@@ -26,6 +26,10 @@
         self,
         Scope, //
     },
+    fallback::{
+        self,
+        Decoder, //
+    },
     operator,
     platform::{
         Error,
@@ -35,10 +39,6 @@
         Record,
         Topic, //
     },
-    recall::{
-        self,
-        Decoder, //
-    },
     shared::Shared,
 };
 
@@ -144,7 +144,7 @@
             // If a record can't be decoded, the last one that could be stays in force.
             Ok(Batch::Incremental(page)) => {
                 let decode = |record: &Record| decode(&shared, record);
-                let read = recall::decode_page(&shared, "configuration", page, decode);
+                let read = fallback::decode_page(&shared, "configuration", page, decode);
                 Ok((Scope::Incremental, read.values))
             }
             Err(error) => Err(error),
@@ -177,7 +177,7 @@
         decode: &|record| decode(shared, record),
     };
     let topic = Topic::Configuration;
-    let settled = recall::decode_with_fallback(shared, topic, "configuration", page, own).await;
+    let settled = fallback::decode_with_fallback(shared, topic, "configuration", page, own).await;
     settled.map(|settled| settled.values)
 }
 
