--- a/crates/node/src/owner/control.rs
+++ b/crates/node/src/owner/control.rs
@@ -55,7 +55,7 @@
     },
 };
 
-use super::{forget, given::DelegatedOrders, listing, orders::Failure, view::ReadProgress};
+use super::{delegated::DelegatedOrders, forget, listing, orders::Failure, view::ReadProgress};
 use crate::{
     assignment::{
         Assignment,
--- a/crates/node/src/owner/mod.rs
+++ b/crates/node/src/owner/mod.rs
@@ -2,8 +2,8 @@
 
 mod answer;
 mod control;
+mod delegated;
 mod forget;
-mod given;
 mod jobs;
 mod listing;
 mod orders;
