--- a/crates/node/src/assignment.rs
+++ b/crates/node/src/assignment.rs
@@ -67,12 +67,12 @@
 }
 
 impl From<&Hello> for Peer {
-    fn from(greeting: &Hello) -> Self {
+    fn from(hello: &Hello) -> Self {
         Self {
-            node: greeting.node.clone(),
-            address: greeting.address,
-            processor: greeting.strength,
-            descriptors: greeting.descriptors,
+            node: hello.node.clone(),
+            address: hello.address,
+            processor: hello.strength,
+            descriptors: hello.descriptors,
         }
     }
 }
--- a/crates/node/src/member/own.rs
+++ b/crates/node/src/member/own.rs
@@ -68,7 +68,7 @@
 const SUCCESSION_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// Nodes whose last greeting is older than this don't succeed the owner; weak nodes send one every
 /// 0.7 s.
-const MAX_GREETING_AGE: Duration = Duration::from_millis(1_000);
+const MAX_HELLO_AGE: Duration = Duration::from_millis(1_000);
 /// Once the store has failed for this long, the owner asks other nodes whether it fails for them
 /// too.
 const PEER_QUERY_THRESHOLD: Duration = Duration::from_millis(250);
@@ -184,7 +184,7 @@
     end: &mut u64,
     reason: Reason,
 ) -> Option<Claim> {
-    let hellos = recent_greetings(shared).await;
+    let hellos = recent_hellos(shared).await;
     let lag = shared.lag.owner_lag();
     let next = succession::choose_successor(shared.strength, lag, reason, &hellos)?;
     let successor = Claim {
@@ -256,12 +256,12 @@
 }
 
 /// Returns the recent greetings of other nodes.
-async fn recent_greetings<P: Platform>(shared: &Shared<P>) -> Vec<Hello> {
-    let greetings = shared.hellos.lock().await;
-    let fresh = greetings
+async fn recent_hellos<P: Platform>(shared: &Shared<P>) -> Vec<Hello> {
+    let hellos = shared.hellos.lock().await;
+    let fresh = hellos
         .values()
-        .filter(|(_, at)| at.elapsed() < MAX_GREETING_AGE);
-    fresh.map(|(greeting, _)| greeting.clone()).collect()
+        .filter(|(_, at)| at.elapsed() < MAX_HELLO_AGE);
+    fresh.map(|(hello, _)| hello.clone()).collect()
 }
 
 /// Waits until a worker or the store reports a later owner, or the process is to end.
@@ -302,7 +302,7 @@
             () if owned >= MIN_TENURE => Reason::Outranked,
             () => continue,
         };
-        let hellos = recent_greetings(shared).await;
+        let hellos = recent_hellos(shared).await;
         if succession::choose_successor(shared.strength, lag, reason, &hellos).is_some() {
             return reason;
         }
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -311,7 +311,7 @@
         let shared = &self.shared;
         shared.meter.peer_call(question.as_str());
         match question {
-            Request::Hello(greeting) => self.record_greeting(greeting).await,
+            Request::Hello(hello) => self.record_hello(hello).await,
             Request::Advise {
                 step,
                 workers,
@@ -349,16 +349,16 @@
     }
 
     /// Answers a greeting and, if this node is the owner, records the peer.
-    async fn record_greeting(&self, greeting: Hello) -> Reply {
+    async fn record_hello(&self, hello: Hello) -> Reply {
         let shared = &self.shared;
         let acting = shared.ownership.borrow().clone();
         let Some(acting) = acting else {
             return self.not_owner();
         };
-        let peer = Peer::from(&greeting);
+        let peer = Peer::from(&hello);
         let now = Instant::now();
-        let mut greetings = shared.hellos.lock().await;
-        let previous = greetings.insert(greeting.node.clone(), (greeting, now));
+        let mut hellos = shared.hellos.lock().await;
+        let previous = hellos.insert(hello.node.clone(), (hello, now));
         if previous.is_none_or(|(previous, _)| Peer::from(&previous) != peer) {
             self.peer_change.notify_one();
         }
@@ -392,9 +392,9 @@
                 last_sent = None;
                 continue;
             };
-            let mut greetings = self.shared.hellos.lock().await;
-            greetings.retain(|_, (_, at)| at.elapsed() < PEER_TIMEOUT);
-            drop(greetings);
+            let mut hellos = self.shared.hellos.lock().await;
+            hellos.retain(|_, (_, at)| at.elapsed() < PEER_TIMEOUT);
+            drop(hellos);
             let peers = self.shared.hello_peers().await;
             *self.shared.peers.lock().await = peers.clone();
             let update = (acting.epoch.0, peers.clone());
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -280,11 +280,8 @@
 
     /// Returns the nodes that sent heartbeats to this one as the owner.
     pub(crate) async fn hello_peers(&self) -> Vec<Peer> {
-        let greetings = self.hellos.lock().await;
-        let mut peers: Vec<Peer> = greetings
-            .values()
-            .map(|(greeting, _)| greeting.into())
-            .collect();
+        let hellos = self.hellos.lock().await;
+        let mut peers: Vec<Peer> = hellos.values().map(|(hello, _)| hello.into()).collect();
         peers.sort_unstable();
         peers
     }
--- a/crates/node/src/succession.rs
+++ b/crates/node/src/succession.rs
@@ -135,26 +135,25 @@
     own: Millicores,
     lag: Duration,
     reason: Reason,
-    greetings: &[Hello],
+    hellos: &[Hello],
 ) -> Option<&Hello> {
-    let is_eligible = |greeting: &&Hello| {
-        greeting.may_own
+    let is_eligible = |hello: &&Hello| {
+        hello.may_own
             && match reason {
-                Reason::Outranked => outranks(greeting.strength, own),
+                Reason::Outranked => outranks(hello.strength, own),
                 Reason::Slow => {
-                    let is_faster =
-                        is_prompt(greeting.lag) && greeting.lag * MIN_LAG_IMPROVEMENT <= lag;
-                    is_faster && !outranks(own, greeting.strength)
+                    let is_faster = is_prompt(hello.lag) && hello.lag * MIN_LAG_IMPROVEMENT <= lag;
+                    is_faster && !outranks(own, hello.strength)
                 }
                 Reason::Leaving => true,
             }
     };
-    let eligible: Vec<&Hello> = greetings.iter().filter(is_eligible).collect();
-    let strongest = eligible.iter().map(|greeting| greeting.strength).max()?;
+    let eligible: Vec<&Hello> = hellos.iter().filter(is_eligible).collect();
+    let strongest = eligible.iter().map(|hello| hello.strength).max()?;
     let strong = eligible
         .into_iter()
-        .filter(|greeting| !outranks(strongest, greeting.strength));
-    strong.min_by_key(|greeting| (!is_prompt(greeting.lag), greeting.age))
+        .filter(|hello| !outranks(strongest, hello.strength));
+    strong.min_by_key(|hello| (!is_prompt(hello.lag), hello.age))
 }
 
 /// The lag of events: the median of the latest samples, so that a single late event doesn't count as slowness.
--- a/crates/node/tests/succession.rs
+++ b/crates/node/tests/succession.rs
@@ -23,7 +23,7 @@
 const MILLISECOND: Duration = Duration::from_millis(1);
 const SECOND: Duration = Duration::from_secs(1);
 
-fn greeting(name: &str, strength: u32, age: u64, lag: u64) -> Hello {
+fn hello(name: &str, strength: u32, age: u64, lag: u64) -> Hello {
     Hello {
         node: NodeName::from(name),
         address: ([127, 0, 0, 1], 1).into(),
@@ -36,9 +36,9 @@
     }
 }
 
-fn chosen(own: u32, lag: u64, reason: Reason, greetings: &[Hello]) -> Option<&str> {
+fn chosen(own: u32, lag: u64, reason: Reason, hellos: &[Hello]) -> Option<&str> {
     let lag = Duration::from_millis(lag);
-    choose_successor(Millicores(own), lag, reason, greetings).map(|greeting| greeting.node.as_str())
+    choose_successor(Millicores(own), lag, reason, hellos).map(|hello| hello.node.as_str())
 }
 
 #[rstest]
@@ -90,21 +90,21 @@
 
 #[test]
 fn a_weak_owner_releases_the_cell_only_to_a_much_stronger_node() {
-    let weak = [greeting("weak", 50, 9, 0), greeting("equal", 50, 1, 0)];
+    let weak = [hello("weak", 50, 9, 0), hello("equal", 50, 1, 0)];
     assert_eq!(chosen(50, 0, Reason::Outranked, &weak), None);
     let mixed = [
-        greeting("weak", 50, 1, 0),
-        greeting("middling", 120, 1, 0),
-        greeting("strong", 500, 9, 0),
+        hello("weak", 50, 1, 0),
+        hello("middling", 120, 1, 0),
+        hello("strong", 500, 9, 0),
     ];
     assert_eq!(chosen(50, 0, Reason::Outranked, &mixed), Some("strong"));
 }
 
 #[test]
 fn a_slow_owner_hands_over_only_to_a_prompt_node_of_equal_strength() {
-    let slow = greeting("slow", 250, 9, 90);
-    let weak = greeting("weak", 60, 9, 1);
-    let prompt = greeting("prompt", 250, 9, 1);
+    let slow = hello("slow", 250, 9, 90);
+    let weak = hello("weak", 60, 9, 1);
+    let prompt = hello("prompt", 250, 9, 1);
     assert_eq!(
         chosen(250, 200, Reason::Slow, &[slow.clone(), weak.clone()]),
         None
@@ -117,12 +117,12 @@
 
 #[test]
 fn a_leaving_owner_prefers_the_node_that_was_restarted_last() {
-    let restarted = greeting("restarted", 250, 3, 1);
-    let old = greeting("old", 250, 40, 1);
-    let weak = greeting("weak", 60, 1, 1);
+    let restarted = hello("restarted", 250, 3, 1);
+    let old = hello("old", 250, 40, 1);
+    let weak = hello("weak", 60, 1, 1);
     let leaving = Hello {
         may_own: false,
-        ..greeting("leaving", 250, 1, 1)
+        ..hello("leaving", 250, 1, 1)
     };
     let all = [old, leaving.clone(), weak, restarted];
     assert_eq!(chosen(250, 1, Reason::Leaving, &all), Some("restarted"));
