--- a/crates/node/src/config_exchange.rs
+++ b/crates/node/src/config_exchange.rs
@@ -59,8 +59,8 @@
             continue;
         };
         let asked = Instant::now();
-        let question = Request::Configuration(version(&shared));
-        let answer = message::send(&shared.rpc, owner, &question, CALL_TIMEOUT).await;
+        let request = Request::Configuration(version(&shared));
+        let answer = message::send(&shared.rpc, owner, &request, CALL_TIMEOUT).await;
         if let Ok(Reply::Configuration(edition)) = answer {
             apply(&shared, edition, asked);
         }
--- a/crates/node/src/dispatch.rs
+++ b/crates/node/src/dispatch.rs
@@ -155,9 +155,9 @@
 
 /// Sends a batch of reports to an owner, with retries.
 async fn send_batch<P: Platform>(shared: Arc<Shared<P>>, owner: SocketAddr, reports: Reports) {
-    let question = Request::Reports(reports);
+    let request = Request::Reports(reports);
     for _ in 0..MAX_REPORT_ATTEMPTS {
-        if message::send(&shared.rpc, owner, &question, REPORT_CALL_TIMEOUT)
+        if message::send(&shared.rpc, owner, &request, REPORT_CALL_TIMEOUT)
             .await
             .is_ok()
         {
--- a/crates/node/src/frontend/mod.rs
+++ b/crates/node/src/frontend/mod.rs
@@ -313,7 +313,7 @@
     ///
     /// Fails if the owner doesn't know the job, or if the owner can't be reached.
     pub async fn job_state(&self, job: JobId) -> Result<State, Refusal> {
-        let reply = self.ask_owner(|asked| self.state_question(job, asked));
+        let reply = self.ask_owner(|asked| self.state_request(job, asked));
         match reply.await? {
             Reply::State(state) => Ok(state),
             Reply::UnknownJob(absent) => {
@@ -324,7 +324,7 @@
         }
     }
 
-    fn state_question(&self, job: JobId, asked: Duration) -> Request {
+    fn state_request(&self, job: JobId, asked: Duration) -> Request {
         Request::JobState {
             job,
             workspace: self.workspace_name().cloned(),
@@ -372,7 +372,7 @@
 
     async fn try_cancel(&self, job: JobId, deadline: Instant) -> Result<(), Refusal> {
         let found = self
-            .ask_owner_once(&self.state_question(job, Duration::ZERO))
+            .ask_owner_once(&self.state_request(job, Duration::ZERO))
             .await;
         let cancellation = match &found {
             Some(Reply::State(state)) if state.is_final() => return Ok(()),
--- a/crates/node/src/frontend/owner.rs
+++ b/crates/node/src/frontend/owner.rs
@@ -41,12 +41,12 @@
     /// `question` builds the question for each attempt from the time that has passed since the first one.
     pub(super) async fn ask_owner(
         &self,
-        question: impl Fn(Duration) -> Request,
+        request: impl Fn(Duration) -> Request,
     ) -> Result<Reply, Refusal> {
         let began = Instant::now();
         let deadline = began + MAX_OWNER_WAIT;
         loop {
-            if let Some(reply) = self.ask_owner_once(&question(began.elapsed())).await {
+            if let Some(reply) = self.ask_owner_once(&request(began.elapsed())).await {
                 return Ok(reply);
             }
             if Instant::now() + OWNER_RETRY_PAUSE >= deadline {
@@ -57,25 +57,25 @@
     }
 
     /// Sends a question to the owner once; returns `None` if the owner is unknown or didn't answer.
-    pub(super) async fn ask_owner_once(&self, question: &Request) -> Option<Reply> {
+    pub(super) async fn ask_owner_once(&self, request: &Request) -> Option<Reply> {
         if let Some(seat) = self.shared.engine_handle() {
-            return owner::handle_request(&seat, question.clone()).await;
+            return owner::handle_request(&seat, request.clone()).await;
         }
         let address = self.shared.claim.borrow().as_ref()?.address;
         if address == self.shared.address {
             return None;
         }
-        let reply = message::send(&self.shared.rpc, address, question, OWNER_CALL_TIMEOUT).await;
+        let reply = message::send(&self.shared.rpc, address, request, OWNER_CALL_TIMEOUT).await;
         reply
             .ok()
             .filter(|reply| !matches!(reply, Reply::NotOwner { .. }))
     }
 
     /// Sends the owner a notification in the background, without retries.
-    pub(super) fn notify_owner_once(&self, question: Request) {
+    pub(super) fn notify_owner_once(&self, request: Request) {
         let frontend = self.clone();
         tokio::spawn(async move {
-            let _ = frontend.ask_owner_once(&question).await;
+            let _ = frontend.ask_owner_once(&request).await;
         });
     }
 
@@ -85,13 +85,13 @@
     /// The notification may reach an owner that has been replaced without knowing it, after its successor has read the
     /// stored records. The successor would learn of the record only when it reads the partition again, up to 2 s later,
     /// but a cancellation must take effect within 3 s.
-    pub(super) fn notify_owner(&self, question: Request) {
+    pub(super) fn notify_owner(&self, request: Request) {
         let frontend = self.clone();
         tokio::spawn(async move {
             let mut failures = 0;
             while failures < MAX_NOTIFICATION_FAILURES {
                 let epoch = frontend.shared.epoch();
-                if frontend.ask_owner_once(&question).await.is_none() {
+                if frontend.ask_owner_once(&request).await.is_none() {
                     failures += 1;
                     sleep(OWNER_RETRY_PAUSE * 4).await;
                 } else if !frontend.is_replaced(epoch).await {
--- a/crates/node/src/message.rs
+++ b/crates/node/src/message.rs
@@ -171,13 +171,13 @@
 pub(crate) async fn send(
     client: &rpc::Client,
     address: SocketAddr,
-    question: &Request,
+    request: &Request,
     timeout: Duration,
 ) -> Result<Reply, rpc::Error> {
     let malformed = |error: postcard::Error| rpc::Error::Malformed {
         reason: error.to_string(),
     };
-    let message = postcard::to_stdvec(question).map_err(malformed)?;
+    let message = postcard::to_stdvec(request).map_err(malformed)?;
     let call = Call::Peer(peer::Request {
         message: message.into(),
     });
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -295,10 +295,10 @@
         while let Some(incoming) = calls.recv().await {
             let peer_service = self.clone();
             tokio::spawn(async move {
-                let Some(question) = message::decode_request(&incoming.call) else {
+                let Some(request) = message::decode_request(&incoming.call) else {
                     return;
                 };
-                let reply = peer_service.reply(question).await;
+                let reply = peer_service.reply(request).await;
                 if let Some(answer) = message::encode_reply(&reply) {
                     // The caller may have given up.
                     let _ = incoming.answer.send(answer);
@@ -307,10 +307,10 @@
         }
     }
 
-    async fn reply(&self, question: Request) -> Reply {
+    async fn reply(&self, request: Request) -> Reply {
         let shared = &self.shared;
-        shared.meter.peer_call(question.as_str());
-        match question {
+        shared.meter.peer_call(request.as_str());
+        match request {
             Request::Hello(hello) => self.record_hello(hello).await,
             Request::Advise {
                 step,
--- a/crates/node/src/owner/answer.rs
+++ b/crates/node/src/owner/answer.rs
@@ -29,9 +29,9 @@
 /// Handles a notification or a query from a node; `None` if the owner can't answer.
 pub(crate) async fn handle_request<P: Platform>(
     seat: &EngineHandle<P>,
-    question: Request,
+    request: Request,
 ) -> Option<Reply> {
-    match question {
+    match request {
         Request::Accepted(accepted) => notify(seat, Event::Accepted(accepted)).await,
         Request::Announced(accepted) => notify(seat, Event::Announced(accepted)).await,
         Request::Withdrawn(job) => notify(seat, Event::Withdrawn(job)).await,
--- a/crates/node/src/owner/control.rs
+++ b/crates/node/src/owner/control.rs
@@ -351,12 +351,12 @@
         .iter()
         .find(|peer| peer.node == *node)
         .map(|peer| peer.address)?;
-    let question = Request::Advise {
+    let request = Request::Advise {
         step,
         workers,
         timeout: time_limit,
     };
-    match message::send(&shared.rpc, address, &question, time_limit).await {
+    match message::send(&shared.rpc, address, &request, time_limit).await {
         Ok(Reply::Advised(answer)) => answer,
         Ok(_) | Err(_) => None,
     }
