--- a/crates/node/src/frontend/owner.rs
+++ b/crates/node/src/frontend/owner.rs
@@ -58,8 +58,8 @@
 
     /// Sends a question to the owner once; returns `None` if the owner is unknown or didn't answer.
     pub(super) async fn ask_owner_once(&self, request: &Request) -> Option<Reply> {
-        if let Some(seat) = self.shared.engine_handle() {
-            return owner::handle_request(&seat, request.clone()).await;
+        if let Some(engine) = self.shared.engine_handle() {
+            return owner::handle_request(&engine, request.clone()).await;
         }
         let address = self.shared.claim.borrow().as_ref()?.address;
         if address == self.shared.address {
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -340,7 +340,7 @@
             }
             other => {
                 let reply = match shared.engine_handle() {
-                    Some(seat) => owner::handle_request(&seat, other).await,
+                    Some(engine) => owner::handle_request(&engine, other).await,
                     None => None,
                 };
                 reply.unwrap_or_else(|| self.not_owner())
--- a/crates/node/src/owner/answer.rs
+++ b/crates/node/src/owner/answer.rs
@@ -28,74 +28,77 @@
 
 /// Handles a notification or a query from a node; `None` if the owner can't answer.
 pub(crate) async fn handle_request<P: Platform>(
-    seat: &EngineHandle<P>,
+    engine: &EngineHandle<P>,
     request: Request,
 ) -> Option<Reply> {
     match request {
-        Request::Accepted(accepted) => notify(seat, Event::Accepted(accepted)).await,
-        Request::Announced(accepted) => notify(seat, Event::Announced(accepted)).await,
-        Request::Withdrawn(job) => notify(seat, Event::Withdrawn(job)).await,
-        Request::Cancelled(cancelled) => notify(seat, Event::Cancelled(cancelled)).await,
-        Request::Reports(reports) => notify(seat, Event::Reports(reports)).await,
+        Request::Accepted(accepted) => notify(engine, Event::Accepted(accepted)).await,
+        Request::Announced(accepted) => notify(engine, Event::Announced(accepted)).await,
+        Request::Withdrawn(job) => notify(engine, Event::Withdrawn(job)).await,
+        Request::Cancelled(cancelled) => notify(engine, Event::Cancelled(cancelled)).await,
+        Request::Reports(reports) => notify(engine, Event::Reports(reports)).await,
         Request::JobState {
             job,
             workspace,
             elapsed,
-        } => query_job(seat, JobQuery { job, workspace }, elapsed).await,
+        } => query_job(engine, JobQuery { job, workspace }, elapsed).await,
         Request::Pending(queue, workspace) => {
-            count_pending(seat, PendingQuery { queue, workspace }).await
+            count_pending(engine, PendingQuery { queue, workspace }).await
         }
         _ => None,
     }
 }
 
 /// Sends the actor an event, behind all events sent before.
-async fn notify<P: Platform>(seat: &EngineHandle<P>, event: Event) -> Option<Reply> {
-    seat.actor.tell(event).await.ok()?;
+async fn notify<P: Platform>(engine: &EngineHandle<P>, event: Event) -> Option<Reply> {
+    engine.actor.tell(event).await.ok()?;
     Some(Reply::Ack)
 }
 
 /// Looks up a job. Reports it as absent only once everything that was stored when the caller asked
 /// has been read.
 async fn query_job<P: Platform>(
-    seat: &EngineHandle<P>,
+    engine: &EngineHandle<P>,
     query: JobQuery,
     asked: Duration,
 ) -> Option<Reply> {
     let required_time = Instant::now().checked_sub(asked)?;
     let job = query.job;
-    let found = seat.actor.ask(query.clone()).await.ok()?;
+    let found = engine.actor.ask(query.clone()).await.ok()?;
     if let Some(state) = found.state {
         return Some(Reply::State(state));
     }
-    if !seat
+    if !engine
         .read_progress
         .wait_until_read(required_time, CATCH_UP_TIMEOUT)
         .await
     {
         return None;
     }
-    let found = seat.actor.ask(query).await.ok()?;
+    let found = engine.actor.ask(query).await.ok()?;
     match found.state {
         Some(state) => Some(Reply::State(state)),
-        None if seat.read_progress.is_unreadable(job) => None,
+        None if engine.read_progress.is_unreadable(job) => None,
         None => Some(Reply::UnknownJob(UnknownJob {
             epoch: found.epoch,
-            max_staleness: seat.read_progress.age(),
+            max_staleness: engine.read_progress.age(),
         })),
     }
 }
 
 /// Counts the pending jobs of a queue, from a view that is at most [`MAX_COUNT_AGE`] old.
-async fn count_pending<P: Platform>(seat: &EngineHandle<P>, query: PendingQuery) -> Option<Reply> {
+async fn count_pending<P: Platform>(
+    engine: &EngineHandle<P>,
+    query: PendingQuery,
+) -> Option<Reply> {
     let required_time = Instant::now().checked_sub(MAX_COUNT_AGE)?;
-    if !seat
+    if !engine
         .read_progress
         .wait_until_read(required_time, CATCH_UP_TIMEOUT)
         .await
     {
         return None;
     }
-    let count = seat.actor.ask(query).await.ok()?;
+    let count = engine.actor.ask(query).await.ok()?;
     Some(Reply::Pending(count))
 }
