--- a/crates/node/src/member/own.rs
+++ b/crates/node/src/member/own.rs
@@ -266,9 +266,9 @@
 
 /// Waits until a worker or the store reports a later owner, or the process is to end.
 async fn wait_for_dismissal<P: Platform>(shared: &Shared<P>) -> Ending {
-    let mut acting = shared.ownership.subscribe();
+    let mut ownership = shared.ownership.subscribe();
     loop {
-        if acting.borrow_and_update().is_none() {
+        if ownership.borrow_and_update().is_none() {
             return Ending::Lost("fenced");
         }
         if shared.is_leaving() {
@@ -276,7 +276,7 @@
             return Ending::HandOver(Reason::Leaving);
         }
         // The sender lives as long as this task.
-        let _ = acting.changed().await;
+        let _ = ownership.changed().await;
     }
 }
 
@@ -346,10 +346,10 @@
 
 /// Updates the number of renewals and the spread that this node reports to other nodes.
 fn publish_renewal<P: Platform>(shared: &Shared<P>, claim: &Claim) {
-    shared.ownership.send_if_modified(|acting| {
-        if let Some(acting) = acting {
-            acting.claim.renewal = claim.renewal;
-            acting.claim.spread = claim.spread;
+    shared.ownership.send_if_modified(|ownership| {
+        if let Some(ownership) = ownership {
+            ownership.claim.renewal = claim.renewal;
+            ownership.claim.spread = claim.spread;
         }
         // No task waits for this change.
         false
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -225,8 +225,8 @@
 
     /// Waits until the node has given up its ownership, for `patience` at most.
     pub async fn wait_for_release(&self, patience: Duration) {
-        let mut acting = self.shared.ownership.subscribe();
-        let released = acting.wait_for(Option::is_none);
+        let mut ownership = self.shared.ownership.subscribe();
+        let released = ownership.wait_for(Option::is_none);
         // After the timeout, the process ends anyway.
         let _ = tokio::time::timeout(patience, released).await;
     }
@@ -351,8 +351,8 @@
     /// Answers a greeting and, if this node is the owner, records the peer.
     async fn record_hello(&self, hello: Hello) -> Reply {
         let shared = &self.shared;
-        let acting = shared.ownership.borrow().clone();
-        let Some(acting) = acting else {
+        let ownership = shared.ownership.borrow().clone();
+        let Some(ownership) = ownership else {
             return self.not_owner();
         };
         let peer = Peer::from(&hello);
@@ -362,7 +362,7 @@
         if previous.is_none_or(|(previous, _)| Peer::from(&previous) != peer) {
             self.peer_change.notify_one();
         }
-        Reply::Owner(acting.claim, operator::position(shared))
+        Reply::Owner(ownership.claim, operator::position(shared))
     }
 
     fn not_owner(&self) -> Reply {
@@ -385,9 +385,9 @@
                 // This can't fail: the sender outlives this task.
                 _ = ownership.changed() => {}
             }
-            let acting = self.shared.ownership.borrow().clone();
-            let Some((acting, actor)) =
-                acting.and_then(|acting| Some((acting.claim, acting.engine?.actor)))
+            let owned = self.shared.ownership.borrow().clone();
+            let Some((claim, actor)) =
+                owned.and_then(|owned| Some((owned.claim, owned.engine?.actor)))
             else {
                 last_sent = None;
                 continue;
@@ -397,11 +397,11 @@
             drop(hellos);
             let peers = self.shared.hello_peers().await;
             *self.shared.peers.lock().await = peers.clone();
-            let update = (acting.epoch.0, peers.clone());
+            let update = (claim.epoch.0, peers.clone());
             if last_sent.as_ref() == Some(&update) {
                 continue;
             }
-            slog::info!(self.shared.log, "nodes"; "epoch" => %acting.epoch,
+            slog::info!(self.shared.log, "nodes"; "epoch" => %claim.epoch,
                 "count" => peers.len() + 1);
             // The actor may be stopping.
             let _ = actor.tell(Event::Peers(peers)).await;
