--- a/crates/node/src/member/follow.rs
+++ b/crates/node/src/member/follow.rs
@@ -90,7 +90,7 @@
     /// It answers as the owner; carries how often its claim has been renewed.
     Alive(u32),
     /// It is gone, or says that it doesn't own the cell; carries the evidence.
-    Vacant(&'static str),
+    Lost(&'static str),
     /// It gave no answer.
     Silent,
     /// There is a later claim.
@@ -124,7 +124,7 @@
                 continue;
             }
             OwnerStatus::Replaced(claim) => return adopt_peer_claim(shared, claim),
-            OwnerStatus::Vacant(why) => why,
+            OwnerStatus::Lost(why) => why,
             OwnerStatus::Silent => {
                 if last_answer_at.elapsed() >= SILENCE_THRESHOLD {
                     let before = epoch(&seen);
@@ -181,14 +181,14 @@
 
 async fn check_owner<P: Platform>(shared: &Shared<P>, claim: Option<&Claim>) -> OwnerStatus {
     let Some(claim) = claim else {
-        return OwnerStatus::Vacant("first");
+        return OwnerStatus::Lost("first");
     };
     if claim.released {
-        return OwnerStatus::Vacant("released");
+        return OwnerStatus::Lost("released");
     }
     if claim.node == shared.name {
         // The claim is this node's, but this process doesn't hold it.
-        return OwnerStatus::Vacant("former-life");
+        return OwnerStatus::Lost("former-life");
     }
     let hello = Request::Hello(shared.hello());
     let asked = Instant::now();
@@ -205,7 +205,7 @@
             claim: known,
             incarnation,
         }) => interpret_disavowal(claim, known, incarnation),
-        Err(rpc::Error::Refused { .. }) => OwnerStatus::Vacant("refused"),
+        Err(rpc::Error::Refused { .. }) => OwnerStatus::Lost("refused"),
         Ok(_) | Err(_) => OwnerStatus::Silent,
     }
 }
@@ -217,7 +217,7 @@
         Some(newer) if newer.epoch > claim.epoch => OwnerStatus::Replaced(newer),
         // It has not learnt yet that its own claim was stored.
         _ if incarnation == claim.incarnation && epoch < claim.epoch => OwnerStatus::Silent,
-        _ => OwnerStatus::Vacant("disowned"),
+        _ => OwnerStatus::Lost("disowned"),
     }
 }
 
--- a/crates/node/src/member/own.rs
+++ b/crates/node/src/member/own.rs
@@ -135,10 +135,10 @@
         let _ = timeout(RENEWAL_TIMEOUT, append(shared, &claim, end)).await;
     }
     if ending.as_str() != "replaced" {
-        let vacant = Request::Released(claim.epoch);
+        let released = Request::Released(claim.epoch);
         let notifications = peers
             .iter()
-            .map(|peer| message::send(&shared.rpc, peer.address, &vacant, HELLO_TIMEOUT));
+            .map(|peer| message::send(&shared.rpc, peer.address, &released, HELLO_TIMEOUT));
         join_all(notifications).await;
     }
 }
@@ -244,14 +244,14 @@
 /// this node.
 async fn announce_successor<P: Platform>(shared: &Shared<P>, successor: Claim, peers: &[Peer]) {
     shared.record_claim(successor.clone());
-    let handed = Request::HandedOver(successor.clone());
+    let handed_over = Request::HandedOver(successor.clone());
     // A node that isn't reached learns of it with its next greeting.
-    let _ = message::send(&shared.rpc, successor.address, &handed, HELLO_TIMEOUT).await;
+    let _ = message::send(&shared.rpc, successor.address, &handed_over, HELLO_TIMEOUT).await;
     let others = peers
         .iter()
         .filter(|peer| peer.address != successor.address);
     let notifications =
-        others.map(|peer| message::send(&shared.rpc, peer.address, &handed, HELLO_TIMEOUT));
+        others.map(|peer| message::send(&shared.rpc, peer.address, &handed_over, HELLO_TIMEOUT));
     join_all(notifications).await;
 }
 
