--- a/crates/node/src/config_exchange.rs
+++ b/crates/node/src/config_exchange.rs
@@ -61,15 +61,15 @@
         let asked = Instant::now();
         let request = Request::Configuration(version(&shared));
         let answer = message::send(&shared.rpc, owner, &request, CALL_TIMEOUT).await;
-        if let Ok(Reply::Configuration(edition)) = answer {
-            apply(&shared, edition, asked);
+        if let Ok(Reply::Configuration(state)) = answer {
+            apply(&shared, state, asked);
         }
     }
 }
 
 /// Applies the owner's configuration, which was asked for at `asked`.
-fn apply<P: Platform>(shared: &Shared<P>, edition: ConfigState, asked: Instant) {
-    if let Some((key, value)) = edition.record {
+fn apply<P: Platform>(shared: &Shared<P>, state: ConfigState, asked: Instant) {
+    if let Some((key, value)) = state.record {
         let record = Record {
             key,
             value: Some(value.into()),
@@ -81,10 +81,10 @@
                 "outcome" => "refused", "why" => %fault),
         }
     }
-    if version(shared) != edition.version || edition.version == 0 {
+    if version(shared) != state.version || state.version == 0 {
         return;
     }
-    let Some(confirmed) = asked.checked_sub(edition.age) else {
+    let Some(confirmed) = asked.checked_sub(state.age) else {
         return;
     };
     shared.config_confirmed_at.send_if_modified(|read| {
--- a/crates/node/src/fallback.rs
+++ b/crates/node/src/fallback.rs
@@ -80,26 +80,26 @@
     page: Page,
     own: Decoder<'_, T>,
 ) -> Result<Decoded<T>, Error> {
-    let mut settled = decode_page(shared, purpose, page, |record| {
+    let mut decoded = decode_page(shared, purpose, page, |record| {
         match (own.is_own)(&record.key) {
             true => (own.decode)(record),
             false => Err(Fault::Key),
         }
     });
-    let keys = settled.rejected.iter();
+    let keys = decoded.rejected.iter();
     let keys = keys.filter_map(|rejected| rejected.key.clone());
     // Records under other keys never belong to this program, and a long history takes seconds to read.
     let wanted: BTreeSet<String> = keys.filter(|key| (own.is_own)(key)).collect();
     if wanted.is_empty() {
-        return Ok(settled);
+        return Ok(decoded);
     }
     let last = last_valid(shared, topic, purpose, &wanted, own).await?;
-    settled.rejected.retain(|rejected| {
+    decoded.rejected.retain(|rejected| {
         let key = rejected.key.as_ref();
         key.is_none_or(|key| !last.contains_key(key))
     });
-    settled.values.extend(last.into_values().flatten());
-    Ok(settled)
+    decoded.values.extend(last.into_values().flatten());
+    Ok(decoded)
 }
 
 /// Reads the whole history that the store still has of a topic, and returns the last valid record under each of the
--- a/crates/node/src/hedge.rs
+++ b/crates/node/src/hedge.rs
@@ -25,13 +25,13 @@
 
 /// The maximum number of copies of an unordered append, including the first.
 const MAX_COPIES: u32 = 4;
-/// The maximum time between two copies of an append, unless the caller's `patience` is longer. The whole cell waits for
+/// The maximum time between two copies of an append, unless the caller's `retry_delay` is longer. The whole cell waits for
 /// an ordered append.
 const MAX_COPY_GAP: Duration = Duration::from_millis(400);
 /// The timeout of an ordered append with all its copies.
 const ORDERED_APPEND_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Appends to the store and sends another copy after `patience`, which doubles with each copy.
+/// Appends to the store and sends another copy after `retry_delay`, which doubles with each copy.
 ///
 /// With a third of the answers lost, an append takes about 0.1 s this way. Without copies, it takes up to the timeout
 /// of a call.
@@ -46,13 +46,13 @@
 pub(crate) async fn append<P: Platform>(
     platform: &P,
     append: &Append,
-    patience: Duration,
+    retry_delay: Duration,
 ) -> Result<u64, Error> {
     let is_ordered = matches!(append.condition, Condition::Writer { .. });
     if !is_ordered {
-        return append_copies(platform, append, patience, MAX_COPIES).await;
+        return append_copies(platform, append, retry_delay, MAX_COPIES).await;
     }
-    let copies = append_copies(platform, append, patience, u32::MAX);
+    let copies = append_copies(platform, append, retry_delay, u32::MAX);
     timeout(ORDERED_APPEND_TIMEOUT, copies)
         .await
         .unwrap_or(Err(Error::Unanswered))
@@ -62,13 +62,13 @@
 async fn append_copies<P: Platform>(
     platform: &P,
     append: &Append,
-    patience: Duration,
+    retry_delay: Duration,
     max_copies: u32,
 ) -> Result<u64, Error> {
     let mut copies = FuturesUnordered::new();
     copies.push(platform.append(append.clone()));
     let mut sent = 1;
-    let mut next = Instant::now() + patience;
+    let mut next = Instant::now() + retry_delay;
     let mut failure: Option<Error> = None;
     loop {
         let finished = tokio::select! {
@@ -76,8 +76,8 @@
             () = sleep_until(next), if sent < max_copies => {
                 platform.reconnect();
                 copies.push(platform.append(append.clone()));
-                let gap = patience.saturating_mul(2u32.saturating_pow(sent));
-                next = Instant::now() + gap.min(MAX_COPY_GAP.max(patience));
+                let gap = retry_delay.saturating_mul(2u32.saturating_pow(sent));
+                next = Instant::now() + gap.min(MAX_COPY_GAP.max(retry_delay));
                 sent += 1;
                 continue;
             }
@@ -105,7 +105,7 @@
 /// Reads from the store and sends another copy of the call while no answer arrives.
 ///
 /// The first copy lets the store delay its answer by `wait` until there is a record; the others don't. The second copy
-/// is sent when `patience` has passed after `wait`, and the gap grows by the factor `growth` with each copy. All copies
+/// is sent when `retry_delay` has passed after `wait`, and the gap grows by the factor `growth` with each copy. All copies
 /// together may take `wait + limit`.
 ///
 /// A store that recovers from an outage answers no call made before. Without copies, nodes that start during an outage
@@ -117,7 +117,7 @@
 pub(crate) async fn read<P, T, F>(
     platform: &P,
     wait: Duration,
-    mut patience: Duration,
+    mut retry_delay: Duration,
     growth: u32,
     limit: Duration,
     read: impl Fn(Duration) -> F,
@@ -129,15 +129,15 @@
     let mut copies = FuturesUnordered::new();
     copies.push(read(wait));
     let mut deadline = pin!(sleep(wait + limit));
-    let mut next = Instant::now() + wait + patience;
+    let mut next = Instant::now() + wait + retry_delay;
     loop {
         let finished = tokio::select! {
             finished = copies.next() => finished,
             () = sleep_until(next) => {
                 platform.reconnect();
                 copies.push(read(Duration::ZERO));
-                patience *= growth;
-                next += patience;
+                retry_delay *= growth;
+                next += retry_delay;
                 continue;
             }
             () = &mut deadline => return Err(Error::Unanswered),
--- a/crates/node/src/member/mod.rs
+++ b/crates/node/src/member/mod.rs
@@ -193,12 +193,12 @@
 async fn try_read_claim<P: Platform>(shared: &Shared<P>) -> Option<Observation> {
     let page = shared.newest("claims", Topic::Claims).await.ok()?;
     let end = page.next;
-    let settled =
+    let decoded =
         fallback::decode_with_fallback(shared, Topic::Claims, "claims", page, CLAIM_RECORDS).await;
-    let settled = settled.ok()?;
-    let claim = match settled.values.into_iter().next() {
+    let decoded = decoded.ok()?;
+    let claim = match decoded.values.into_iter().next() {
         Some(claim) => Some(claim),
-        None if !settled.rejected.iter().any(is_claim) => None,
+        None if !decoded.rejected.iter().any(is_claim) => None,
         None => shared.claim.borrow().clone(),
     };
     let known = shared.claim.borrow().clone();
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -223,12 +223,12 @@
         self.shared.owner_lost.notify_waiters();
     }
 
-    /// Waits until the node has given up its ownership, for `patience` at most.
-    pub async fn wait_for_release(&self, patience: Duration) {
+    /// Waits until the node has given up its ownership, for `timeout` at most.
+    pub async fn wait_for_release(&self, timeout: Duration) {
         let mut ownership = self.shared.ownership.subscribe();
         let released = ownership.wait_for(Option::is_none);
         // After the timeout, the process ends anyway.
-        let _ = tokio::time::timeout(patience, released).await;
+        let _ = tokio::time::timeout(timeout, released).await;
     }
 
     /// Returns the number of nodes that have recently greeted this node as the owner.
--- a/crates/node/src/owner/jobs.rs
+++ b/crates/node/src/owner/jobs.rs
@@ -120,19 +120,19 @@
         self.requested_at = requested_at;
         let mut found = Vec::new();
         loop {
-            let settled = match self.read_page(shared).await {
-                Ok(settled) => settled,
+            let decoded = match self.read_page(shared).await {
+                Ok(decoded) => decoded,
                 Err(error) if found.is_empty() => return Err(error),
                 // The reader has moved past what was found; the next read returns the rest.
                 Err(_) => return Ok(found),
             };
-            found.extend(settled.values);
-            let keys = settled.rejected.into_iter();
+            found.extend(decoded.values);
+            let keys = decoded.rejected.into_iter();
             let keys = keys.filter_map(|record| record.key);
             // A foreign record under the key of a job leaves the state of the job unknown.
             let jobs = keys.filter_map(|key| Key::accepted_job(&key));
             found.extend(jobs.map(JobRecord::Unreadable));
-            if settled.is_last {
+            if decoded.is_last {
                 self.read_up_to = requested_at;
                 self.read_duration = requested_at.elapsed();
                 return Ok(found);
@@ -157,12 +157,12 @@
             is_own: JobRecord::is_key,
             decode: &read,
         };
-        let settled = fallback::decode_with_fallback(shared, topic, "jobs", page, own).await;
-        if settled.is_err() {
+        let decoded = fallback::decode_with_fallback(shared, topic, "jobs", page, own).await;
+        if decoded.is_err() {
             // The reader has moved past records that are not returned, so reading starts over.
             self.reader = Reader::new(topic, "jobs");
         }
-        settled
+        decoded
     }
 
     /// Returns whether the partition was read recently enough for a new owner to act.
--- a/crates/node/src/owner/takeover.rs
+++ b/crates/node/src/owner/takeover.rs
@@ -174,14 +174,14 @@
     const PURPOSE: &str = "progress";
     let mut reader = Reader::new(TOPIC, PURPOSE);
     loop {
-        let settled = match reader.read(shared, Duration::ZERO).await {
+        let decoded = match reader.read(shared, Duration::ZERO).await {
             Ok(Batch::Full(page) | Batch::Incremental(page)) => {
                 fallback::decode_with_fallback(shared, TOPIC, PURPOSE, page, OWNER_RECORDS).await
             }
             Err(error) => Err(error),
         };
-        match settled {
-            Ok(settled) => return settled.values,
+        match decoded {
+            Ok(decoded) => return decoded.values,
             Err(_) => {
                 reader = Reader::new(TOPIC, PURPOSE);
                 wait_to_retry().await;
--- a/crates/node/src/watch.rs
+++ b/crates/node/src/watch.rs
@@ -135,11 +135,11 @@
         };
         let read = match batch {
             Ok(Batch::Full(page)) => {
-                let settled = replace_invalid(&shared, page).await;
-                if settled.is_err() {
+                let decoded = replace_invalid(&shared, page).await;
+                if decoded.is_err() {
                     reader = Reader::new(Topic::Configuration, "configuration");
                 }
-                settled.map(|updates| (Scope::Full, updates))
+                decoded.map(|updates| (Scope::Full, updates))
             }
             // If a record can't be decoded, the last one that could be stays in force.
             Ok(Batch::Incremental(page)) => {
@@ -177,8 +177,8 @@
         decode: &|record| decode(shared, record),
     };
     let topic = Topic::Configuration;
-    let settled = fallback::decode_with_fallback(shared, topic, "configuration", page, own).await;
-    settled.map(|settled| settled.values)
+    let decoded = fallback::decode_with_fallback(shared, topic, "configuration", page, own).await;
+    decoded.map(|decoded| decoded.values)
 }
 
 /// Decodes a record of the operator; `None` if it removes its key or holds something else.
