--- a/crates/node/src/assignment.rs
+++ b/crates/node/src/assignment.rs
@@ -94,9 +94,9 @@
 impl Assignment {
     /// Creates the assignment of an owner that knows the given other nodes.
     pub fn new(owner: Peer, peers: Vec<Peer>) -> Self {
-        let mut share = Self::default();
-        share.update_nodes(owner, peers);
-        share
+        let mut assignment = Self::default();
+        assignment.update_nodes(owner, peers);
+        assignment
     }
 
     /// Replaces the owner and the other nodes. Among equally strong nodes, those that already send orders are
--- a/crates/node/src/owner/control.rs
+++ b/crates/node/src/owner/control.rs
@@ -105,7 +105,7 @@
     /// suspended by then.
     last_event_at: Instant,
     suspended_total: Duration,
-    pub(super) share: Assignment,
+    pub(super) assignment: Assignment,
     pub(super) delegated: DelegatedOrders,
     /// Batches of orders for other nodes to send to workers, by the address of the node.
     pub(super) batches: HashMap<SocketAddr, Vec<(u64, Order)>>,
@@ -191,7 +191,7 @@
             is_deposed: false,
             last_event_at: Instant::now(),
             suspended_total: suspended,
-            share: Assignment::default(),
+            assignment: Assignment::default(),
             delegated: DelegatedOrders::default(),
             batches: HashMap::default(),
             is_batch_scheduled: false,
@@ -248,7 +248,7 @@
                 let names = peers.iter().map(|peer| peer.node.clone());
                 let names: Vec<NodeName> = names.chain([own_peer.node.clone()]).collect();
                 engine.set_advice_nodes(&names, now);
-                self.share.update_nodes(own_peer, peers);
+                self.assignment.update_nodes(own_peer, peers);
             }
             Event::Tick(due) => {
                 self.shared.lag.record_event_wait(due.elapsed());
--- a/crates/node/src/owner/orders.rs
+++ b/crates/node/src/owner/orders.rs
@@ -63,7 +63,10 @@
     pub(super) fn dispatch(&mut self, orders: Vec<Order>, actor_ref: &ActorRef<Self>) {
         let workers = self.engine.worker_count();
         for order in orders {
-            match self.share.node_of(&order.destination().worker, workers) {
+            match self
+                .assignment
+                .node_of(&order.destination().worker, workers)
+            {
                 Some(node) => {
                     let number = self.delegated.add(order.clone());
                     let batch = self.batches.entry(node).or_default();
@@ -142,7 +145,7 @@
         failure: Failure,
         numbers: &[u64],
     ) {
-        if self.share.avoid(node) {
+        if self.assignment.avoid(node) {
             slog::warn!(self.shared.log, "orders-not-given"; "node" => %node,
                 "orders" => numbers.len(), "why" => failure.as_str());
         }
--- a/crates/node/tests/assignment.rs
+++ b/crates/node/tests/assignment.rs
@@ -30,10 +30,10 @@
 }
 
 /// Returns the number of workers that each node sends orders to, by its port; the owner counts as port zero.
-fn worker_counts(share: &mut Assignment, workers: usize) -> BTreeMap<u16, usize> {
+fn worker_counts(assignment: &mut Assignment, workers: usize) -> BTreeMap<u16, usize> {
     let mut counts = BTreeMap::new();
     for number in 0..workers {
-        let node = share.node_of(&worker(number), workers);
+        let node = assignment.node_of(&worker(number), workers);
         *counts
             .entry(node.map_or(0, |node| node.port()))
             .or_default() += 1;
@@ -53,8 +53,8 @@
     #[values(8_192, 16_384)] descriptors: u32,
 ) {
     let peers = (1..nodes).map(|port| peer(port, 1_000, descriptors));
-    let mut share = Assignment::new(peer(nodes, 1_000, descriptors), peers.collect());
-    let counts = worker_counts(&mut share, workers);
+    let mut assignment = Assignment::new(peer(nodes, 1_000, descriptors), peers.collect());
+    let counts = worker_counts(&mut assignment, workers);
     let most = counts.values().max().copied().unwrap_or(0);
     let bound = usize::try_from(descriptors).unwrap() * 3 / 4;
     assert!(most * CONNECTIONS <= bound, "{most} workers");
@@ -64,24 +64,27 @@
 #[test]
 fn a_small_fleet_uses_three_nodes_besides_the_owner() {
     let peers = (1..20).map(|port| peer(port, 1_000, 8_192)).collect();
-    let mut share = Assignment::new(peer(20, 1_000, 8_192), peers);
-    assert_eq!(worker_counts(&mut share, 540).len(), 4);
+    let mut assignment = Assignment::new(peer(20, 1_000, 8_192), peers);
+    assert_eq!(worker_counts(&mut assignment, 540).len(), 4);
 }
 
 #[test]
 fn the_owner_sends_all_orders_of_a_very_small_fleet() {
     let peers = (1..8).map(|port| peer(port, 250, 4_100)).collect();
-    let mut share = Assignment::new(peer(8, 250, 4_100), peers);
-    assert_eq!(worker_counts(&mut share, 48), BTreeMap::from([(0, 48)]));
+    let mut assignment = Assignment::new(peer(8, 250, 4_100), peers);
+    assert_eq!(
+        worker_counts(&mut assignment, 48),
+        BTreeMap::from([(0, 48)])
+    );
 }
 
 /// Nodes that the owner outranks can't handle the orders.
 #[test]
 fn weak_nodes_send_no_orders() {
     let peers = (1..8).map(|port| peer(port, 120, 4_100)).collect();
-    let mut share = Assignment::new(peer(8, 1_000, 16_384), peers);
+    let mut assignment = Assignment::new(peer(8, 1_000, 16_384), peers);
     assert_eq!(
-        worker_counts(&mut share, 6_000),
+        worker_counts(&mut assignment, 6_000),
         BTreeMap::from([(0, 6_000)])
     );
 }
@@ -90,9 +93,9 @@
 #[test]
 fn a_worker_keeps_its_node_while_the_nodes_suffice() {
     let peers: Vec<Peer> = (1..8).map(|port| peer(port, 1_000, 8_192)).collect();
-    let mut share = Assignment::new(peer(8, 1_000, 8_192), peers);
+    let mut assignment = Assignment::new(peer(8, 1_000, 8_192), peers);
     let mut nodes = |workers| -> Vec<_> {
-        let assigned = (0..300).map(|number| share.node_of(&worker(number), workers));
+        let assigned = (0..300).map(|number| assignment.node_of(&worker(number), workers));
         assigned.collect()
     };
     let before = nodes(300);
@@ -104,8 +107,8 @@
 #[test]
 fn nodes_of_equal_strength_get_similar_numbers_of_workers() {
     let peers = (1..30).map(|port| peer(port, 1_000, 8_192)).collect();
-    let mut share = Assignment::new(peer(30, 1_000, 8_192), peers);
-    let counts = worker_counts(&mut share, 12_000);
+    let mut assignment = Assignment::new(peer(30, 1_000, 8_192), peers);
+    let counts = worker_counts(&mut assignment, 12_000);
     let others: Vec<usize> = counts
         .iter()
         .filter(|(port, _)| **port != 0)
@@ -120,19 +123,19 @@
 fn new_nodes_take_no_workers_from_those_that_send_orders() {
     let peers: Vec<Peer> = (1..=12).map(|port| peer(port, 1_000, 16_384)).collect();
     let owner = peer(13, 1_000, 16_384);
-    let mut share = Assignment::new(owner.clone(), peers[9..].to_vec());
-    let assign = |share: &mut Assignment| -> Vec<_> {
-        let nodes = (0..400).map(|number| share.node_of(&worker(number), 400));
+    let mut assignment = Assignment::new(owner.clone(), peers[9..].to_vec());
+    let assign = |assignment: &mut Assignment| -> Vec<_> {
+        let nodes = (0..400).map(|number| assignment.node_of(&worker(number), 400));
         nodes.collect()
     };
-    let before = assign(&mut share);
-    share.update_nodes(owner.clone(), peers.clone());
-    assert_eq!(assign(&mut share), before);
+    let before = assign(&mut assignment);
+    assignment.update_nodes(owner.clone(), peers.clone());
+    assert_eq!(assign(&mut assignment), before);
     // When one of the sending nodes is gone, only its workers move, and those that its replacement gets.
     let (gone, next) = (peers[10].address, peers[0].address);
     let rest = peers.into_iter().filter(|peer| peer.address != gone);
-    share.update_nodes(owner, rest.collect());
-    let after = assign(&mut share);
+    assignment.update_nodes(owner, rest.collect());
+    let after = assign(&mut assignment);
     let moved = before
         .iter()
         .zip(&after)
