--- a/crates/node/src/evacuation.rs
+++ b/crates/node/src/evacuation.rs
@@ -44,7 +44,9 @@
 /// Applies changes that were read just now and logs each data centre whose evacuation begins or ends.
 pub(crate) fn update<P: Platform>(shared: &Shared<P>, scope: Scope, changes: Vec<Change>) {
     let before = shared.evacuation.borrow().clone();
-    let before = before.map(|reading| reading.evacuation).unwrap_or_default();
+    let before = before
+        .map(|snapshot| snapshot.evacuation)
+        .unwrap_or_default();
     let mut evacuation = match scope {
         Scope::Full => Evacuation::default(),
         Scope::Incremental => before.clone(),
--- a/crates/node/src/fallback.rs
+++ b/crates/node/src/fallback.rs
@@ -78,22 +78,22 @@
     topic: Topic,
     purpose: &'static str,
     page: Page,
-    own: Decoder<'_, T>,
+    decoder: Decoder<'_, T>,
 ) -> Result<Decoded<T>, Error> {
     let mut decoded = decode_page(shared, purpose, page, |record| {
-        match (own.is_own)(&record.key) {
-            true => (own.decode)(record),
+        match (decoder.is_own)(&record.key) {
+            true => (decoder.decode)(record),
             false => Err(Fault::Key),
         }
     });
     let keys = decoded.rejected.iter();
     let keys = keys.filter_map(|rejected| rejected.key.clone());
     // Records under other keys never belong to this program, and a long history takes seconds to read.
-    let wanted: BTreeSet<String> = keys.filter(|key| (own.is_own)(key)).collect();
+    let wanted: BTreeSet<String> = keys.filter(|key| (decoder.is_own)(key)).collect();
     if wanted.is_empty() {
         return Ok(decoded);
     }
-    let last = last_valid(shared, topic, purpose, &wanted, own).await?;
+    let last = last_valid(shared, topic, purpose, &wanted, decoder).await?;
     decoded.rejected.retain(|rejected| {
         let key = rejected.key.as_ref();
         key.is_none_or(|key| !last.contains_key(key))
@@ -109,7 +109,7 @@
     topic: Topic,
     purpose: &'static str,
     wanted: &BTreeSet<String>,
-    own: Decoder<'_, T>,
+    decoder: Decoder<'_, T>,
 ) -> Result<BTreeMap<String, Option<T>>, Error> {
     let mut last = BTreeMap::new();
     let mut from = 0;
@@ -128,7 +128,7 @@
         let records = page.records.into_iter();
         let records = records.filter(|record| wanted.contains(&record.key));
         last.extend(records.filter_map(|record| {
-            let value = (own.decode)(&record).ok()?;
+            let value = (decoder.decode)(&record).ok()?;
             Some((record.key, value))
         }));
     }
--- a/crates/node/src/frontend/mod.rs
+++ b/crates/node/src/frontend/mod.rs
@@ -188,9 +188,9 @@
     /// This is the case if the store has been unreachable for this node alone for some time. While the store is
     /// unavailable for all nodes, there is no newer configuration, and only the revocation bound applies.
     fn is_config_outdated(&self) -> bool {
-        let is_alone = self.shared.is_isolated.load(Ordering::Relaxed);
+        let is_isolated = self.shared.is_isolated.load(Ordering::Relaxed);
         let age = self.shared.config_confirmed_at.borrow().elapsed();
-        (is_alone && age >= MAX_FRESH_CONFIG_AGE) || self.shared.revocation.is_exceeded_by(age)
+        (is_isolated && age >= MAX_FRESH_CONFIG_AGE) || self.shared.revocation.is_exceeded_by(age)
     }
 
     fn log_authentication(&self, outcome: &'static str, config: &Config, key: Option<&KeyDigest>) {
@@ -302,9 +302,9 @@
 
     /// Returns how long the caller of a refused job should wait before it retries.
     pub fn retry_after(&self, job: JobId) -> Duration {
-        let is_alone = self.shared.is_isolated.load(Ordering::Relaxed);
+        let is_isolated = self.shared.is_isolated.load(Ordering::Relaxed);
         let mut refusals = self.refusals.lock().unwrap_or_else(PoisonError::into_inner);
-        refusals.retry_delay(job, is_alone)
+        refusals.retry_delay(job, is_isolated)
     }
 
     /// Returns the state of a job.
@@ -316,8 +316,8 @@
         let reply = self.ask_owner(|asked| self.state_request(job, asked));
         match reply.await? {
             Reply::State(state) => Ok(state),
-            Reply::UnknownJob(absent) => {
-                self.log_absent_job(job, absent);
+            Reply::UnknownJob(unknown) => {
+                self.log_unknown_job(job, unknown);
                 Err(Refusal::NoJob)
             }
             _ => Err(Refusal::NoOwner),
@@ -392,8 +392,8 @@
         }
         self.notify_owner(Request::Cancelled(cancelled));
         match found {
-            Some(Reply::UnknownJob(absent)) => {
-                self.log_absent_job(job, absent);
+            Some(Reply::UnknownJob(unknown)) => {
+                self.log_unknown_job(job, unknown);
                 Err(Refusal::NoJob)
             }
             _ => Ok(()),
@@ -411,10 +411,10 @@
         true
     }
 
-    fn log_absent_job(&self, job: JobId, absent: UnknownJob) {
+    fn log_unknown_job(&self, job: JobId, unknown: UnknownJob) {
         if self.shared.meter.may_log("no-job") {
-            slog::info!(self.shared.log, "no-job"; "job" => %job, "epoch" => %absent.epoch,
-                "view_ms" => millis(absent.max_staleness));
+            slog::info!(self.shared.log, "no-job"; "job" => %job, "epoch" => %unknown.epoch,
+                "view_ms" => millis(unknown.max_staleness));
         }
     }
 
--- a/crates/node/src/lag.rs
+++ b/crates/node/src/lag.rs
@@ -99,9 +99,9 @@
     // If the clock can't represent a time that long ago, the time of reading stays as it is.
     let make_older = |at: &mut Instant| *at = at.checked_sub(suspension).unwrap_or(*at);
     shared.config_confirmed_at.send_modify(make_older);
-    shared.evacuation.send_modify(|reading| {
-        if let Some(reading) = reading {
-            make_older(&mut reading.confirmed_at);
+    shared.evacuation.send_modify(|snapshot| {
+        if let Some(snapshot) = snapshot {
+            make_older(&mut snapshot.confirmed_at);
         }
     });
 }
--- a/crates/node/src/member/isolation.rs
+++ b/crates/node/src/member/isolation.rs
@@ -37,9 +37,9 @@
     loop {
         sleep(CHECK_INTERVAL).await;
         // The store may be back by the time the owner has answered.
-        let is_alone = is_failing(&shared) && is_alone(&shared).await && is_failing(&shared);
-        if shared.is_isolated.swap(is_alone, Ordering::Relaxed) != is_alone {
-            slog::info!(shared.log, "alone"; "is" => is_alone,
+        let is_isolated = is_failing(&shared) && is_isolated(&shared).await && is_failing(&shared);
+        if shared.is_isolated.swap(is_isolated, Ordering::Relaxed) != is_isolated {
+            slog::info!(shared.log, "alone"; "is" => is_isolated,
                 "store_failing_ms" => crate::telemetry::millis(shared.store.failing_for()));
         }
     }
@@ -49,7 +49,7 @@
     shared.store.failing_for() >= OWNER_QUERY_THRESHOLD
 }
 
-async fn is_alone<P: Platform>(shared: &Shared<P>) -> bool {
+async fn is_isolated<P: Platform>(shared: &Shared<P>) -> bool {
     let owner = shared.claim.borrow().as_ref().map(|claim| claim.address);
     // The owner asks all other nodes itself, and gives the cell up if it is isolated.
     let Some(owner) = owner.filter(|address| *address != shared.address) else {
--- a/crates/node/src/operator.rs
+++ b/crates/node/src/operator.rs
@@ -80,12 +80,12 @@
     owner: ReadPosition,
     asked: Instant,
 ) {
-    let reading = &shared.operator;
-    reading.owner_offset.send_replace(owner.next);
-    if *reading.next_offset.borrow() != Some(owner.next) {
+    let state = &shared.operator;
+    state.owner_offset.send_replace(owner.next);
+    if *state.next_offset.borrow() != Some(owner.next) {
         return;
     }
-    reading.confirmed_at.send_replace(Some(Instant::now()));
+    state.confirmed_at.send_replace(Some(Instant::now()));
     if let Some(confirmed_at) = asked.checked_sub(owner.age) {
         shared.confirm_operator_read(confirmed_at);
     }
--- a/crates/node/src/owner/control.rs
+++ b/crates/node/src/owner/control.rs
@@ -242,7 +242,7 @@
                     .for_each(|change| change.apply_to(engine, now));
             }
             Event::Configured(config) => engine.configure(config.as_ref().clone()),
-            Event::Evacuation(reading) => reading.apply(engine, now),
+            Event::Evacuation(snapshot) => snapshot.apply(engine, now),
             Event::Peers(peers) => {
                 let own_peer = self.shared.as_peer();
                 let names = peers.iter().map(|peer| peer.node.clone());
@@ -284,7 +284,7 @@
                     let _ = self.records.send(entries);
                 }
                 Effect::Remove(jobs) => forget::forget(&self.shared, jobs),
-                Effect::Log(note) => self.report_note(&note),
+                Effect::Log(record) => self.log_record(&record),
                 Effect::Deposed => {
                     slog::warn!(self.shared.log, "fenced"; "epoch" => %self.engine.epoch());
                     self.is_deposed = true;
@@ -311,8 +311,8 @@
         });
     }
 
-    fn report_note(&self, note: &LogRecord) {
-        self.shared.meter.decision(&self.shared.log, note);
+    fn log_record(&self, record: &LogRecord) {
+        self.shared.meter.decision(&self.shared.log, record);
     }
 
     /// Calls the advice service from this node, or has another node call it.
--- a/crates/node/src/owner/forget.rs
+++ b/crates/node/src/owner/forget.rs
@@ -35,17 +35,17 @@
         return;
     }
     let mut partitions: BTreeMap<u16, Vec<Record>> = BTreeMap::new();
-    for forgotten in jobs {
-        let records = partitions.entry(forgotten.partition).or_default();
-        if let Some(recorded) = forgotten.cancellation {
+    for removal in jobs {
+        let records = partitions.entry(removal.partition).or_default();
+        if let Some(recorded) = removal.cancellation {
             records.push(cancellation_record(&Cancelled {
-                job: forgotten.job,
-                workspace: forgotten.workspace.clone(),
+                job: removal.job,
+                workspace: removal.workspace.clone(),
                 cancellation: recorded,
             }));
         }
         records.push(Record {
-            key: Key::acceptance(forgotten.job, forgotten.workspace).to_string(),
+            key: Key::acceptance(removal.job, removal.workspace).to_string(),
             value: None,
         });
     }
--- a/crates/node/src/owner/jobs.rs
+++ b/crates/node/src/owner/jobs.rs
@@ -153,11 +153,11 @@
             Batch::Full(page) => page,
         };
         let topic = Topic::Jobs(number);
-        let own = Decoder {
+        let decoder = Decoder {
             is_own: JobRecord::is_key,
             decode: &read,
         };
-        let decoded = fallback::decode_with_fallback(shared, topic, "jobs", page, own).await;
+        let decoded = fallback::decode_with_fallback(shared, topic, "jobs", page, decoder).await;
         if decoded.is_err() {
             // The reader has moved past records that are not returned, so reading starts over.
             self.reader = Reader::new(topic, "jobs");
--- a/crates/node/src/owner/takeover.rs
+++ b/crates/node/src/owner/takeover.rs
@@ -117,36 +117,36 @@
     let list = workers::start_initial_read(shared);
     let ((progress, progress_took), ((partitions, found), jobs_took)) =
         futures::join!(timed(read_progress(shared)), timed(jobs::read_all(shared)));
-    let mut inheritance = StoredState::default();
+    let mut stored = StoredState::default();
     for entry in progress {
         match entry {
-            Entry::Job(job, progress) => inheritance.progress.push((job, progress)),
-            Entry::Worker(id, usage) => inheritance.workers.push((id, usage)),
+            Entry::Job(job, progress) => stored.progress.push((job, progress)),
+            Entry::Worker(id, usage) => stored.workers.push((id, usage)),
             Entry::RemovedWorker(_) => {}
         }
     }
     let read_progress = jobs::new_view(&partitions);
     for record in found {
         match record {
-            JobRecord::Accepted(accepted) => inheritance.accepted.push(*accepted),
-            JobRecord::Cancelled(cancelled) => inheritance.cancelled.push(cancelled),
+            JobRecord::Accepted(accepted) => stored.accepted.push(*accepted),
+            JobRecord::Cancelled(cancelled) => stored.cancelled.push(cancelled),
             JobRecord::Unreadable(job) => read_progress.note_unreadable(job),
         }
     }
     slog::info!(shared.log, "takeover"; "epoch" => %claim.epoch,
-        "jobs" => inheritance.accepted.len(), "workers" => inheritance.workers.len(),
+        "jobs" => stored.accepted.len(), "workers" => stored.workers.len(),
         "view_ms" => millis(read_progress.age()),
         "progress_ms" => millis(progress_took), "jobs_ms" => millis(jobs_took),
         "took_ms" => millis(began.elapsed()));
     let now = shared.clock.now();
-    let mut engine = Engine::new(claim.epoch, shared.bounds, inheritance, now);
+    let mut engine = Engine::new(claim.epoch, shared.bounds, stored, now);
     // Configure the engine before it starts anything: jobs carry only the limits that they were
     // accepted under.
     if let Some(config) = shared.config.borrow().as_deref() {
         engine.configure(config.clone());
     }
-    if let Some(reading) = shared.evacuation.borrow().clone() {
-        reading.apply(&mut engine, now);
+    if let Some(snapshot) = shared.evacuation.borrow().clone() {
+        snapshot.apply(&mut engine, now);
     }
     // Wait for other nodes to greet this one: without nodes that send its orders, the owner would
     // connect to each worker itself.
--- a/crates/node/src/retry_delay.rs
+++ b/crates/node/src/retry_delay.rs
@@ -32,9 +32,9 @@
     ///
     /// If only this node can't reach the store, the caller can retry on another node at once. A caller that retries on
     /// this node has no other node to go to and waits as in an outage for all nodes.
-    pub fn retry_delay(&mut self, job: JobId, is_alone: bool) -> Duration {
+    pub fn retry_delay(&mut self, job: JobId, is_isolated: bool) -> Duration {
         let is_first = self.remember(job);
-        match is_alone && is_first {
+        match is_isolated && is_first {
             true => Duration::ZERO,
             false => OUTAGE_RETRY_DELAY,
         }
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -308,13 +308,13 @@
             *read = confirmed_at.max(*read);
             is_later
         });
-        self.evacuation.send_if_modified(|reading| {
-            let reading = reading
+        self.evacuation.send_if_modified(|snapshot| {
+            let snapshot = snapshot
                 .as_mut()
-                .filter(|reading| reading.confirmed_at < confirmed_at);
-            let is_later = reading.is_some();
-            if let Some(reading) = reading {
-                reading.confirmed_at = confirmed_at;
+                .filter(|snapshot| snapshot.confirmed_at < confirmed_at);
+            let is_later = snapshot.is_some();
+            if let Some(snapshot) = snapshot {
+                snapshot.confirmed_at = confirmed_at;
             }
             is_later
         });
--- a/crates/node/src/telemetry.rs
+++ b/crates/node/src/telemetry.rs
@@ -296,18 +296,18 @@
     }
 
     /// Counts and logs a decision.
-    pub(crate) fn decision(&self, log: &Logger, note: &LogRecord) {
-        let (kind, reason) = kind_and_reason(note);
+    pub(crate) fn decision(&self, log: &Logger, record: &LogRecord) {
+        let (kind, reason) = kind_and_reason(record);
         let labels = [KeyValue::new("kind", kind), KeyValue::new("reason", reason)];
         self.0.decisions.add(1, &labels);
-        match note {
+        match record {
             LogRecord::Placed { waited, .. } => self.0.wait.record(waited.as_secs_f64(), &[]),
             LogRecord::Finished { after, .. } => self.0.finish.record(after.as_secs_f64(), &[]),
             LogRecord::Advised { took, .. } => self.0.advice.record(took.as_secs_f64(), &[]),
             _ => {}
         }
         if self.may_log(kind) {
-            write_line(log, note);
+            write_line(log, record);
         }
     }
 }
@@ -338,11 +338,11 @@
 }
 
 /// Returns the kind and the reason of a decision, as metric labels.
-const fn kind_and_reason(note: &LogRecord) -> (&'static str, &'static str) {
-    match note {
+const fn kind_and_reason(record: &LogRecord) -> (&'static str, &'static str) {
+    match record {
         LogRecord::Placed { .. } => ("placed", ""),
         LogRecord::NotStarted { why, .. } => ("not-started", why),
-        LogRecord::Ended { reason: how, .. } => ("ended", how.as_str()),
+        LogRecord::Ended { reason, .. } => ("ended", reason.as_str()),
         LogRecord::Stopping { why, .. } => ("stopping", why),
         LogRecord::Preempting { .. } => ("preempting", ""),
         LogRecord::Worker { belief, .. } => ("worker", belief),
@@ -366,8 +366,8 @@
     u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
 }
 
-fn write_line(log: &Logger, note: &LogRecord) {
-    match note {
+fn write_line(log: &Logger, record: &LogRecord) {
+    match record {
         LogRecord::Placed {
             task,
             run,
@@ -387,9 +387,9 @@
             task,
             run,
             worker,
-            reason: how,
+            reason,
         } => slog::info!(log, "ended"; "task" => %task, "run" => run.0,
-            "worker" => worker.as_str(), "how" => how.as_str()),
+            "worker" => worker.as_str(), "how" => reason.as_str()),
         LogRecord::Stopping {
             task,
             run,
--- a/crates/node/src/watch.rs
+++ b/crates/node/src/watch.rs
@@ -172,12 +172,13 @@
     shared: &Shared<P>,
     page: Page,
 ) -> Result<Vec<Update>, Error> {
-    let own = Decoder {
+    let decoder = Decoder {
         is_own: |_| true,
         decode: &|record| decode(shared, record),
     };
     let topic = Topic::Configuration;
-    let decoded = fallback::decode_with_fallback(shared, topic, "configuration", page, own).await;
+    let decoded =
+        fallback::decode_with_fallback(shared, topic, "configuration", page, decoder).await;
     decoded.map(|decoded| decoded.values)
 }
 
