--- a/crates/node/src/order.rs
+++ b/crates/node/src/order.rs
@@ -45,9 +45,9 @@
     /// Stop a task.
     Stop(Stop),
     /// Run a best-effort task at a share of its processor.
-    Pace(Throttle),
+    Throttle(Throttle),
     /// Extend the lease and return the inventory.
-    Hold(Heartbeat),
+    Heartbeat(Heartbeat),
 }
 
 /// The result of an order.
@@ -58,7 +58,7 @@
     /// The result of an order to stop.
     Stopped(WorkerId, TaskId, Run, StopAnswer),
     /// The result of an order to run at a share, with the share in percent.
-    Paced(WorkerId, TaskId, Run, u8, StopAnswer),
+    Throttled(WorkerId, TaskId, Run, u8, StopAnswer),
     /// The result of a request for an inventory that was made at this time.
     Inventory(WorkerId, Timestamp, HeartbeatAnswer),
 }
@@ -69,16 +69,16 @@
         match self {
             Self::Start(order) => &order.to,
             Self::Stop(order) => &order.to,
-            Self::Pace(order) => &order.to,
-            Self::Hold(order) => &order.to,
+            Self::Throttle(order) => &order.to,
+            Self::Heartbeat(order) => &order.to,
         }
     }
 
     /// Returns the time after which an order without an answer is abandoned.
     pub(crate) fn timeout(&self) -> Duration {
         match self {
-            Self::Start(_) | Self::Stop(_) | Self::Pace(_) => ORDER_TIMEOUT,
-            Self::Hold(order) => order.wait + INVENTORY_MARGIN,
+            Self::Start(_) | Self::Stop(_) | Self::Throttle(_) => ORDER_TIMEOUT,
+            Self::Heartbeat(order) => order.wait + INVENTORY_MARGIN,
         }
     }
 
@@ -92,11 +92,13 @@
             Self::Stop(order) => {
                 Report::Stopped(worker, order.task, order.run, StopAnswer::NoAnswer)
             }
-            Self::Pace(order) => {
+            Self::Throttle(order) => {
                 let (task, run, percent) = (order.task, order.run, order.percent);
-                Report::Paced(worker, task, run, percent, StopAnswer::NoAnswer)
+                Report::Throttled(worker, task, run, percent, StopAnswer::NoAnswer)
+            }
+            Self::Heartbeat(order) => {
+                Report::Inventory(worker, order.asked, HeartbeatAnswer::NoAnswer)
             }
-            Self::Hold(order) => Report::Inventory(worker, order.asked, HeartbeatAnswer::NoAnswer),
         }
     }
 
@@ -107,7 +109,7 @@
                 let worker = order.to.worker.clone();
                 Report::Started(worker, order.task, order.run, StartAnswer::Unsent)
             }
-            Self::Stop(_) | Self::Pace(_) | Self::Hold(_) => self.unanswered_report(),
+            Self::Stop(_) | Self::Throttle(_) | Self::Heartbeat(_) => self.unanswered_report(),
         }
     }
 
@@ -127,14 +129,14 @@
                 let report = Report::Stopped(worker, task, run, answer);
                 ("stop", report, answer.as_str())
             }
-            Self::Pace(order) => {
+            Self::Throttle(order) => {
                 let worker = order.to.worker.clone();
                 let (task, run, percent) = (order.task, order.run, order.percent);
                 let answer = platform.pace(order).await;
-                let report = Report::Paced(worker, task, run, percent, answer);
+                let report = Report::Throttled(worker, task, run, percent, answer);
                 ("pace", report, answer.as_str())
             }
-            Self::Hold(order) => {
+            Self::Heartbeat(order) => {
                 let (worker, asked) = (order.to.worker.clone(), order.asked);
                 let answer = platform.hold(order).await;
                 let outcome = answer.as_str();
--- a/crates/node/src/owner/control.rs
+++ b/crates/node/src/owner/control.rs
@@ -272,8 +272,8 @@
             match effect {
                 Effect::Start(order) => orders.push(Order::Start(order)),
                 Effect::Stop(order) => orders.push(Order::Stop(order)),
-                Effect::Throttle(order) => orders.push(Order::Pace(order)),
-                Effect::Heartbeat(order) => orders.push(Order::Hold(order)),
+                Effect::Throttle(order) => orders.push(Order::Throttle(order)),
+                Effect::Heartbeat(order) => orders.push(Order::Heartbeat(order)),
                 Effect::Advise {
                     node,
                     step,
--- a/crates/node/src/owner/orders.rs
+++ b/crates/node/src/owner/orders.rs
@@ -168,7 +168,7 @@
             Report::Stopped(worker, task, run, answer) => {
                 engine.stopped(&worker, task, run, answer, now);
             }
-            Report::Paced(worker, task, run, percent, answer) => {
+            Report::Throttled(worker, task, run, percent, answer) => {
                 engine.throttled(&worker, task, run, percent, answer, now);
             }
             Report::Inventory(worker, asked, answer) => {
