--- a/crates/node/src/assignment.rs
+++ b/crates/node/src/assignment.rs
@@ -43,7 +43,7 @@
 const OWNER_WEIGHT_DIVISOR: u32 = 4;
 
 /// The time for which the owner itself sends the orders of a node that did not accept them. It suffices for the next
-/// heartbeat of the node, or for the owner to notice that the node is gone.
+/// hello of the node, or for the owner to notice that the node is gone.
 const AVOIDANCE: Duration = Duration::from_secs(2);
 
 /// A node that can send orders to workers.
--- a/crates/node/src/config_exchange.rs
+++ b/crates/node/src/config_exchange.rs
@@ -30,9 +30,9 @@
 
 /// How long the store may be silent before the owner is asked. An idle store confirms every 1 s that nothing changed.
 const MAX_STORE_SILENCE: Duration = Duration::from_millis(1_500);
-/// The interval between questions to the owner.
+/// The interval between requests to the owner.
 const POLL_INTERVAL: Duration = Duration::from_millis(500);
-/// The timeout of a question to the owner. A configuration with a thousand queues takes 0.2 s over a 10 Mbit/s link.
+/// The timeout of a request to the owner. A configuration with a thousand queues takes 0.2 s over a 10 Mbit/s link.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 /// Returns this node's configuration for a peer that has version `known`; the record is left out if it isn't newer.
@@ -67,7 +67,7 @@
     }
 }
 
-/// Applies the owner's configuration, which was asked for at `asked`.
+/// Applies the owner's configuration, which was requested at `asked`.
 fn apply<P: Platform>(shared: &Shared<P>, state: ConfigState, asked: Instant) {
     if let Some((key, value)) = state.record {
         let record = Record {
--- a/crates/node/src/evacuation.rs
+++ b/crates/node/src/evacuation.rs
@@ -25,7 +25,7 @@
 }
 
 impl Snapshot {
-    /// Applies the reading to the owner's engine.
+    /// Applies the snapshot to the owner's engine.
     pub(crate) fn apply(self, engine: &mut Engine, now: Timestamp) {
         let read = now.saturating_sub(self.confirmed_at.elapsed());
         engine.set_evacuation(self.evacuation, read, now);
@@ -37,7 +37,7 @@
 pub(crate) enum Scope {
     /// The newest record of each key. An evacuation that isn't among them has been revoked.
     Full,
-    /// The records since the last reading.
+    /// The records since the last read.
     Incremental,
 }
 
--- a/crates/node/src/frontend/job_record.rs
+++ b/crates/node/src/frontend/job_record.rs
@@ -111,7 +111,7 @@
     Accepted(Box<Accepted>),
     /// A job was cancelled.
     Cancelled(Cancelled),
-    /// The record of a job can't be decoded: its content is unknown, but the job must not be reported as absent.
+    /// The record of a job can't be decoded: its content is unknown, but the job must not be reported as unknown.
     Unreadable(JobId),
 }
 
--- a/crates/node/src/frontend/owner.rs
+++ b/crates/node/src/frontend/owner.rs
@@ -31,14 +31,14 @@
 const MAX_OWNER_WAIT: Duration = Duration::from_millis(1_500);
 /// How many attempts to notify the owner may fail. After that, the owner learns of the record when it reads the store.
 const MAX_NOTIFICATION_FAILURES: u32 = 6;
-/// How long a change of ownership may go unnoticed on this node: it sends greetings to the owner at most 0.7 s apart,
+/// How long a change of ownership may go unnoticed on this node: it sends hellos to the owner at most 0.7 s apart,
 /// and a frozen or disconnected owner may stay silent for as long again.
 const MAX_REPLACEMENT_DELAY: Duration = Duration::from_millis(1_500);
 
 impl<P: Platform> Frontend<P> {
-    /// Sends a question to the owner and retries for up to [`MAX_OWNER_WAIT`] while the owner can't be reached.
+    /// Sends a request to the owner and retries for up to [`MAX_OWNER_WAIT`] while the owner can't be reached.
     ///
-    /// `question` builds the question for each attempt from the time that has passed since the first one.
+    /// `request` builds the request for each attempt from the time that has passed since the first one.
     pub(super) async fn ask_owner(
         &self,
         request: impl Fn(Duration) -> Request,
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Sends a question to the owner once; returns `None` if the owner is unknown or didn't answer.
+    /// Sends a request to the owner once; returns `None` if the owner is unknown or didn't answer.
     pub(super) async fn ask_owner_once(&self, request: &Request) -> Option<Reply> {
         if let Some(engine) = self.shared.engine_handle() {
             return owner::handle_request(&engine, request.clone()).await;
--- a/crates/node/src/hedge.rs
+++ b/crates/node/src/hedge.rs
@@ -25,8 +25,8 @@
 
 /// The maximum number of copies of an unordered append, including the first.
 const MAX_COPIES: u32 = 4;
-/// The maximum time between two copies of an append, unless the caller's `retry_delay` is longer. The whole cell waits for
-/// an ordered append.
+/// The maximum time between two copies of an append, unless the caller's `retry_delay` is longer. The whole cell waits
+/// for an ordered append.
 const MAX_COPY_GAP: Duration = Duration::from_millis(400);
 /// The timeout of an ordered append with all its copies.
 const ORDERED_APPEND_TIMEOUT: Duration = Duration::from_secs(3);
@@ -37,8 +37,8 @@
 /// of a call.
 ///
 /// The store recognizes the copies of an append with [`Condition::Writer`] by the sequence number, so they are sent
-/// until the timeout. A store that recovers from an outage answers none of the copies sent before, and no step starts before
-/// the owner's record is stored.
+/// until the timeout. A store that recovers from an outage answers none of the copies sent before, and no step starts
+/// before the owner's record is stored.
 ///
 /// # Errors
 ///
@@ -105,8 +105,8 @@
 /// Reads from the store and sends another copy of the call while no answer arrives.
 ///
 /// The first copy lets the store delay its answer by `wait` until there is a record; the others don't. The second copy
-/// is sent when `retry_delay` has passed after `wait`, and the gap grows by the factor `growth` with each copy. All copies
-/// together may take `wait + limit`.
+/// is sent when `retry_delay` has passed after `wait`, and the gap grows by the factor `growth` with each copy. All
+/// copies together may take `wait + limit`.
 ///
 /// A store that recovers from an outage answers no call made before. Without copies, nodes that start during an outage
 /// know the configuration 1.9 s after its end; with copies of their first call, 0.2 s after it.
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -6,25 +6,25 @@
 //!
 //! | module | responsibility |
 //! |---|---|
-//! | [`retry_delay`] | how long a refused caller should wait before it retries |
+//! | [`assignment`] | assigns workers to the nodes that send their orders |
 //! | `config_exchange` | reads the configuration from the owner while the store is silent |
+//! | `dispatch` | sends orders to workers on behalf of the owner and reports the results |
 //! | `evacuation` | the data centres that the operator has evacuated |
 //! | [`frontend`] | submits, looks up and cancels jobs for callers |
 //! | `health` | tracks whether and how fast the store answers this node |
-//! | `dispatch` | sends orders to workers on behalf of the owner and reports the results |
 //! | `hedge` | sends another copy of a store call whose answer is overdue |
 //! | `intake` | writes jobs and cancellations to the store in batches |
+//! | `lag` | measures how late timers and events run in this process |
 //! | `member` | follows the ownership of the cell and claims it |
+//! | `message` | the messages between nodes |
 //! | `operator` | how current this node's copy of the operator's records is |
 //! | `order` | orders to workers and their results |
 //! | `owner` | the owner's actor, its takeover, and its reads and writes of the store |
-//! | `watch` | follows the configuration and the list of workers |
-//! | `message` | the messages between nodes |
-//! | `lag` | measures how late timers and events run in this process |
-//! | `telemetry` | logs and metrics |
+//! | [`retry_delay`] | how long a refused caller should wait before it retries |
 //! | [`revocation`] | how long a node may accept keys while it can't read the configuration |
-//! | [`assignment`] | assigns workers to the nodes that send their orders |
 //! | [`succession`] | decides which node should own the cell next and when an owner should give up |
+//! | `telemetry` | logs and metrics |
+//! | `watch` | follows the configuration and the list of workers |
 
 pub mod assignment;
 mod config_exchange;
--- a/crates/node/src/member/follow.rs
+++ b/crates/node/src/member/follow.rs
@@ -52,7 +52,7 @@
 /// How much of a new owner's time the first hello of a node takes, with its connection.
 const FIRST_HELLO_COST: Duration = Duration::from_millis(1);
 /// A claim that was not renewed for this long, in addition to the allowance for the store's usual
-/// call time, has lapsed. It spans two renewals, and applies only to an owner that doesn't answer.
+/// call time, has expired. It spans two renewals, and applies only to an owner that doesn't answer.
 /// It may be short, since a claim made by mistake costs a takeover of some 0.1 s, and each 0.1 s
 /// without an owner some 5 urgent jobs.
 const LEASE: Duration = Duration::from_millis(700);
@@ -64,8 +64,8 @@
 /// The longest random delay before a claim, so that nodes don't all append at once.
 const MAX_CLAIM_JITTER: Duration = Duration::from_millis(60);
 
-/// Returns how long a claim stands without renewal.
-fn lapse_time<P: Platform>(shared: &Shared<P>) -> Duration {
+/// Returns the time without renewal after which a claim has expired.
+fn claim_expiry_time<P: Platform>(shared: &Shared<P>) -> Duration {
     LEASE + STORE_LATENCY_FACTOR * shared.store.typical_latency()
 }
 
@@ -92,7 +92,7 @@
     /// It is gone, or says that it doesn't own the cell; carries the evidence.
     Lost(&'static str),
     /// It gave no answer.
-    Silent,
+    NoAnswer,
     /// There is a later claim.
     Replaced(Claim),
 }
@@ -125,7 +125,7 @@
             }
             OwnerStatus::Replaced(claim) => return adopt_peer_claim(shared, claim),
             OwnerStatus::Lost(why) => why,
-            OwnerStatus::Silent => {
+            OwnerStatus::NoAnswer => {
                 if last_answer_at.elapsed() >= SILENCE_THRESHOLD {
                     let before = epoch(&seen);
                     seen = reread(shared, seen).await;
@@ -140,7 +140,7 @@
                     }
                 }
                 if last_answer_at.elapsed() < SILENCE_THRESHOLD
-                    || seen.since.elapsed() < lapse_time(shared)
+                    || seen.since.elapsed() < claim_expiry_time(shared)
                 {
                     sleep(HELLO_INTERVAL / 4).await;
                     continue;
@@ -204,19 +204,19 @@
         Ok(Reply::NotOwner {
             claim: known,
             incarnation,
-        }) => interpret_disavowal(claim, known, incarnation),
+        }) => interpret_not_owner(claim, known, incarnation),
         Err(rpc::Error::Refused { .. }) => OwnerStatus::Lost("refused"),
-        Ok(_) | Err(_) => OwnerStatus::Silent,
+        Ok(_) | Err(_) => OwnerStatus::NoAnswer,
     }
 }
 
 /// Interprets the answer of a claim's node that it doesn't own the cell.
-fn interpret_disavowal(claim: &Claim, known: Option<Claim>, incarnation: u64) -> OwnerStatus {
+fn interpret_not_owner(claim: &Claim, known: Option<Claim>, incarnation: u64) -> OwnerStatus {
     let epoch = known.as_ref().map(|known| known.epoch).unwrap_or_default();
     match known {
         Some(newer) if newer.epoch > claim.epoch => OwnerStatus::Replaced(newer),
         // It has not learnt yet that its own claim was stored.
-        _ if incarnation == claim.incarnation && epoch < claim.epoch => OwnerStatus::Silent,
+        _ if incarnation == claim.incarnation && epoch < claim.epoch => OwnerStatus::NoAnswer,
         _ => OwnerStatus::Lost("disowned"),
     }
 }
--- a/crates/node/src/member/own.rs
+++ b/crates/node/src/member/own.rs
@@ -66,7 +66,7 @@
 const MAX_LEAVE_DELAY: Duration = Duration::from_secs(2);
 /// How often the owner checks whether another node should own the cell.
 const SUCCESSION_CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// Nodes whose last greeting is older than this don't succeed the owner; weak nodes send one every
+/// Nodes whose last hello is older than this don't succeed the owner; weak nodes send one every
 /// 0.7 s.
 const MAX_HELLO_AGE: Duration = Duration::from_millis(1_000);
 /// Once the store has failed for this long, the owner asks other nodes whether it fails for them
@@ -245,7 +245,7 @@
 async fn announce_successor<P: Platform>(shared: &Shared<P>, successor: Claim, peers: &[Peer]) {
     shared.record_claim(successor.clone());
     let handed_over = Request::HandedOver(successor.clone());
-    // A node that isn't reached learns of it with its next greeting.
+    // A node that isn't reached learns of it with its next hello.
     let _ = message::send(&shared.rpc, successor.address, &handed_over, HELLO_TIMEOUT).await;
     let others = peers
         .iter()
@@ -255,7 +255,7 @@
     join_all(notifications).await;
 }
 
-/// Returns the recent greetings of other nodes.
+/// Returns the recent hellos of other nodes.
 async fn recent_hellos<P: Platform>(shared: &Shared<P>) -> Vec<Hello> {
     let hellos = shared.hellos.lock().await;
     let fresh = hellos
--- a/crates/node/src/message.rs
+++ b/crates/node/src/message.rs
@@ -44,7 +44,7 @@
 /// A request of one node to another.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) enum Request {
-    /// The heartbeat of a node, which also asks the owner whether it still owns the cell.
+    /// The periodic message of a node to the owner, which also asks the owner whether it still owns the cell.
     Hello(Hello),
     /// A job was submitted; its record is being written.
     Announced(Box<Accepted>),
@@ -110,7 +110,7 @@
     }
 }
 
-/// The reply to a [`Question`].
+/// The reply to a [`Request`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) enum Reply {
     /// This node owns the cell under this claim and has read the operator's records up to this position.
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -75,11 +75,12 @@
     watch as store_watch,
 };
 
-/// How long a peer may send no greeting before it is dropped and gets no more requests for advice.
+/// How long a peer may send no hello before it is dropped and gets no more requests for advice.
 const PEER_TIMEOUT: Duration = Duration::from_millis(1_600);
 /// The interval between checks for peers that are gone; new peers are noticed at once.
 const PEER_CHECK_INTERVAL: Duration = Duration::from_millis(400);
-/// The minimum time between two updates of the engine's list of peers: all peers greet a new owner within a second.
+/// The minimum time between two updates of the engine's list of peers: all peers send hellos to a new owner within a
+/// second.
 const MIN_PEER_UPDATE_INTERVAL: Duration = Duration::from_millis(25);
 /// One in this many of a node's file descriptors is for connections of its peers.
 const PEER_DESCRIPTOR_DIVISOR: u32 = 4;
@@ -231,7 +232,7 @@
         let _ = tokio::time::timeout(timeout, released).await;
     }
 
-    /// Returns the number of nodes that have recently greeted this node as the owner.
+    /// Returns the number of nodes that have recently sent hellos to this node as the owner.
     pub async fn peer_count(&self) -> usize {
         self.shared.hellos.lock().await.len()
     }
@@ -348,7 +349,7 @@
         }
     }
 
-    /// Answers a greeting and, if this node is the owner, records the peer.
+    /// Answers a hello and, if this node is the owner, records the peer.
     async fn record_hello(&self, hello: Hello) -> Reply {
         let shared = &self.shared;
         let ownership = shared.ownership.borrow().clone();
--- a/crates/node/src/operator.rs
+++ b/crates/node/src/operator.rs
@@ -1,9 +1,9 @@
 //! Tracks how far this node has read the operator's records, and decides how often it reads them.
 //!
 //! Every node reads these records itself, and each call of the store has a cost. The owner reads often and reports with
-//! each reply to a heartbeat how far it has read. A node that has read as far knows from this report that there is
+//! each reply to a hello how far it has read. A node that has read as far knows from this report that there is
 //! nothing newer, so it lets its calls wait at the store for long; a node that has not reads at once. This way a lost
-//! answer or a dead connection is noticed with the next heartbeat.
+//! answer or a dead connection is noticed with the next hello.
 
 use std::{
     future::pending,
@@ -34,7 +34,7 @@
 /// The same for a node with a recent confirmation by the owner. A store that doesn't answer this node is noticed after
 /// this time, or with the first request of a caller.
 const CONFIRMED_READ_WAIT: Duration = Duration::from_millis(4_000);
-/// The time for which a confirmation counts as recent. Nodes send a heartbeat to the owner at least every 0.7 s.
+/// The time for which a confirmation counts as recent. Nodes send a hello to the owner at least every 0.7 s.
 const CONFIRMATION_VALIDITY: Duration = Duration::from_millis(1_500);
 /// The time for which the store's answer to this node may be later than that to the owner.
 const OWNER_LEAD_TOLERANCE: Duration = Duration::from_millis(100);
@@ -74,7 +74,7 @@
     })
 }
 
-/// Processes the position reported by the owner in reply to a heartbeat sent at `asked`.
+/// Processes the position reported by the owner in reply to a hello sent at `asked`.
 pub(crate) fn apply_owner_position<P: Platform>(
     shared: &Shared<P>,
     owner: ReadPosition,
--- a/crates/node/src/owner/answer.rs
+++ b/crates/node/src/owner/answer.rs
@@ -55,7 +55,7 @@
     Some(Reply::Ack)
 }
 
-/// Looks up a job. Reports it as absent only once everything that was stored when the caller asked
+/// Looks up a job. Reports it as unknown only once everything that was stored when the caller asked
 /// has been read.
 async fn query_job<P: Platform>(
     engine: &EngineHandle<P>,
@@ -86,7 +86,7 @@
     }
 }
 
-/// Counts the pending jobs of a queue, from a view that is at most [`MAX_COUNT_AGE`] old.
+/// Counts the pending jobs of a queue, as of a time at most [`MAX_COUNT_AGE`] ago.
 async fn count_pending<P: Platform>(
     engine: &EngineHandle<P>,
     query: PendingQuery,
--- a/crates/node/src/owner/control.rs
+++ b/crates/node/src/owner/control.rs
@@ -85,7 +85,7 @@
 const ADVICE_TIMEOUT_MARGIN: Duration = Duration::from_millis(300);
 
 /// If no event arrives for this long, the process was not running: the actor gets a tick every
-/// 25 ms. A claim lapses after 0.7 s, so another node may own the cell by then.
+/// 25 ms. A claim expires after 0.7 s, so another node may own the cell by then.
 const STALL_THRESHOLD: Duration = Duration::from_millis(900);
 
 /// The actor that holds the engine. Nothing else issues orders.
@@ -411,7 +411,7 @@
     }
 }
 
-/// Requests an update of the gauges that show the engine's view of the cell.
+/// Requests an update of the gauges that show the engine's state.
 pub(super) struct UpdateGauges;
 
 impl<P: Platform> Message<UpdateGauges> for EngineActor<P> {
--- a/crates/node/src/owner/jobs.rs
+++ b/crates/node/src/owner/jobs.rs
@@ -80,7 +80,7 @@
 /// until the next read, up to 2 s later.
 const MAX_READ_AGE_AT_TAKEOVER: Duration = Duration::from_secs(1);
 /// If a partition takes long to read, the limit is this many times the duration of its last read
-/// instead, since its view is never younger than one read.
+/// instead, since what is known of it is never younger than one read.
 const MAX_READ_AGE_IN_READS: u32 = 2;
 /// How often partitions are read again at most. Where a third of all answers is lost, the slowest
 /// of 16 takes more than a second each time, and a cell without an owner serves nobody. A
@@ -196,8 +196,8 @@
     (partitions, found)
 }
 
-/// Creates the view of an owner from how far the partitions have been read.
-pub(super) fn new_view(partitions: &[Partition]) -> ReadProgress {
+/// Returns the read progress of an owner that has read the partitions as far as they say.
+pub(super) fn read_progress(partitions: &[Partition]) -> ReadProgress {
     ReadProgress::new(
         partitions
             .iter()
--- a/crates/node/src/owner/takeover.rs
+++ b/crates/node/src/owner/takeover.rs
@@ -77,7 +77,7 @@
 
 /// How often the engine checks what is due; its shortest wait is 100 ms.
 const TICK_INTERVAL: Duration = Duration::from_millis(25);
-/// How often the gauges of the engine's view of the cell are updated.
+/// How often the gauges of the engine's state are updated.
 const GAUGE_UPDATE_INTERVAL: Duration = Duration::from_secs(2);
 /// How many events may wait for the actor; a busy second has some thousands.
 const MAILBOX_CAPACITY: usize = 16_384;
@@ -125,7 +125,7 @@
             Entry::RemovedWorker(_) => {}
         }
     }
-    let read_progress = jobs::new_view(&partitions);
+    let read_progress = jobs::read_progress(&partitions);
     for record in found {
         match record {
             JobRecord::Accepted(accepted) => stored.accepted.push(*accepted),
@@ -148,8 +148,8 @@
     if let Some(snapshot) = shared.evacuation.borrow().clone() {
         snapshot.apply(&mut engine, now);
     }
-    // Wait for other nodes to greet this one: without nodes that send its orders, the owner would
-    // connect to each worker itself.
+    // Wait for hellos of other nodes: without nodes that send its orders, the owner would connect
+    // to each worker itself.
     let peers = shared.hello_peers().await;
     Ok(start_actor(
         shared,
--- a/crates/node/src/owner/view.rs
+++ b/crates/node/src/owner/view.rs
@@ -29,8 +29,8 @@
 /// All that an owner knows of is stored, but not all that is stored is known to it: other nodes
 /// write jobs and cancellations to the store, and notify the owner where they can. The absence of a
 /// job and the number of jobs are therefore stated only as of a time up to which everything has
-/// been read. A caller whose cancellation was answered with "no such job" from a view 3.5 s old saw
-/// the job start 3.3 s later.
+/// been read. A caller whose cancellation was answered with "no such job" by an owner that had last read
+/// 3.5 s before saw the job start 3.3 s later.
 #[derive(Clone, Debug)]
 pub(crate) struct ReadProgress {
     /// By partition: everything that was stored by this time has been read.
@@ -42,7 +42,7 @@
 }
 
 impl ReadProgress {
-    /// Creates the view of an owner that has read each partition up to the given time.
+    /// Creates the progress of an owner that has read each partition up to the given time.
     pub(crate) fn new(read: Vec<Instant>) -> Self {
         Self {
             read: Arc::new(watch::Sender::new(read)),
@@ -107,7 +107,7 @@
     pub(crate) async fn wait_for_request(&self, partition: u16) {
         let read = self.read.borrow().get(usize::from(partition)).copied();
         let mut requested = self.requested.subscribe();
-        // The sender lives as long as this view.
+        // The sender lives as long as this value.
         let _ = requested.wait_for(|requested| *requested > read).await;
     }
 }
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -108,7 +108,7 @@
 /// The time limit of a read with all its copies. A call of the platform takes 3 s at most.
 const READ_TIMEOUT: Duration = Duration::from_millis(3_000);
 
-/// The last heartbeat that this node, as the owner, received from each other node, with its time of arrival.
+/// The last hello that this node, as the owner, received from each other node, with its time of arrival.
 pub(crate) type Hellos = Mutex<HashMap<NodeName, (Hello, Instant)>>;
 
 /// The state that the components of a node share, kept behind an `Arc`.
@@ -152,7 +152,7 @@
     pub(crate) owner_lost: Notify,
     /// Notified when the owner's actor finds that it did not run for a while.
     pub(crate) stalled: Notify,
-    /// The last heartbeats of the other nodes to this one as the owner.
+    /// The last hellos of the other nodes to this one as the owner.
     pub(crate) hellos: Hellos,
     pub(crate) lag: LagMonitor,
     pub(crate) store: StoreHealth,
@@ -278,7 +278,7 @@
         }
     }
 
-    /// Returns the nodes that sent heartbeats to this one as the owner.
+    /// Returns the nodes that sent hellos to this one as the owner.
     pub(crate) async fn hello_peers(&self) -> Vec<Peer> {
         let hellos = self.hellos.lock().await;
         let mut peers: Vec<Peer> = hellos.values().map(|(hello, _)| hello.into()).collect();
@@ -286,7 +286,7 @@
         peers
     }
 
-    /// Returns the content of a heartbeat of this node.
+    /// Returns the content of a hello of this node.
     pub(crate) fn hello(&self) -> Hello {
         Hello {
             node: self.name.clone(),
--- a/crates/node/src/succession.rs
+++ b/crates/node/src/succession.rs
@@ -49,7 +49,7 @@
 /// The number of samples of which a lag is the median. The ticks of an owner give that many in 0.2 s.
 const LAG_SAMPLES: usize = 8;
 
-/// The content of a node's heartbeat to the owner.
+/// The content of a hello, the periodic message of a node to the owner.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Hello {
     /// The node.
@@ -96,7 +96,7 @@
 /// first read at `first_seen`, and the owner last answered with that renewal at `last_answered`.
 ///
 /// During an outage of the store no owner can renew its claim, so the time before `outage_ended` doesn't count. Weak
-/// nodes send heartbeats less often: without this rule, when an owner died as an outage ended, they found its claim to
+/// nodes send hellos less often: without this rule, when an owner died as an outage ended, they found its claim to
 /// have expired 0.1 to 0.4 s before the strong nodes did.
 pub fn silent_since(first_seen: Instant, last_answered: Instant, outage_ended: Instant) -> Instant {
     first_seen.min(last_answered).max(outage_ended)
@@ -126,7 +126,7 @@
     lag < PROMPT_LAG
 }
 
-/// Chooses the next owner among the nodes that recently sent heartbeats to the owner; `None` if none of them would be
+/// Chooses the next owner among the nodes that recently sent hellos to the owner; `None` if none of them would be
 /// better.
 ///
 /// Prefers the strongest nodes, among these the ones that get processor time promptly, and among these the one that was
--- a/crates/node/tests/node/history.rs
+++ b/crates/node/tests/node/history.rs
@@ -163,7 +163,7 @@
         *earliest = due.min(*earliest);
     }
 
-    async fn look(&mut self) {
+    async fn check_job_state(&mut self) {
         let job = self.random_job();
         let is_there = self.jobs.contains(&job);
         let found = self.node.frontend().job_state(JobId(job)).await;
@@ -188,7 +188,7 @@
             0..=2 => self.record_job(),
             3 => self.record_cancellation(),
             4 | 5 => self.cancel().await,
-            6 | 7 => self.look().await,
+            6 | 7 => self.check_job_state().await,
             8 => self.block_partition(),
             _ => {
                 let modes = [
--- a/crates/node/tests/node/record.rs
+++ b/crates/node/tests/node/record.rs
@@ -48,8 +48,8 @@
 };
 
 /// Guards against a takeover that never ends. One partition takes longer than a second per call, the others take
-/// milliseconds. If a new owner reads all 16 partitions again whenever its view of any is too old, the view is too old
-/// each time the slow one answers. As the claim is renewed meanwhile, no other node takes over either.
+/// milliseconds. If a new owner reads all 16 partitions again whenever its last read of any is too old, that read is
+/// too old each time the slow one answers. As the claim is renewed meanwhile, no other node takes over either.
 #[rstest]
 #[case::below_a_second(900)]
 #[case::above_a_second(1_100)]
