--- a/crates/node/src/owner/jobs.rs
+++ b/crates/node/src/owner/jobs.rs
@@ -147,9 +147,7 @@
         let number = self.number;
         let read = |record: &Record| JobRecord::read(record, number);
         let page = match self.reader.read(shared, Duration::ZERO).await? {
-            Batch::Incremental(page) => {
-                return Ok(fallback::decode_page(shared, "jobs", page, read));
-            }
+            Batch::Incremental(new) => return Ok(fallback::decode_page(shared, "jobs", new, read)),
             Batch::Full(page) => page,
         };
         let topic = Topic::Jobs(number);
