--- a/crates/node/src/frontend/mod.rs
+++ b/crates/node/src/frontend/mod.rs
@@ -313,7 +313,7 @@
     ///
     /// Fails if the owner doesn't know the job, or if the owner can't be reached.
     pub async fn job_state(&self, job: JobId) -> Result<State, Refusal> {
-        let reply = self.ask_owner(|asked| self.state_request(job, asked));
+        let reply = self.ask_owner(|elapsed| self.state_request(job, elapsed));
         match reply.await? {
             Reply::State(state) => Ok(state),
             Reply::UnknownJob(unknown) => {
@@ -324,11 +324,11 @@
         }
     }
 
-    fn state_request(&self, job: JobId, asked: Duration) -> Request {
+    fn state_request(&self, job: JobId, elapsed: Duration) -> Request {
         Request::JobState {
             job,
             workspace: self.workspace_name().cloned(),
-            elapsed: asked,
+            elapsed,
         }
     }
 
--- a/crates/node/src/member/follow.rs
+++ b/crates/node/src/member/follow.rs
@@ -193,10 +193,10 @@
     let hello = Request::Hello(shared.hello());
     let asked = Instant::now();
     match message::send(&shared.rpc, claim.address, &hello, HELLO_TIMEOUT).await {
-        Ok(Reply::Owner(newer, extent)) if newer.epoch == claim.epoch => {
+        Ok(Reply::Owner(newer, position)) if newer.epoch == claim.epoch => {
             shared.record_spread(&newer);
-            if let Some(extent) = extent {
-                operator::apply_owner_position(shared, extent, asked);
+            if let Some(position) = position {
+                operator::apply_owner_position(shared, position, asked);
             }
             OwnerStatus::Alive(newer.renewal)
         }
--- a/crates/node/src/owner/answer.rs
+++ b/crates/node/src/owner/answer.rs
@@ -60,9 +60,9 @@
 async fn query_job<P: Platform>(
     engine: &EngineHandle<P>,
     query: JobQuery,
-    asked: Duration,
+    elapsed: Duration,
 ) -> Option<Reply> {
-    let required_time = Instant::now().checked_sub(asked)?;
+    let required_time = Instant::now().checked_sub(elapsed)?;
     let job = query.job;
     let found = engine.actor.ask(query.clone()).await.ok()?;
     if let Some(state) = found.state {
