--- a/crates/node/src/share.rs
+++ b/crates/node/src/assignment.rs
@@ -26,7 +26,7 @@
 use tokio::time::Instant;
 
 use crate::succession::{
-    Greeting,
+    Hello,
     outranks, //
 };
 
@@ -43,7 +43,7 @@
 const OWNER_WEIGHT_DIVISOR: u32 = 4;
 
 /// The time for which the owner itself sends the orders of a node that did not accept them. It suffices for the next
-/// heartbeat of the node, or for the owner to notice that the node is gone.
+/// hello of the node, or for the owner to notice that the node is gone.
 const AVOIDANCE: Duration = Duration::from_secs(2);
 
 /// A node that can send orders to workers.
@@ -66,20 +66,20 @@
     }
 }
 
-impl From<&Greeting> for Peer {
-    fn from(greeting: &Greeting) -> Self {
+impl From<&Hello> for Peer {
+    fn from(hello: &Hello) -> Self {
         Self {
-            node: greeting.node.clone(),
-            address: greeting.address,
-            processor: greeting.strength,
-            descriptors: greeting.descriptors,
+            node: hello.node.clone(),
+            address: hello.address,
+            processor: hello.strength,
+            descriptors: hello.descriptors,
         }
     }
 }
 
 /// The assignment of workers to the nodes that send their orders.
 #[derive(Debug, Default)]
-pub struct Share {
+pub struct Assignment {
     owner: Option<Peer>,
     /// The nodes that the owner doesn't outrank, the strongest first.
     candidates: Vec<Peer>,
@@ -91,17 +91,17 @@
     avoided: HashMap<SocketAddr, Instant>,
 }
 
-impl Share {
+impl Assignment {
     /// Creates the assignment of an owner that knows the given other nodes.
     pub fn new(owner: Peer, peers: Vec<Peer>) -> Self {
-        let mut share = Self::default();
-        share.renew(owner, peers);
-        share
+        let mut assignment = Self::default();
+        assignment.update_nodes(owner, peers);
+        assignment
     }
 
     /// Replaces the owner and the other nodes. Among equally strong nodes, those that already send orders are
     /// preferred.
-    pub fn renew(&mut self, owner: Peer, peers: Vec<Peer>) {
+    pub fn update_nodes(&mut self, owner: Peer, peers: Vec<Peer>) {
         let active: Vec<Peer> = self.candidates.drain(..).take(self.active_count).collect();
         let candidates = peers
             .into_iter()
--- a/crates/node/src/edition.rs
+++ b/crates/node/src/config_exchange.rs
@@ -16,33 +16,33 @@
 use crate::{
     message::{
         self,
-        Edition,
-        Question,
-        Reply, //
+        ConfigState,
+        Reply,
+        Request, //
     },
-    port::{
+    platform::{
         Platform,
         Record, //
     },
     shared::Shared,
-    watch::take_config,
+    watch::apply_config,
 };
 
 /// How long the store may be silent before the owner is asked. An idle store confirms every 1 s that nothing changed.
 const MAX_STORE_SILENCE: Duration = Duration::from_millis(1_500);
-/// The interval between questions to the owner.
+/// The interval between requests to the owner.
 const POLL_INTERVAL: Duration = Duration::from_millis(500);
-/// The timeout of a question to the owner. A configuration with a thousand queues takes 0.2 s over a 10 Mbit/s link.
+/// The timeout of a request to the owner. A configuration with a thousand queues takes 0.2 s over a 10 Mbit/s link.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 /// Returns this node's configuration for a peer that has version `known`; the record is left out if it isn't newer.
-pub(crate) fn current<P: Platform>(shared: &Shared<P>, known: u64) -> Edition {
+pub(crate) fn current<P: Platform>(shared: &Shared<P>, known: u64) -> ConfigState {
     let version = version(shared);
     let record = shared.config_record.borrow().clone();
     let record = record.filter(|_| version > known);
-    Edition {
+    ConfigState {
         version,
-        age: shared.config_read.borrow().elapsed(),
+        age: shared.config_confirmed_at.borrow().elapsed(),
         record: record.and_then(|record| Some((record.key, record.value?.to_vec()))),
     }
 }
@@ -51,7 +51,7 @@
 pub(crate) async fn poll_owner<P: Platform>(shared: Arc<Shared<P>>) {
     loop {
         sleep(POLL_INTERVAL).await;
-        if shared.config_read.borrow().elapsed() < MAX_STORE_SILENCE {
+        if shared.config_confirmed_at.borrow().elapsed() < MAX_STORE_SILENCE {
             continue;
         }
         let owner = shared.claim.borrow().as_ref().map(|claim| claim.address);
@@ -59,35 +59,35 @@
             continue;
         };
         let asked = Instant::now();
-        let question = Question::Configuration(version(&shared));
-        let answer = message::ask(&shared.rpc, owner, &question, CALL_TIMEOUT).await;
-        if let Ok(Reply::Configuration(edition)) = answer {
-            apply(&shared, edition, asked);
+        let request = Request::Configuration(version(&shared));
+        let answer = message::send(&shared.rpc, owner, &request, CALL_TIMEOUT).await;
+        if let Ok(Reply::Configuration(state)) = answer {
+            apply(&shared, state, asked);
         }
     }
 }
 
-/// Applies the owner's configuration, which was asked for at `asked`.
-fn apply<P: Platform>(shared: &Shared<P>, edition: Edition, asked: Instant) {
-    if let Some((key, value)) = edition.record {
+/// Applies the owner's configuration, which was requested at `asked`.
+fn apply<P: Platform>(shared: &Shared<P>, state: ConfigState, asked: Instant) {
+    if let Some((key, value)) = state.record {
         let record = Record {
             key,
             value: Some(value.into()),
         };
         match shared.platform.configuration(&record) {
-            Ok(Some(config)) => take_config(shared, config, record),
+            Ok(Some(config)) => apply_config(shared, config, record),
             Ok(None) => {}
             Err(fault) => slog::warn!(shared.log, "configuration"; "by" => "owner",
                 "outcome" => "refused", "why" => %fault),
         }
     }
-    if version(shared) != edition.version || edition.version == 0 {
+    if version(shared) != state.version || state.version == 0 {
         return;
     }
-    let Some(confirmed) = asked.checked_sub(edition.age) else {
+    let Some(confirmed) = asked.checked_sub(state.age) else {
         return;
     };
-    shared.config_read.send_if_modified(|read| {
+    shared.config_confirmed_at.send_if_modified(|read| {
         let is_newer = confirmed > *read;
         *read = confirmed.max(*read);
         is_newer
--- a/crates/node/src/hand.rs
+++ b/crates/node/src/dispatch.rs
@@ -20,13 +20,13 @@
 use crate::{
     message::{
         self,
-        Question, //
+        Request, //
     },
     order::{
         Order,
         Report, //
     },
-    port::Platform,
+    platform::Platform,
     shared::Shared,
 };
 
@@ -108,7 +108,7 @@
             let dispatcher = self.clone();
             tokio::spawn(async move {
                 let report = order
-                    .carry_out(&dispatcher.shared.platform, &dispatcher.shared.meter)
+                    .execute(&dispatcher.shared.platform, &dispatcher.shared.meter)
                     .await;
                 let outgoing = Outgoing {
                     epoch,
@@ -117,7 +117,7 @@
                     report,
                 };
                 if dispatcher.outgoing.try_send(outgoing).is_err() {
-                    dispatcher.shared.meter.report_lost("queue-full");
+                    dispatcher.shared.meter.lost_report("queue-full");
                 }
             });
         }
@@ -155,14 +155,14 @@
 
 /// Sends a batch of reports to an owner, with retries.
 async fn send_batch<P: Platform>(shared: Arc<Shared<P>>, owner: SocketAddr, reports: Reports) {
-    let question = Question::Reports(reports);
+    let request = Request::Reports(reports);
     for _ in 0..MAX_REPORT_ATTEMPTS {
-        if message::ask(&shared.rpc, owner, &question, REPORT_CALL_TIMEOUT)
+        if message::send(&shared.rpc, owner, &request, REPORT_CALL_TIMEOUT)
             .await
             .is_ok()
         {
             return;
         }
     }
-    shared.meter.report_lost("unanswered");
+    shared.meter.lost_report("unanswered");
 }
--- a/crates/node/src/evacuation.rs
+++ b/crates/node/src/evacuation.rs
@@ -11,23 +11,23 @@
 use tokio::time::Instant;
 
 use crate::{
-    port::Platform,
+    platform::Platform,
     shared::Shared, //
 };
 
 /// The evacuated data centres as last read from the store.
 #[derive(Clone, Debug)]
-pub(crate) struct Reading {
+pub(crate) struct Snapshot {
     /// The evacuated data centres.
     pub(crate) evacuation: Evacuation,
     /// When the store last confirmed that this is the newest state.
-    pub(crate) at: Instant,
+    pub(crate) confirmed_at: Instant,
 }
 
-impl Reading {
-    /// Applies the reading to the owner's engine.
-    pub(crate) fn tell(self, engine: &mut Engine, now: Timestamp) {
-        let read = now.saturating_sub(self.at.elapsed());
+impl Snapshot {
+    /// Applies the snapshot to the owner's engine.
+    pub(crate) fn apply(self, engine: &mut Engine, now: Timestamp) {
+        let read = now.saturating_sub(self.confirmed_at.elapsed());
         engine.set_evacuation(self.evacuation, read, now);
     }
 }
@@ -36,26 +36,28 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Scope {
     /// The newest record of each key. An evacuation that isn't among them has been revoked.
-    Whole,
-    /// The records since the last reading.
-    More,
+    Full,
+    /// The records since the last read.
+    Incremental,
 }
 
 /// Applies changes that were read just now and logs each data centre whose evacuation begins or ends.
-pub(crate) fn take<P: Platform>(shared: &Shared<P>, scope: Scope, changes: Vec<Change>) {
+pub(crate) fn update<P: Platform>(shared: &Shared<P>, scope: Scope, changes: Vec<Change>) {
     let before = shared.evacuation.borrow().clone();
-    let before = before.map(|reading| reading.evacuation).unwrap_or_default();
+    let before = before
+        .map(|snapshot| snapshot.evacuation)
+        .unwrap_or_default();
     let mut evacuation = match scope {
-        Scope::Whole => Evacuation::default(),
-        Scope::More => before.clone(),
+        Scope::Full => Evacuation::default(),
+        Scope::Incremental => before.clone(),
     };
     for change in changes {
         evacuation.apply(change);
     }
     log_changes(shared, &before, &evacuation);
-    shared.evacuation.send_replace(Some(Reading {
+    shared.evacuation.send_replace(Some(Snapshot {
         evacuation,
-        at: Instant::now(),
+        confirmed_at: Instant::now(),
     }));
 }
 
--- a/crates/node/src/recall.rs
+++ b/crates/node/src/fallback.rs
@@ -9,7 +9,7 @@
 };
 
 use crate::{
-    port::{
+    platform::{
         Error,
         Fault,
         Page,
@@ -22,18 +22,18 @@
 };
 
 /// How the records of a topic that belong to this program are recognised and decoded.
-pub(crate) struct Own<'a, T> {
+pub(crate) struct Decoder<'a, T> {
     /// Returns whether records under a key belong to this program.
-    pub(crate) key: fn(&str) -> bool,
+    pub(crate) is_own: fn(&str) -> bool,
     /// Decodes a record under such a key; `None` if the record removes the key.
-    pub(crate) read: &'a (dyn Fn(&Record) -> Result<Option<T>, Fault> + Sync),
+    pub(crate) decode: &'a (dyn Fn(&Record) -> Result<Option<T>, Fault> + Sync),
 }
 
 /// The decoded records of a page. Each record is decoded only once, because a weak node has to decode thousands of them
 /// during a takeover.
-pub(crate) struct Settled<T> {
+pub(crate) struct Decoded<T> {
     /// The decoded values.
-    pub(crate) found: Vec<T>,
+    pub(crate) values: Vec<T>,
     /// The invalid records that no earlier valid record replaces.
     pub(crate) rejected: Vec<Rejected>,
     /// Whether the page reaches the end of the topic.
@@ -41,12 +41,12 @@
 }
 
 /// Decodes the records of a page and rejects those that can't be decoded.
-pub(crate) fn read<P: Platform, T>(
+pub(crate) fn decode_page<P: Platform, T>(
     shared: &Shared<P>,
     purpose: &'static str,
     page: Page,
     decode: impl Fn(&Record) -> Result<Option<T>, Fault>,
-) -> Settled<T> {
+) -> Decoded<T> {
     let is_last = page.is_last();
     let mut rejected = page.rejected;
     let mut found = Vec::with_capacity(page.records.len());
@@ -54,14 +54,14 @@
         match decode(record) {
             Ok(value) => found.extend(value),
             Err(fault) => {
-                let invalid = Rejected::record(record, fault);
-                shared.turn_away(purpose, &invalid);
+                let invalid = Rejected::new(record, fault);
+                shared.record_rejected(purpose, &invalid);
                 rejected.push(invalid);
             }
         }
     }
-    Settled {
-        found,
+    Decoded {
+        values: found,
         rejected,
         is_last,
     }
@@ -73,33 +73,33 @@
 /// # Errors
 ///
 /// Fails if the history of the topic can't be read.
-pub(crate) async fn settle<P: Platform, T: Send>(
+pub(crate) async fn decode_with_fallback<P: Platform, T: Send>(
     shared: &Shared<P>,
     topic: Topic,
     purpose: &'static str,
     page: Page,
-    own: Own<'_, T>,
-) -> Result<Settled<T>, Error> {
-    let mut settled = read(shared, purpose, page, |record| {
-        match (own.key)(&record.key) {
-            true => (own.read)(record),
+    decoder: Decoder<'_, T>,
+) -> Result<Decoded<T>, Error> {
+    let mut decoded = decode_page(shared, purpose, page, |record| {
+        match (decoder.is_own)(&record.key) {
+            true => (decoder.decode)(record),
             false => Err(Fault::Key),
         }
     });
-    let keys = settled.rejected.iter();
+    let keys = decoded.rejected.iter();
     let keys = keys.filter_map(|rejected| rejected.key.clone());
     // Records under other keys never belong to this program, and a long history takes seconds to read.
-    let wanted: BTreeSet<String> = keys.filter(|key| (own.key)(key)).collect();
+    let wanted: BTreeSet<String> = keys.filter(|key| (decoder.is_own)(key)).collect();
     if wanted.is_empty() {
-        return Ok(settled);
+        return Ok(decoded);
     }
-    let last = last_valid(shared, topic, purpose, &wanted, own).await?;
-    settled.rejected.retain(|rejected| {
+    let last = last_valid(shared, topic, purpose, &wanted, decoder).await?;
+    decoded.rejected.retain(|rejected| {
         let key = rejected.key.as_ref();
         key.is_none_or(|key| !last.contains_key(key))
     });
-    settled.found.extend(last.into_values().flatten());
-    Ok(settled)
+    decoded.values.extend(last.into_values().flatten());
+    Ok(decoded)
 }
 
 /// Reads the whole history that the store still has of a topic, and returns the last valid record under each of the
@@ -109,13 +109,13 @@
     topic: Topic,
     purpose: &'static str,
     wanted: &BTreeSet<String>,
-    own: Own<'_, T>,
+    decoder: Decoder<'_, T>,
 ) -> Result<BTreeMap<String, Option<T>>, Error> {
     let mut last = BTreeMap::new();
     let mut from = 0;
     loop {
         let page = match shared.read(purpose, topic, from, Duration::ZERO).await {
-            Err(Error::Forgotten { first }) if first > from => {
+            Err(Error::Truncated { first }) if first > from => {
                 from = first;
                 continue;
             }
@@ -128,7 +128,7 @@
         let records = page.records.into_iter();
         let records = records.filter(|record| wanted.contains(&record.key));
         last.extend(records.filter_map(|record| {
-            let value = (own.read)(&record).ok()?;
+            let value = (decoder.decode)(&record).ok()?;
             Some((record.key, value))
         }));
     }
--- a/crates/node/src/front/kept.rs
+++ b/crates/node/src/frontend/job_record.rs
@@ -11,7 +11,7 @@
     workspace::WorkspaceName,
 };
 
-use crate::port::{
+use crate::platform::{
     Fault,
     Record, //
 };
@@ -93,7 +93,7 @@
 }
 
 /// Returns the record of a cancellation.
-pub(crate) fn cancellation(cancelled: &Cancelled) -> Record {
+pub(crate) fn cancellation_record(cancelled: &Cancelled) -> Record {
     let key = Key {
         job: cancelled.job,
         cancellation: Some(cancelled.cancellation),
@@ -111,7 +111,7 @@
     Accepted(Box<Accepted>),
     /// A job was cancelled.
     Cancelled(Cancelled),
-    /// The record of a job can't be decoded: its content is unknown, but the job must not be reported as absent.
+    /// The record of a job can't be decoded: its content is unknown, but the job must not be reported as unknown.
     Unreadable(JobId),
 }
 
@@ -144,9 +144,9 @@
             };
             let is_valid = **value == CANCELLATION_VALUE;
             let cancelled = is_valid.then_some(Self::Cancelled(cancelled));
-            return cancelled.ok_or(Fault::Form).map(Some);
+            return cancelled.ok_or(Fault::Structure).map(Some);
         }
-        let accepted: Accepted = record::decode(value).map_err(|_| Fault::Form)?;
+        let accepted: Accepted = record::decode(value).map_err(|_| Fault::Structure)?;
         if Ok(Key::acceptance(
             accepted.job,
             accepted.workspace_name().cloned(),
--- a/crates/node/src/front/mod.rs
+++ b/crates/node/src/frontend/mod.rs
@@ -1,14 +1,14 @@
 //! Serves callers on any node: submits, looks up and cancels jobs.
 //!
-//! `owner` sends requests to the cell's owner; `kept` encodes and decodes the records of jobs and cancellations.
+//! `owner` sends requests to the cell's owner; `job_record` encodes and decodes the records of jobs and cancellations.
 
-mod kept;
+mod job_record;
 mod owner;
 
-pub(crate) use self::kept::{
+pub(crate) use self::job_record::{
     JobRecord,
     Key,
-    cancellation, //
+    cancellation_record, //
 };
 
 use std::{
@@ -50,23 +50,23 @@
 use tokio::time::Instant;
 
 use crate::{
-    comeback::Refusals,
     intake::{
         self,
         Intake,
         Outcome, //
     },
     message::{
-        Absent,
-        Question,
-        Reply, //
+        Reply,
+        Request,
+        UnknownJob, //
     },
-    port::{
+    platform::{
         Platform,
         Record, //
     },
-    report::millis,
+    retry_delay::Refusals,
     shared::Shared,
+    telemetry::millis,
 };
 
 /// The age, since the store last confirmed it, up to which a configuration counts as the newest.
@@ -92,7 +92,7 @@
     Invalid(#[from] Invalid),
     /// The store is unavailable. The job wasn't stored and never runs.
     #[error("the store is away; the job was not taken")]
-    NotKept,
+    NotStored,
     /// The outcome isn't known before the deadline: the job may or may not be stored.
     #[error("whether it was taken can't be told in time")]
     Unknown,
@@ -106,13 +106,13 @@
 
 impl Refusal {
     /// Returns the label of this reason in logs and metrics.
-    pub const fn label(&self) -> &'static str {
+    pub const fn as_str(&self) -> &'static str {
         match self {
             Self::NotReady => "not-ready",
             Self::Unauthorized => "unauthorized",
             Self::NoQueue => "no-queue",
             Self::Invalid(_) => "invalid",
-            Self::NotKept => "not-kept",
+            Self::NotStored => "not-kept",
             Self::Unknown => "unknown",
             Self::NoOwner => "no-owner",
             Self::NoJob => "no-job",
@@ -121,7 +121,7 @@
 }
 
 /// Submits, looks up and cancels jobs for callers; cheap to clone.
-pub struct Front<P: Platform> {
+pub struct Frontend<P: Platform> {
     shared: Arc<Shared<P>>,
     intake: Intake,
     refusals: Arc<Mutex<Refusals>>,
@@ -129,7 +129,7 @@
     workspace: Option<Arc<Workspace>>,
 }
 
-impl<P: Platform> Clone for Front<P> {
+impl<P: Platform> Clone for Frontend<P> {
     fn clone(&self) -> Self {
         Self {
             shared: self.shared.clone(),
@@ -140,7 +140,7 @@
     }
 }
 
-impl<P: Platform> Front<P> {
+impl<P: Platform> Frontend<P> {
     pub(crate) fn new(shared: Arc<Shared<P>>, intake: Intake) -> Self {
         Self {
             shared,
@@ -177,7 +177,7 @@
             Ok(workspace) => Ok(self.for_workspace(workspace)),
             Err(_) => {
                 let refusal = self.not_ready_if_stale(Refusal::Unauthorized);
-                self.log_authentication(refusal.label(), config, key);
+                self.log_authentication(refusal.as_str(), config, key);
                 Err(refusal)
             }
         }
@@ -188,9 +188,9 @@
     /// This is the case if the store has been unreachable for this node alone for some time. While the store is
     /// unavailable for all nodes, there is no newer configuration, and only the revocation bound applies.
     fn is_config_outdated(&self) -> bool {
-        let is_alone = self.shared.is_alone.load(Ordering::Relaxed);
-        let age = self.shared.config_read.borrow().elapsed();
-        (is_alone && age >= MAX_FRESH_CONFIG_AGE) || self.shared.revocation.forbids(age)
+        let is_isolated = self.shared.is_isolated.load(Ordering::Relaxed);
+        let age = self.shared.config_confirmed_at.borrow().elapsed();
+        (is_isolated && age >= MAX_FRESH_CONFIG_AGE) || self.shared.revocation.is_exceeded_by(age)
     }
 
     fn log_authentication(&self, outcome: &'static str, config: &Config, key: Option<&KeyDigest>) {
@@ -200,7 +200,7 @@
         }
         slog::info!(self.shared.log, "key"; "key" => key.map(KeyDigest::to_string).unwrap_or_default(),
             "config" => config.version,
-            "config_ms" => millis(self.shared.config_read.borrow().elapsed()),
+            "config_ms" => millis(self.shared.config_confirmed_at.borrow().elapsed()),
             "outcome" => outcome);
     }
 
@@ -230,7 +230,7 @@
 
     /// Returns `refusal`, which follows from the configuration, or [`Refusal::NotReady`] if the configuration is stale.
     fn not_ready_if_stale(&self, refusal: Refusal) -> Refusal {
-        match self.shared.config_read.borrow().elapsed() < MAX_FRESH_CONFIG_AGE {
+        match self.shared.config_confirmed_at.borrow().elapsed() < MAX_FRESH_CONFIG_AGE {
             true => refusal,
             false => Refusal::NotReady,
         }
@@ -277,7 +277,7 @@
             partition: intake::partition(&self.shared.name, self.shared.spread()),
         };
         let Ok(value) = record::encode(&accepted) else {
-            return Err(Refusal::NotKept);
+            return Err(Refusal::NotStored);
         };
         let record = Record {
             key: Key::acceptance(job, self.workspace_name().cloned()).to_string(),
@@ -287,24 +287,24 @@
         let is_announced = self.announce(&accepted);
         let outcome = self.intake.write(&self.shared, record, deadline).await;
         if !matches!(outcome, Outcome::Stored(_)) && is_announced {
-            self.notify_owner_once(Question::Withdrawn(job));
+            self.notify_owner_once(Request::Withdrawn(job));
         }
         match outcome {
             // If the store refused this node's own partition, the record is in another one.
             Outcome::Stored(partition) => accepted.partition = partition,
-            Outcome::NotStored => return Err(Refusal::NotKept),
+            Outcome::NotStored => return Err(Refusal::NotStored),
             Outcome::Unknown => return Err(Refusal::Unknown),
         }
         self.shared.meter.accepted(began.elapsed());
-        self.notify_owner(Question::Accepted(Box::new(accepted)));
+        self.notify_owner(Request::Accepted(Box::new(accepted)));
         Ok(())
     }
 
     /// Returns how long the caller of a refused job should wait before it retries.
-    pub fn come_back(&self, job: JobId) -> Duration {
-        let is_alone = self.shared.is_alone.load(Ordering::Relaxed);
+    pub fn retry_after(&self, job: JobId) -> Duration {
+        let is_isolated = self.shared.is_isolated.load(Ordering::Relaxed);
         let mut refusals = self.refusals.lock().unwrap_or_else(PoisonError::into_inner);
-        refusals.refuse(job, is_alone)
+        refusals.retry_delay(job, is_isolated)
     }
 
     /// Returns the state of a job.
@@ -312,23 +312,23 @@
     /// # Errors
     ///
     /// Fails if the owner doesn't know the job, or if the owner can't be reached.
-    pub async fn look(&self, job: JobId) -> Result<State, Refusal> {
-        let reply = self.ask_owner(|asked| self.state_question(job, asked));
+    pub async fn job_state(&self, job: JobId) -> Result<State, Refusal> {
+        let reply = self.ask_owner(|elapsed| self.state_request(job, elapsed));
         match reply.await? {
             Reply::State(state) => Ok(state),
-            Reply::Absent(absent) => {
-                self.log_absent_job(job, absent);
+            Reply::UnknownJob(unknown) => {
+                self.log_unknown_job(job, unknown);
                 Err(Refusal::NoJob)
             }
             _ => Err(Refusal::NoOwner),
         }
     }
 
-    fn state_question(&self, job: JobId, asked: Duration) -> Question {
-        Question::Look {
+    fn state_request(&self, job: JobId, elapsed: Duration) -> Request {
+        Request::JobState {
             job,
-            viewer: self.workspace_name().cloned(),
-            asked,
+            workspace: self.workspace_name().cloned(),
+            elapsed,
         }
     }
 
@@ -342,8 +342,8 @@
         if !config.queues.contains_key(queue) {
             return Err(self.missing_queue());
         }
-        let viewer = self.workspace_name().cloned();
-        let reply = self.ask_owner(|_| Question::Pending(queue.clone(), viewer.clone()));
+        let workspace = self.workspace_name().cloned();
+        let reply = self.ask_owner(|_| Request::Pending(queue.clone(), workspace.clone()));
         match reply.await? {
             Reply::Pending(count) => Ok(count),
             _ => Err(Refusal::NoOwner),
@@ -372,7 +372,7 @@
 
     async fn try_cancel(&self, job: JobId, deadline: Instant) -> Result<(), Refusal> {
         let found = self
-            .ask_owner_once(&self.state_question(job, Duration::ZERO))
+            .ask_owner_once(&self.state_request(job, Duration::ZERO))
             .await;
         let cancellation = match &found {
             Some(Reply::State(state)) if state.is_final() => return Ok(()),
@@ -384,16 +384,16 @@
             workspace: self.workspace_name().cloned(),
             cancellation,
         };
-        let record = kept::cancellation(&cancelled);
+        let record = job_record::cancellation_record(&cancelled);
         match self.intake.write(&self.shared, record, deadline).await {
             Outcome::Stored(_) => {}
-            Outcome::NotStored => return Err(Refusal::NotKept),
+            Outcome::NotStored => return Err(Refusal::NotStored),
             Outcome::Unknown => return Err(Refusal::Unknown),
         }
-        self.notify_owner(Question::Cancelled(cancelled));
+        self.notify_owner(Request::Cancelled(cancelled));
         match found {
-            Some(Reply::Absent(absent)) => {
-                self.log_absent_job(job, absent);
+            Some(Reply::UnknownJob(unknown)) => {
+                self.log_unknown_job(job, unknown);
                 Err(Refusal::NoJob)
             }
             _ => Ok(()),
@@ -407,14 +407,14 @@
         if !self.shared.store.is_slow() {
             return false;
         }
-        self.notify_owner_once(Question::Announced(Box::new(accepted.clone())));
+        self.notify_owner_once(Request::Announced(Box::new(accepted.clone())));
         true
     }
 
-    fn log_absent_job(&self, job: JobId, absent: Absent) {
+    fn log_unknown_job(&self, job: JobId, unknown: UnknownJob) {
         if self.shared.meter.may_log("no-job") {
-            slog::info!(self.shared.log, "no-job"; "job" => %job, "epoch" => %absent.epoch,
-                "view_ms" => millis(absent.view));
+            slog::info!(self.shared.log, "no-job"; "job" => %job, "epoch" => %unknown.epoch,
+                "view_ms" => millis(unknown.max_staleness));
         }
     }
 
@@ -428,7 +428,7 @@
     ) {
         let outcome = match result {
             Ok(()) => "accepted",
-            Err(refusal) => refusal.label(),
+            Err(refusal) => refusal.as_str(),
         };
         self.shared.meter.request(call, outcome);
         if !self.shared.meter.may_log("request") {
@@ -439,7 +439,7 @@
             "queue" => queue.as_str(), "config" => version,
             "workspace" => self.workspace_name().map_or("", WorkspaceName::as_str),
             "store_failing_ms" => millis(self.shared.store.failing_for()),
-            "store_usual_ms" => millis(self.shared.store.usual()),
+            "store_usual_ms" => millis(self.shared.store.typical_latency()),
             "took_ms" => millis(took), "outcome" => outcome);
     }
 }
--- a/crates/node/src/front/owner.rs
+++ b/crates/node/src/frontend/owner.rs
@@ -10,17 +10,17 @@
 };
 
 use super::{
-    Front,
+    Frontend,
     Refusal, //
 };
 use crate::{
     message::{
         self,
-        Question,
-        Reply, //
+        Reply,
+        Request, //
     },
     owner,
-    port::Platform,
+    platform::Platform,
 };
 
 /// The timeout of one call to the owner.
@@ -31,22 +31,22 @@
 const MAX_OWNER_WAIT: Duration = Duration::from_millis(1_500);
 /// How many attempts to notify the owner may fail. After that, the owner learns of the record when it reads the store.
 const MAX_NOTIFICATION_FAILURES: u32 = 6;
-/// How long a change of ownership may go unnoticed on this node: it sends greetings to the owner at most 0.7 s apart,
+/// How long a change of ownership may go unnoticed on this node: it sends hellos to the owner at most 0.7 s apart,
 /// and a frozen or disconnected owner may stay silent for as long again.
 const MAX_REPLACEMENT_DELAY: Duration = Duration::from_millis(1_500);
 
-impl<P: Platform> Front<P> {
-    /// Sends a question to the owner and retries for up to [`MAX_OWNER_WAIT`] while the owner can't be reached.
+impl<P: Platform> Frontend<P> {
+    /// Sends a request to the owner and retries for up to [`MAX_OWNER_WAIT`] while the owner can't be reached.
     ///
-    /// `question` builds the question for each attempt from the time that has passed since the first one.
+    /// `request` builds the request for each attempt from the time that has passed since the first one.
     pub(super) async fn ask_owner(
         &self,
-        question: impl Fn(Duration) -> Question,
+        request: impl Fn(Duration) -> Request,
     ) -> Result<Reply, Refusal> {
         let began = Instant::now();
         let deadline = began + MAX_OWNER_WAIT;
         loop {
-            if let Some(reply) = self.ask_owner_once(&question(began.elapsed())).await {
+            if let Some(reply) = self.ask_owner_once(&request(began.elapsed())).await {
                 return Ok(reply);
             }
             if Instant::now() + OWNER_RETRY_PAUSE >= deadline {
@@ -56,26 +56,26 @@
         }
     }
 
-    /// Sends a question to the owner once; returns `None` if the owner is unknown or didn't answer.
-    pub(super) async fn ask_owner_once(&self, question: &Question) -> Option<Reply> {
-        if let Some(seat) = self.shared.seat() {
-            return owner::accept(&seat, question.clone()).await;
+    /// Sends a request to the owner once; returns `None` if the owner is unknown or didn't answer.
+    pub(super) async fn ask_owner_once(&self, request: &Request) -> Option<Reply> {
+        if let Some(engine) = self.shared.engine_handle() {
+            return owner::handle_request(&engine, request.clone()).await;
         }
         let address = self.shared.claim.borrow().as_ref()?.address;
         if address == self.shared.address {
             return None;
         }
-        let reply = message::ask(&self.shared.rpc, address, question, OWNER_CALL_TIMEOUT).await;
+        let reply = message::send(&self.shared.rpc, address, request, OWNER_CALL_TIMEOUT).await;
         reply
             .ok()
             .filter(|reply| !matches!(reply, Reply::NotOwner { .. }))
     }
 
     /// Sends the owner a notification in the background, without retries.
-    pub(super) fn notify_owner_once(&self, question: Question) {
-        let front = self.clone();
+    pub(super) fn notify_owner_once(&self, request: Request) {
+        let frontend = self.clone();
         tokio::spawn(async move {
-            let _ = front.ask_owner_once(&question).await;
+            let _ = frontend.ask_owner_once(&request).await;
         });
     }
 
@@ -85,16 +85,16 @@
     /// The notification may reach an owner that has been replaced without knowing it, after its successor has read the
     /// stored records. The successor would learn of the record only when it reads the partition again, up to 2 s later,
     /// but a cancellation must take effect within 3 s.
-    pub(super) fn notify_owner(&self, question: Question) {
-        let front = self.clone();
+    pub(super) fn notify_owner(&self, request: Request) {
+        let frontend = self.clone();
         tokio::spawn(async move {
             let mut failures = 0;
             while failures < MAX_NOTIFICATION_FAILURES {
-                let epoch = front.shared.epoch();
-                if front.ask_owner_once(&question).await.is_none() {
+                let epoch = frontend.shared.epoch();
+                if frontend.ask_owner_once(&request).await.is_none() {
                     failures += 1;
                     sleep(OWNER_RETRY_PAUSE * 4).await;
-                } else if !front.is_replaced(epoch).await {
+                } else if !frontend.is_replaced(epoch).await {
                     return;
                 }
             }
--- a/crates/node/src/health.rs
+++ b/crates/node/src/health.rs
@@ -15,8 +15,8 @@
 use tokio::time::Instant;
 
 use crate::{
-    port::Error,
-    report::millis, //
+    platform::Error,
+    telemetry::millis, //
 };
 
 /// The store counts as unavailable once it has been failing for this multiple of its typical latency, clamped to
@@ -52,7 +52,7 @@
 
 impl Call {
     /// Returns the time since the call was made.
-    pub(crate) fn took(&self) -> Duration {
+    pub(crate) fn elapsed(&self) -> Duration {
         self.began.elapsed()
     }
 }
@@ -169,7 +169,7 @@
         }
         let due = due.unwrap_or(call.began).max(state.last_answer);
         state.failing_since = Some(due.min(Instant::now()));
-        self.log_failure(call, error.word());
+        self.log_failure(call, error.as_str());
     }
 
     /// Returns how long the store has been failing: the time since the first failure or unanswered due call.
@@ -195,29 +195,29 @@
     }
 
     /// Returns the moving average of the latency of answered calls.
-    pub(crate) fn usual(&self) -> Duration {
+    pub(crate) fn typical_latency(&self) -> Duration {
         self.state().typical_latency
     }
 
     /// Returns when the store last answered this node after an outage.
-    pub(crate) fn regained(&self) -> Instant {
+    pub(crate) fn recovered_at(&self) -> Instant {
         self.state().recovered_at
     }
 
     /// Returns whether the store answers this node slowly.
     pub(crate) fn is_slow(&self) -> bool {
-        self.usual() >= SLOW_LATENCY && !self.is_failing()
+        self.typical_latency() >= SLOW_LATENCY && !self.is_failing()
     }
 
     /// Returns the time after which an answer is overdue.
-    pub(crate) fn patience(&self) -> Duration {
+    pub(crate) fn overdue_time(&self) -> Duration {
         self.state().overdue_time()
     }
 
     /// Returns whether the store counts as unavailable for this node.
     pub(crate) fn is_unavailable(&self) -> bool {
-        let limit =
-            (self.usual() * UNAVAILABLE_FACTOR).clamp(MIN_UNAVAILABLE_TIME, MAX_UNAVAILABLE_TIME);
+        let limit = (self.typical_latency() * UNAVAILABLE_FACTOR)
+            .clamp(MIN_UNAVAILABLE_TIME, MAX_UNAVAILABLE_TIME);
         self.failing_for() >= limit
     }
 }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -2,52 +2,52 @@
 //!
 //! All nodes run the same program. Each node accepts jobs from callers and writes their records to the store. One node
 //! at a time owns the cell and makes its scheduling decisions; the others ask the advice service and send orders to
-//! workers on its behalf. A node reaches the platform through the [`port::Platform`] that it is built with.
+//! workers on its behalf. A node reaches the platform through the [`platform::Platform`] that it is built with.
 //!
 //! | module | responsibility |
 //! |---|---|
-//! | [`comeback`] | how long a refused caller should wait before it retries |
-//! | `edition` | reads the configuration from the owner while the store is silent |
+//! | [`assignment`] | assigns workers to the nodes that send their orders |
+//! | `config_exchange` | reads the configuration from the owner while the store is silent |
+//! | `dispatch` | sends orders to workers on behalf of the owner and reports the results |
 //! | `evacuation` | the data centres that the operator has evacuated |
-//! | [`front`] | submits, looks up and cancels jobs for callers |
+//! | [`frontend`] | submits, looks up and cancels jobs for callers |
 //! | `health` | tracks whether and how fast the store answers this node |
-//! | `hand` | sends orders to workers on behalf of the owner and reports the results |
 //! | `hedge` | sends another copy of a store call whose answer is overdue |
 //! | `intake` | writes jobs and cancellations to the store in batches |
+//! | `lag` | measures how late timers and events run in this process |
 //! | `member` | follows the ownership of the cell and claims it |
+//! | `message` | the messages between nodes |
 //! | `operator` | how current this node's copy of the operator's records is |
 //! | `order` | orders to workers and their results |
 //! | `owner` | the owner's actor, its takeover, and its reads and writes of the store |
-//! | `watch` | follows the configuration and the list of workers |
-//! | `message` | the messages between nodes |
-//! | `pulse` | measures how late timers and events run in this process |
-//! | `report` | logs and metrics |
+//! | [`retry_delay`] | how long a refused caller should wait before it retries |
 //! | [`revocation`] | how long a node may accept keys while it can't read the configuration |
-//! | [`share`] | assigns workers to the nodes that send their orders |
 //! | [`succession`] | decides which node should own the cell next and when an owner should give up |
+//! | `telemetry` | logs and metrics |
+//! | `watch` | follows the configuration and the list of workers |
 
-pub mod comeback;
-mod edition;
+pub mod assignment;
+mod config_exchange;
+mod dispatch;
 mod evacuation;
-pub mod front;
-mod hand;
+mod fallback;
+pub mod frontend;
 mod health;
 mod hedge;
 mod intake;
+mod lag;
 mod member;
 mod message;
 mod node;
 mod operator;
 mod order;
 mod owner;
-pub mod port;
-mod pulse;
-mod recall;
-mod report;
+pub mod platform;
+pub mod retry_delay;
 pub mod revocation;
-pub mod share;
 mod shared;
 pub mod succession;
+mod telemetry;
 mod watch;
 
 pub use self::{
@@ -57,5 +57,5 @@
         Node,
         Parts, //
     },
-    report::Meter,
+    telemetry::Meter,
 };
--- a/crates/node/src/member/follow.rs
+++ b/crates/node/src/member/follow.rs
@@ -28,11 +28,11 @@
 use crate::{
     message::{
         self,
-        Question,
-        Reply, //
+        Reply,
+        Request, //
     },
     operator,
-    port::{
+    platform::{
         Error,
         Platform, //
     },
@@ -41,7 +41,7 @@
         self,
         outranks, //
     },
-    watch::pause,
+    watch::wait_to_retry,
 };
 
 /// How often a node asks the owner whether it still owns the cell.
@@ -52,7 +52,7 @@
 /// How much of a new owner's time the first hello of a node takes, with its connection.
 const FIRST_HELLO_COST: Duration = Duration::from_millis(1);
 /// A claim that was not renewed for this long, in addition to the allowance for the store's usual
-/// call time, has lapsed. It spans two renewals, and applies only to an owner that doesn't answer.
+/// call time, has expired. It spans two renewals, and applies only to an owner that doesn't answer.
 /// It may be short, since a claim made by mistake costs a takeover of some 0.1 s, and each 0.1 s
 /// without an owner some 5 urgent jobs.
 const LEASE: Duration = Duration::from_millis(700);
@@ -64,9 +64,9 @@
 /// The longest random delay before a claim, so that nodes don't all append at once.
 const MAX_CLAIM_JITTER: Duration = Duration::from_millis(60);
 
-/// Returns how long a claim stands without renewal.
-fn lapse_time<P: Platform>(shared: &Shared<P>) -> Duration {
-    LEASE + STORE_LATENCY_FACTOR * shared.store.usual()
+/// Returns the time without renewal after which a claim has expired.
+fn claim_expiry_time<P: Platform>(shared: &Shared<P>) -> Duration {
+    LEASE + STORE_LATENCY_FACTOR * shared.store.typical_latency()
 }
 
 /// Reads the newest claim again. A renewal that was seen before keeps the time it was first seen.
@@ -75,7 +75,7 @@
         Some(newer) if newer.end == seen.end => seen,
         Some(newer) => newer,
         None => {
-            pause().await;
+            wait_to_retry().await;
             // Time in which the store isn't known to answer doesn't count towards the lease.
             Observation {
                 since: Instant::now(),
@@ -90,9 +90,9 @@
     /// It answers as the owner; carries how often its claim has been renewed.
     Alive(u32),
     /// It is gone, or says that it doesn't own the cell; carries the evidence.
-    Vacant(&'static str),
+    Lost(&'static str),
     /// It gave no answer.
-    Silent,
+    NoAnswer,
     /// There is a later claim.
     Replaced(Claim),
 }
@@ -107,7 +107,7 @@
     // How often the claim had been renewed when the owner last answered; 0 before its first answer.
     let mut renewals = 0;
     let delay = first_hello_delay(shared, seen.claim.as_ref());
-    let _ = timeout(delay, shared.vacant.notified()).await;
+    let _ = timeout(delay, shared.owner_lost.notified()).await;
     loop {
         if let Some(newer) = newer_claim(shared, &seen) {
             return newer;
@@ -120,12 +120,12 @@
                 // A release of the claim or a message from a peer may arrive before the next hello
                 // is due.
                 let interval = hello_interval(shared, seen.claim.as_ref());
-                let _ = timeout(interval, shared.vacant.notified()).await;
+                let _ = timeout(interval, shared.owner_lost.notified()).await;
                 continue;
             }
             OwnerStatus::Replaced(claim) => return adopt_peer_claim(shared, claim),
-            OwnerStatus::Vacant(why) => why,
-            OwnerStatus::Silent => {
+            OwnerStatus::Lost(why) => why,
+            OwnerStatus::NoAnswer => {
                 if last_answer_at.elapsed() >= SILENCE_THRESHOLD {
                     let before = epoch(&seen);
                     seen = reread(shared, seen).await;
@@ -135,12 +135,12 @@
                     let renewal = seen.claim.as_ref().map(|claim| claim.renewal);
                     if renewal.is_some_and(|renewal| renewal <= renewals) {
                         // The claim was not renewed since the owner last answered.
-                        let regained = shared.store.regained();
+                        let regained = shared.store.recovered_at();
                         seen.since = succession::silent_since(seen.since, last_answer_at, regained);
                     }
                 }
                 if last_answer_at.elapsed() < SILENCE_THRESHOLD
-                    || seen.since.elapsed() < lapse_time(shared)
+                    || seen.since.elapsed() < claim_expiry_time(shared)
                 {
                     sleep(HELLO_INTERVAL / 4).await;
                     continue;
@@ -162,7 +162,7 @@
             if let Some(claim) = ask_peers_for_claim(shared).await {
                 return adopt_peer_claim(shared, claim);
             }
-            pause().await;
+            wait_to_retry().await;
             return seen;
         };
         if epoch(&fresh) != epoch(&seen) {
@@ -181,22 +181,22 @@
 
 async fn check_owner<P: Platform>(shared: &Shared<P>, claim: Option<&Claim>) -> OwnerStatus {
     let Some(claim) = claim else {
-        return OwnerStatus::Vacant("first");
+        return OwnerStatus::Lost("first");
     };
     if claim.released {
-        return OwnerStatus::Vacant("released");
+        return OwnerStatus::Lost("released");
     }
     if claim.node == shared.name {
         // The claim is this node's, but this process doesn't hold it.
-        return OwnerStatus::Vacant("former-life");
+        return OwnerStatus::Lost("former-life");
     }
-    let hello = Question::Hello(shared.greeting());
+    let hello = Request::Hello(shared.hello());
     let asked = Instant::now();
-    match message::ask(&shared.rpc, claim.address, &hello, HELLO_TIMEOUT).await {
-        Ok(Reply::Owner(newer, extent)) if newer.epoch == claim.epoch => {
-            shared.note_spread(&newer);
-            if let Some(extent) = extent {
-                operator::confirm(shared, extent, asked);
+    match message::send(&shared.rpc, claim.address, &hello, HELLO_TIMEOUT).await {
+        Ok(Reply::Owner(newer, position)) if newer.epoch == claim.epoch => {
+            shared.record_spread(&newer);
+            if let Some(position) = position {
+                operator::apply_owner_position(shared, position, asked);
             }
             OwnerStatus::Alive(newer.renewal)
         }
@@ -204,20 +204,20 @@
         Ok(Reply::NotOwner {
             claim: known,
             incarnation,
-        }) => interpret_disavowal(claim, known, incarnation),
-        Err(rpc::Error::Refused { .. }) => OwnerStatus::Vacant("refused"),
-        Ok(_) | Err(_) => OwnerStatus::Silent,
+        }) => interpret_not_owner(claim, known, incarnation),
+        Err(rpc::Error::Refused { .. }) => OwnerStatus::Lost("refused"),
+        Ok(_) | Err(_) => OwnerStatus::NoAnswer,
     }
 }
 
 /// Interprets the answer of a claim's node that it doesn't own the cell.
-fn interpret_disavowal(claim: &Claim, known: Option<Claim>, incarnation: u64) -> OwnerStatus {
+fn interpret_not_owner(claim: &Claim, known: Option<Claim>, incarnation: u64) -> OwnerStatus {
     let epoch = known.as_ref().map(|known| known.epoch).unwrap_or_default();
     match known {
         Some(newer) if newer.epoch > claim.epoch => OwnerStatus::Replaced(newer),
         // It has not learnt yet that its own claim was stored.
-        _ if incarnation == claim.incarnation && epoch < claim.epoch => OwnerStatus::Silent,
-        _ => OwnerStatus::Vacant("disowned"),
+        _ if incarnation == claim.incarnation && epoch < claim.epoch => OwnerStatus::NoAnswer,
+        _ => OwnerStatus::Lost("disowned"),
     }
 }
 
@@ -249,8 +249,8 @@
 /// Comparing with the last owner would not do: once a weak node had the cell, others like it
 /// claimed it as soon as the strong ones did, and lost it again, for 10 s in a row.
 fn claim_delay<P: Platform>(shared: &Shared<P>) -> Duration {
-    let is_weak = outranks(shared.strongest(), shared.strength);
-    let is_slow = !succession::is_quick(shared.pulse.timers());
+    let is_weak = outranks(shared.strongest_owner(), shared.strength);
+    let is_slow = !succession::is_prompt(shared.lag.timer_lag());
     let min_delay = match is_weak || is_slow {
         true => WEAK_CLAIM_DELAY,
         false => Duration::ZERO,
@@ -285,21 +285,21 @@
             .map_or(0, |claim| claim.consecutive_slow_owners),
     };
     let result = append(shared, &claim, seen.end).await;
-    let outcome = result.as_ref().err().map_or("won", Error::word);
+    let outcome = result.as_ref().err().map_or("won", Error::as_str);
     slog::info!(shared.log, "claim"; "epoch" => %claim.epoch, "why" => why,
         "outcome" => outcome);
     match result {
         Ok(end) => {
-            shared.note_claim(claim.clone());
+            shared.record_claim(claim.clone());
             Observation {
                 claim: Some(claim),
                 end,
                 since: Instant::now(),
             }
         }
-        Err(Error::Moved { .. }) => read_claim(shared).await,
+        Err(Error::WrongEnd { .. }) => read_claim(shared).await,
         Err(_) => {
-            pause().await;
+            wait_to_retry().await;
             read_claim(shared).await
         }
     }
--- a/crates/node/src/member/isolation.rs
+++ b/crates/node/src/member/isolation.rs
@@ -14,10 +14,10 @@
 use crate::{
     message::{
         self,
-        Question,
-        Reply, //
+        Reply,
+        Request, //
     },
-    port::Platform,
+    platform::Platform,
     shared::Shared,
 };
 
@@ -37,10 +37,10 @@
     loop {
         sleep(CHECK_INTERVAL).await;
         // The store may be back by the time the owner has answered.
-        let is_alone = is_failing(&shared) && is_alone(&shared).await && is_failing(&shared);
-        if shared.is_alone.swap(is_alone, Ordering::Relaxed) != is_alone {
-            slog::info!(shared.log, "alone"; "is" => is_alone,
-                "store_failing_ms" => crate::report::millis(shared.store.failing_for()));
+        let is_isolated = is_failing(&shared) && is_isolated(&shared).await && is_failing(&shared);
+        if shared.is_isolated.swap(is_isolated, Ordering::Relaxed) != is_isolated {
+            slog::info!(shared.log, "alone"; "is" => is_isolated,
+                "store_failing_ms" => crate::telemetry::millis(shared.store.failing_for()));
         }
     }
 }
@@ -49,18 +49,18 @@
     shared.store.failing_for() >= OWNER_QUERY_THRESHOLD
 }
 
-async fn is_alone<P: Platform>(shared: &Shared<P>) -> bool {
+async fn is_isolated<P: Platform>(shared: &Shared<P>) -> bool {
     let owner = shared.claim.borrow().as_ref().map(|claim| claim.address);
     // The owner asks all other nodes itself, and gives the cell up if it is isolated.
     let Some(owner) = owner.filter(|address| *address != shared.address) else {
         return false;
     };
-    let answer = message::ask(
+    let answer = message::send(
         &shared.rpc,
         owner,
-        &Question::Store,
+        &Request::ProbeStore,
         PROBE_TIMEOUT + ROUND_TRIP_ALLOWANCE,
     )
     .await;
-    !matches!(answer, Ok(Reply::Store(None)))
+    !matches!(answer, Ok(Reply::StoreLatency(None)))
 }
--- a/crates/node/src/member/mod.rs
+++ b/crates/node/src/member/mod.rs
@@ -33,12 +33,13 @@
 
 use self::{follow::follow, own::own_cell};
 use crate::{
+    fallback,
     message::{
         self,
-        Question,
-        Reply, //
+        Reply,
+        Request, //
     },
-    port::{
+    platform::{
         Append,
         Condition,
         Error,
@@ -48,20 +49,19 @@
         Rejected,
         Topic, //
     },
-    recall,
     shared::Shared,
-    watch::pause,
+    watch::wait_to_retry,
 };
 
 /// The key of the claim record.
 const CLAIM_KEY: &str = "owner";
 /// Which records are claims, and how they are decoded.
-const CLAIM_RECORDS: recall::Own<'static, Claim> = recall::Own {
-    key: |key| key == CLAIM_KEY,
-    read: &|record| {
+const CLAIM_RECORDS: fallback::Decoder<'static, Claim> = fallback::Decoder {
+    is_own: |key| key == CLAIM_KEY,
+    decode: &|record| {
         let claim = record.value.as_ref();
         let claim = claim.map(|value| record::decode(value));
-        claim.transpose().map_err(|_| Fault::Form)
+        claim.transpose().map_err(|_| Fault::Structure)
     },
 };
 /// How long the owner may take to answer a hello: a round trip takes 3 ms, and some 80 ms if the
@@ -121,17 +121,17 @@
         if let Some(claim) = ask_peers_for_claim(shared).await {
             return adopt_peer_claim(shared, claim);
         }
-        pause().await;
+        wait_to_retry().await;
     }
 }
 
 /// Asks the nodes that this one knows for a claim newer than its own.
 async fn ask_peers_for_claim<P: Platform>(shared: &Shared<P>) -> Option<Claim> {
     let peers = shared.peers.lock().await.clone();
-    let hello = Question::Hello(shared.greeting());
+    let hello = Request::Hello(shared.hello());
     let requests = peers
         .iter()
-        .map(|peer| message::ask(&shared.rpc, peer.address, &hello, HELLO_TIMEOUT));
+        .map(|peer| message::send(&shared.rpc, peer.address, &hello, HELLO_TIMEOUT));
     let answers = join_all(requests).await;
     let claims = answers.into_iter().filter_map(|answer| match answer {
         Ok(Reply::Owner(claim, _)) => Some(claim),
@@ -146,7 +146,7 @@
 fn adopt_peer_claim<P: Platform>(shared: &Shared<P>, claim: Claim) -> Observation {
     slog::info!(shared.log, "owner"; "epoch" => %claim.epoch, "node" => claim.node.as_str(),
         "address" => %claim.address, "released" => claim.released, "by" => "peer");
-    shared.note_claim(claim.clone());
+    shared.record_claim(claim.clone());
     Observation {
         claim: Some(claim),
         end: 0,
@@ -156,17 +156,17 @@
 
 /// The result of the last probe of the store, and when it was made.
 #[derive(Debug, Default)]
-pub(crate) struct Probe(Mutex<Option<(Instant, Option<Duration>)>>);
+pub(crate) struct ProbeCache(Mutex<Option<(Instant, Option<Duration>)>>);
 
 /// Returns how long the store has recently taken to answer this node; `None` if it doesn't answer.
 ///
 /// During an outage of the store, all nodes of the cell ask the owner for this, ten times a second
 /// each. They get the result of its latest call, or share one probe.
-pub(crate) async fn vouch<P: Platform>(shared: &Shared<P>) -> Option<Duration> {
+pub(crate) async fn recent_store_latency<P: Platform>(shared: &Shared<P>) -> Option<Duration> {
     if shared.store.has_answered_within(MAX_PROBE_AGE) {
-        return Some(shared.store.usual());
+        return Some(shared.store.typical_latency());
     }
-    let mut last = shared.probe.0.lock().await;
+    let mut last = shared.probe_cache.0.lock().await;
     if let Some((at, took)) = *last
         && at.elapsed() <= MAX_PROBE_AGE
     {
@@ -193,11 +193,12 @@
 async fn try_read_claim<P: Platform>(shared: &Shared<P>) -> Option<Observation> {
     let page = shared.newest("claims", Topic::Claims).await.ok()?;
     let end = page.next;
-    let settled = recall::settle(shared, Topic::Claims, "claims", page, CLAIM_RECORDS).await;
-    let settled = settled.ok()?;
-    let claim = match settled.found.into_iter().next() {
+    let decoded =
+        fallback::decode_with_fallback(shared, Topic::Claims, "claims", page, CLAIM_RECORDS).await;
+    let decoded = decoded.ok()?;
+    let claim = match decoded.values.into_iter().next() {
         Some(claim) => Some(claim),
-        None if !settled.rejected.iter().any(is_claim) => None,
+        None if !decoded.rejected.iter().any(is_claim) => None,
         None => shared.claim.borrow().clone(),
     };
     let known = shared.claim.borrow().clone();
@@ -208,7 +209,7 @@
             "address" => %claim.address, "released" => claim.released);
     }
     if let Some(claim) = &claim {
-        shared.note_claim(claim.clone());
+        shared.record_claim(claim.clone());
     }
     Some(Observation {
         claim,
--- a/crates/node/src/member/own.rs
+++ b/crates/node/src/member/own.rs
@@ -33,27 +33,27 @@
     try_read_claim, //
 };
 use crate::{
+    assignment::Peer,
     message::{
         self,
-        Question,
-        Reply, //
+        Reply,
+        Request, //
     },
     owner::{
         Event,
         take_over, //
     },
-    port::Platform,
-    report::millis,
-    share::Peer,
+    platform::Platform,
     shared::{
-        Acting,
+        Ownership,
         Shared, //
     },
     succession::{
         self,
-        Greeting,
+        Hello,
         Reason, //
     },
+    telemetry::millis,
 };
 
 /// How often the owner renews its claim.
@@ -66,9 +66,9 @@
 const MAX_LEAVE_DELAY: Duration = Duration::from_secs(2);
 /// How often the owner checks whether another node should own the cell.
 const SUCCESSION_CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// Nodes whose last greeting is older than this don't succeed the owner; weak nodes send one every
+/// Nodes whose last hello is older than this don't succeed the owner; weak nodes send one every
 /// 0.7 s.
-const MAX_GREETING_AGE: Duration = Duration::from_millis(1_000);
+const MAX_HELLO_AGE: Duration = Duration::from_millis(1_000);
 /// Once the store has failed for this long, the owner asks other nodes whether it fails for them
 /// too.
 const PEER_QUERY_THRESHOLD: Duration = Duration::from_millis(250);
@@ -87,9 +87,9 @@
 
 /// Owns the cell until the claim is lost, given up, or can't be trusted any more.
 pub(super) async fn own_cell<P: Platform>(shared: &Arc<Shared<P>>, mut claim: Claim, mut end: u64) {
-    shared.acting.send_replace(Some(Acting {
+    shared.ownership.send_replace(Some(Ownership {
         claim: claim.clone(),
-        seat: None,
+        engine: None,
     }));
     // Discards a notification that is left over from an earlier ownership.
     let _ = shared.stalled.notified().now_or_never();
@@ -98,7 +98,7 @@
         let claim = claim.clone();
         async move { take_over(&shared, &claim).await.is_ok() }
     });
-    shared.pulse.forget_events();
+    shared.lag.reset_event_waits();
     let (began, slow_owners) = (Instant::now(), claim.consecutive_slow_owners);
     let ending = tokio::select! {
         ending = wait_for_dismissal(shared) => ending,
@@ -108,9 +108,9 @@
         () = shared.stalled.notified() => Ending::Released("stalled"),
     };
     slog::info!(shared.log, "ownership-ends"; "epoch" => %claim.epoch, "why" => ending.as_str(),
-        "lag_ms" => millis(shared.pulse.owner()));
+        "lag_ms" => millis(shared.lag.owner_lag()));
     let peers = shared.peers.lock().await.clone();
-    if began.elapsed() >= succession::CALM {
+    if began.elapsed() >= succession::SLOW_SERIES_GAP {
         claim.consecutive_slow_owners = 0;
     }
     // This node goes on scheduling while the successor's claim is being written, unless the
@@ -123,7 +123,7 @@
         Ending::Released(_) | Ending::Lost(_) => None,
     };
     depose(shared, &takeover).await;
-    shared.acting.send_replace(None);
+    shared.ownership.send_replace(None);
     if let Some(successor) = successor {
         announce_successor(shared, successor, &peers).await;
         return;
@@ -135,10 +135,10 @@
         let _ = timeout(RENEWAL_TIMEOUT, append(shared, &claim, end)).await;
     }
     if ending.as_str() != "replaced" {
-        let vacant = Question::Vacant(claim.epoch);
+        let released = Request::Released(claim.epoch);
         let notifications = peers
             .iter()
-            .map(|peer| message::ask(&shared.rpc, peer.address, &vacant, HELLO_TIMEOUT));
+            .map(|peer| message::send(&shared.rpc, peer.address, &released, HELLO_TIMEOUT));
         join_all(notifications).await;
     }
 }
@@ -146,9 +146,9 @@
 /// Stops the owner's actor, or the takeover that would start it.
 async fn depose<P: Platform>(shared: &Shared<P>, takeover: &JoinHandle<bool>) {
     takeover.abort();
-    if let Some(control) = shared.control() {
+    if let Some(actor) = shared.engine_actor() {
         // The actor may have ended already.
-        let _ = control.tell(Event::Deposed).await;
+        let _ = actor.tell(Event::Deposed).await;
     }
 }
 
@@ -166,7 +166,7 @@
 impl Ending {
     const fn as_str(self) -> &'static str {
         match self {
-            Self::HandOver(reason) => reason.word(),
+            Self::HandOver(reason) => reason.as_str(),
             Self::Released(why) | Self::Lost(why) => why,
         }
     }
@@ -184,9 +184,9 @@
     end: &mut u64,
     reason: Reason,
 ) -> Option<Claim> {
-    let greetings = recent_greetings(shared).await;
-    let lag = shared.pulse.owner();
-    let next = succession::choose(shared.strength, lag, reason, &greetings)?;
+    let hellos = recent_hellos(shared).await;
+    let lag = shared.lag.owner_lag();
+    let next = succession::choose_successor(shared.strength, lag, reason, &hellos)?;
     let successor = Claim {
         epoch: claim.epoch.next(),
         node: next.node.clone(),
@@ -204,11 +204,11 @@
     };
     // The claim may be stored although no answer arrives, so this node must not go on for longer
     // than it would without the store.
-    let time_limit =
-        MAX_ISOLATED_TIME.min(RENEWAL_TIMEOUT + STORE_LATENCY_FACTOR * shared.store.usual());
+    let time_limit = MAX_ISOLATED_TIME
+        .min(RENEWAL_TIMEOUT + STORE_LATENCY_FACTOR * shared.store.typical_latency());
     let result = timeout(time_limit, append_successor(shared, &successor, end)).await;
     let is_stored = matches!(result, Ok(true));
-    slog::info!(shared.log, "hand-over"; "epoch" => %successor.epoch, "why" => reason.word(),
+    slog::info!(shared.log, "hand-over"; "epoch" => %successor.epoch, "why" => reason.as_str(),
         "node" => successor.node.as_str(), "lag_ms" => millis(next.lag),
         "age_ms" => millis(next.age), "outcome" => if is_stored { "kept" } else { "not-kept" });
     is_stored.then_some(successor)
@@ -243,32 +243,32 @@
 /// Tells the successor first and then the other nodes, so that none of them claims the cell or asks
 /// this node.
 async fn announce_successor<P: Platform>(shared: &Shared<P>, successor: Claim, peers: &[Peer]) {
-    shared.note_claim(successor.clone());
-    let handed = Question::Handed(successor.clone());
-    // A node that isn't reached learns of it with its next greeting.
-    let _ = message::ask(&shared.rpc, successor.address, &handed, HELLO_TIMEOUT).await;
+    shared.record_claim(successor.clone());
+    let handed_over = Request::HandedOver(successor.clone());
+    // A node that isn't reached learns of it with its next hello.
+    let _ = message::send(&shared.rpc, successor.address, &handed_over, HELLO_TIMEOUT).await;
     let others = peers
         .iter()
         .filter(|peer| peer.address != successor.address);
     let notifications =
-        others.map(|peer| message::ask(&shared.rpc, peer.address, &handed, HELLO_TIMEOUT));
+        others.map(|peer| message::send(&shared.rpc, peer.address, &handed_over, HELLO_TIMEOUT));
     join_all(notifications).await;
 }
 
-/// Returns the recent greetings of other nodes.
-async fn recent_greetings<P: Platform>(shared: &Shared<P>) -> Vec<Greeting> {
-    let greetings = shared.greetings.lock().await;
-    let fresh = greetings
+/// Returns the recent hellos of other nodes.
+async fn recent_hellos<P: Platform>(shared: &Shared<P>) -> Vec<Hello> {
+    let hellos = shared.hellos.lock().await;
+    let fresh = hellos
         .values()
-        .filter(|(_, at)| at.elapsed() < MAX_GREETING_AGE);
-    fresh.map(|(greeting, _)| greeting.clone()).collect()
+        .filter(|(_, at)| at.elapsed() < MAX_HELLO_AGE);
+    fresh.map(|(hello, _)| hello.clone()).collect()
 }
 
 /// Waits until a worker or the store reports a later owner, or the process is to end.
 async fn wait_for_dismissal<P: Platform>(shared: &Shared<P>) -> Ending {
-    let mut acting = shared.acting.subscribe();
+    let mut ownership = shared.ownership.subscribe();
     loop {
-        if acting.borrow_and_update().is_none() {
+        if ownership.borrow_and_update().is_none() {
             return Ending::Lost("fenced");
         }
         if shared.is_leaving() {
@@ -276,7 +276,7 @@
             return Ending::HandOver(Reason::Leaving);
         }
         // The sender lives as long as this task.
-        let _ = acting.changed().await;
+        let _ = ownership.changed().await;
     }
 }
 
@@ -296,14 +296,14 @@
     loop {
         sleep(SUCCESSION_CHECK_INTERVAL).await;
         let owned = began.elapsed();
-        let lag = shared.pulse.owner();
+        let lag = shared.lag.owner_lag();
         let reason = match () {
             () if succession::is_slow(lag, owned, slow_owners) => Reason::Slow,
             () if owned >= MIN_TENURE => Reason::Outranked,
             () => continue,
         };
-        let greetings = recent_greetings(shared).await;
-        if succession::choose(shared.strength, lag, reason, &greetings).is_some() {
+        let hellos = recent_hellos(shared).await;
+        if succession::choose_successor(shared.strength, lag, reason, &hellos).is_some() {
             return reason;
         }
     }
@@ -318,7 +318,7 @@
     let mut is_certain = true;
     loop {
         sleep(LEASE_RENEWAL_INTERVAL).await;
-        let time_limit = RENEWAL_TIMEOUT + STORE_LATENCY_FACTOR * shared.store.usual();
+        let time_limit = RENEWAL_TIMEOUT + STORE_LATENCY_FACTOR * shared.store.typical_latency();
         if !is_certain {
             match timeout(time_limit, try_read_claim(shared)).await {
                 Ok(Some(seen)) if seen.claim.as_ref().is_some_and(|c| is_own(shared, c)) => {
@@ -336,7 +336,7 @@
         match timeout(time_limit, append(shared, claim, *end)).await {
             Ok(Ok(newer)) => {
                 *end = newer;
-                shared.note_spread(claim);
+                shared.record_spread(claim);
                 publish_renewal(shared, claim);
             }
             Ok(Err(_)) | Err(_) => is_certain = false,
@@ -346,10 +346,10 @@
 
 /// Updates the number of renewals and the spread that this node reports to other nodes.
 fn publish_renewal<P: Platform>(shared: &Shared<P>, claim: &Claim) {
-    shared.acting.send_if_modified(|acting| {
-        if let Some(acting) = acting {
-            acting.claim.renewal = claim.renewal;
-            acting.claim.spread = claim.spread;
+    shared.ownership.send_if_modified(|ownership| {
+        if let Some(ownership) = ownership {
+            ownership.claim.renewal = claim.renewal;
+            ownership.claim.spread = claim.spread;
         }
         // No task waits for this change.
         false
@@ -376,10 +376,10 @@
         let mut asked: FuturesUnordered<_> = peers
             .iter()
             .map(|peer| {
-                message::ask(
+                message::send(
                     &shared.rpc,
                     peer.address,
-                    &Question::Store,
+                    &Request::ProbeStore,
                     2 * HELLO_TIMEOUT,
                 )
             })
@@ -390,7 +390,7 @@
         while let Some(answer) = asked.next().await {
             match answer {
                 // A store that is slow for the others is slow for the owner too.
-                Ok(Reply::Store(Some(took)))
+                Ok(Reply::StoreLatency(Some(took)))
                     if failing >= PEER_QUERY_THRESHOLD + STORE_LATENCY_FACTOR * took =>
                 {
                     if matches!(
--- a/crates/node/src/message.rs
+++ b/crates/node/src/message.rs
@@ -34,18 +34,18 @@
 };
 
 use crate::{
-    hand::{
+    dispatch::{
         Orders,
         Reports, //
     },
-    succession::Greeting, //
+    succession::Hello, //
 };
 
 /// A request of one node to another.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub(crate) enum Question {
-    /// The heartbeat of a node, which also asks the owner whether it still owns the cell.
-    Hello(Greeting),
+pub(crate) enum Request {
+    /// The periodic message of a node to the owner, which also asks the owner whether it still owns the cell.
+    Hello(Hello),
     /// A job was submitted; its record is being written.
     Announced(Box<Accepted>),
     /// The record of an announced job was not stored.
@@ -55,13 +55,13 @@
     /// A job was cancelled; the cancellation is stored.
     Cancelled(Cancelled),
     /// Asks for the state of a job.
-    Look {
+    JobState {
         /// The job.
         job: JobId,
         /// The workspace of the caller.
-        viewer: Option<WorkspaceName>,
+        workspace: Option<WorkspaceName>,
         /// The time since the caller's request arrived.
-        asked: Duration,
+        elapsed: Duration,
     },
     /// Asks how many jobs of a queue have not started any task, as visible to callers of a workspace.
     Pending(QueueName, Option<WorkspaceName>),
@@ -72,10 +72,10 @@
         /// The workers to ask about.
         workers: Vec<WorkerId>,
         /// The time limit for the advice call.
-        patience: Duration,
+        timeout: Duration,
     },
     /// Asks whether the store answers the other node.
-    Store,
+    ProbeStore,
     /// Asks for the configuration that the other node uses, if its version is later than this one.
     Configuration(u64),
     /// Asks the other node to send these orders to workers.
@@ -83,34 +83,34 @@
     /// The results of orders that this node sent on behalf of the owner.
     Reports(Reports),
     /// The owner released the cell; carries the epoch of the ownership that ended.
-    Vacant(Epoch),
+    Released(Epoch),
     /// The owner handed the cell over under this claim, which is stored.
-    Handed(Claim),
+    HandedOver(Claim),
 }
 
-impl Question {
+impl Request {
     /// Returns the name of the request, as metric labels have it.
-    pub(crate) const fn word(&self) -> &'static str {
+    pub(crate) const fn as_str(&self) -> &'static str {
         match self {
             Self::Hello(_) => "hello",
             Self::Announced(_) => "announced",
             Self::Withdrawn(_) => "withdrawn",
             Self::Accepted(_) => "accepted",
             Self::Cancelled(_) => "cancelled",
-            Self::Look { .. } => "look",
+            Self::JobState { .. } => "look",
             Self::Pending(..) => "pending",
             Self::Advise { .. } => "advise",
-            Self::Store => "store",
+            Self::ProbeStore => "store",
             Self::Configuration(_) => "configuration",
             Self::Orders(_) => "orders",
             Self::Reports(_) => "reports",
-            Self::Vacant(_) => "vacant",
-            Self::Handed(_) => "handed",
+            Self::Released(_) => "vacant",
+            Self::HandedOver(_) => "handed",
         }
     }
 }
 
-/// The reply to a [`Question`].
+/// The reply to a [`Request`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) enum Reply {
     /// This node owns the cell under this claim and has read the operator's records up to this position.
@@ -123,19 +123,19 @@
         incarnation: u64,
     },
     /// The request was processed; there is nothing to return.
-    Noted,
+    Ack,
     /// The state of a job.
     State(State),
     /// The owner doesn't know the job.
-    Absent(Absent),
+    UnknownJob(UnknownJob),
     /// The number of jobs that have not started any task.
     Pending(u32),
     /// The workers that may run a step; `None` if the advice service did not answer.
     Advised(Option<Vec<Grant>>),
     /// The latency of the store as just measured by this node; `None` if the store did not answer.
-    Store(Option<Duration>),
+    StoreLatency(Option<Duration>),
     /// The configuration as this node knows it.
-    Configuration(Edition),
+    Configuration(ConfigState),
 }
 
 /// The position up to which a node has read the operator's records.
@@ -149,7 +149,7 @@
 
 /// A configuration as one node knows it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct Edition {
+pub(crate) struct ConfigState {
     /// The version; zero if the node has no configuration.
     pub(crate) version: u64,
     /// The time since the store last confirmed that this version is the newest.
@@ -160,24 +160,24 @@
 
 /// How reliable an owner's reply is that it doesn't know a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct Absent {
+pub(crate) struct UnknownJob {
     /// The epoch of the ownership under which the owner replies.
     pub(crate) epoch: Epoch,
     /// The longest time for which a job may have been stored without the owner having read its record.
-    pub(crate) view: Duration,
+    pub(crate) max_staleness: Duration,
 }
 
 /// Sends a request to a node and waits for the reply.
-pub(crate) async fn ask(
+pub(crate) async fn send(
     client: &rpc::Client,
     address: SocketAddr,
-    question: &Question,
+    request: &Request,
     timeout: Duration,
 ) -> Result<Reply, rpc::Error> {
     let malformed = |error: postcard::Error| rpc::Error::Malformed {
         reason: error.to_string(),
     };
-    let message = postcard::to_stdvec(question).map_err(malformed)?;
+    let message = postcard::to_stdvec(request).map_err(malformed)?;
     let call = Call::Peer(peer::Request {
         message: message.into(),
     });
@@ -190,7 +190,7 @@
 }
 
 /// Decodes a request from a call; returns `None` if the call carries no valid request.
-pub(crate) fn question(call: &Call) -> Option<Question> {
+pub(crate) fn decode_request(call: &Call) -> Option<Request> {
     match call {
         Call::Peer(request) => postcard::from_bytes(&request.message).ok(),
         _ => None,
@@ -198,7 +198,7 @@
 }
 
 /// Encodes a reply as the answer to a call.
-pub(crate) fn answer(reply: &Reply) -> Option<Answer> {
+pub(crate) fn encode_reply(reply: &Reply) -> Option<Answer> {
     let message = postcard::to_stdvec(reply).ok()?;
     let message = message.into();
     Some(Answer::Peer(peer::Reply { message }))
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -43,43 +43,44 @@
 };
 
 use crate::{
-    edition,
-    front::Front,
-    hand::Dispatcher,
+    assignment::Peer,
+    config_exchange,
+    dispatch::Dispatcher,
+    frontend::Frontend,
     health::StoreHealth,
     intake::Intake,
+    lag::{
+        self,
+        LagMonitor, //
+    },
     member,
     message::{
         self,
-        Question,
-        Reply, //
+        Reply,
+        Request, //
     },
     operator,
     owner::{
         self,
         Event, //
     },
-    port::Platform,
-    pulse::{
-        self,
-        Pulse, //
-    },
-    report::Meter,
+    platform::Platform,
     revocation::Revocation,
-    share::Peer,
     shared::Shared,
     succession::{
         self,
-        Greeting, //
+        Hello, //
     },
+    telemetry::Meter,
     watch as store_watch,
 };
 
-/// How long a peer may send no greeting before it is dropped and gets no more requests for advice.
+/// How long a peer may send no hello before it is dropped and gets no more requests for advice.
 const PEER_TIMEOUT: Duration = Duration::from_millis(1_600);
 /// The interval between checks for peers that are gone; new peers are noticed at once.
 const PEER_CHECK_INTERVAL: Duration = Duration::from_millis(400);
-/// The minimum time between two updates of the engine's list of peers: all peers greet a new owner within a second.
+/// The minimum time between two updates of the engine's list of peers: all peers send hellos to a new owner within a
+/// second.
 const MIN_PEER_UPDATE_INTERVAL: Duration = Duration::from_millis(25);
 /// One in this many of a node's file descriptors is for connections of its peers.
 const PEER_DESCRIPTOR_DIVISOR: u32 = 4;
@@ -139,7 +140,7 @@
 /// A running node.
 pub struct Node<P: Platform> {
     shared: Arc<Shared<P>>,
-    front: Front<P>,
+    frontend: Frontend<P>,
     server: rpc::Server,
 }
 
@@ -168,7 +169,7 @@
             incarnation,
             strength: succession::strength(processor, link),
             descriptors,
-            began: Instant::now(),
+            started_at: Instant::now(),
             bounds: parts.bounds,
             revocation: parts.revocation,
             platform: parts.platform,
@@ -178,62 +179,62 @@
             meter: parts.meter,
             config: watch::Sender::new(None),
             config_record: watch::Sender::new(None),
-            config_read: watch::Sender::new(Instant::now()),
-            operator: operator::Reading::default(),
+            config_confirmed_at: watch::Sender::new(Instant::now()),
+            operator: operator::ReadState::default(),
             evacuation: watch::Sender::new(None),
             claim: watch::Sender::new(None),
-            acting: watch::Sender::new(None),
+            ownership: watch::Sender::new(None),
             peers: Mutex::default(),
             is_leaving: AtomicBool::new(false),
-            vacant: Notify::new(),
+            owner_lost: Notify::new(),
             stalled: Notify::new(),
-            greetings: Mutex::default(),
-            pulse: Pulse::default(),
+            hellos: Mutex::default(),
+            lag: LagMonitor::default(),
             store: StoreHealth::new(parts.log),
-            probe: member::Probe::default(),
-            strongest: AtomicU32::new(0),
-            is_alone: AtomicBool::new(false),
+            probe_cache: member::ProbeCache::default(),
+            strongest_owner: AtomicU32::new(0),
+            is_isolated: AtomicBool::new(false),
         });
         let intake = Intake::start(&shared);
         tokio::spawn(store_watch::follow_operator(shared.clone()));
-        tokio::spawn(edition::poll_owner(shared.clone()));
+        tokio::spawn(config_exchange::poll_owner(shared.clone()));
         tokio::spawn(member::run(shared.clone()));
         tokio::spawn(log_suppressed_lines(shared.clone()));
-        tokio::spawn(pulse::run(shared.clone()));
+        tokio::spawn(lag::run(shared.clone()));
         let peer_service = PeerService::new(shared.clone());
         tokio::spawn(peer_service.clone().track_peers());
         tokio::spawn(peer_service.run(calls));
-        let front = Front::new(shared.clone(), intake);
+        let frontend = Frontend::new(shared.clone(), intake);
         Ok(Self {
             shared,
-            front,
+            frontend,
             server,
         })
     }
 
     /// Returns the handle that serves callers.
-    pub fn front(&self) -> Front<P> {
-        self.front.clone()
+    pub fn frontend(&self) -> Frontend<P> {
+        self.frontend.clone()
     }
 
     /// Makes the node give up its ownership and claim no more; it still serves callers.
     pub fn leave(&self) {
         self.shared.is_leaving.store(true, Ordering::Relaxed);
-        self.shared.acting.send_modify(|_| {});
-        self.shared.vacant.notify_waiters();
+        self.shared.ownership.send_modify(|_| {});
+        self.shared.owner_lost.notify_waiters();
     }
 
-    /// Waits until the node has given up its ownership, for `patience` at most.
-    pub async fn disowned(&self, patience: Duration) {
-        let mut acting = self.shared.acting.subscribe();
-        let released = acting.wait_for(Option::is_none);
+    /// Waits until the node has given up its ownership, for `timeout` at most.
+    pub async fn wait_for_release(&self, timeout: Duration) {
+        let mut ownership = self.shared.ownership.subscribe();
+        let released = ownership.wait_for(Option::is_none);
         // After the timeout, the process ends anyway.
-        let _ = tokio::time::timeout(patience, released).await;
+        let _ = tokio::time::timeout(timeout, released).await;
     }
 
-    /// Returns the number of nodes that have recently greeted this node as the owner.
-    pub async fn greeted_by(&self) -> usize {
-        self.shared.greetings.lock().await.len()
+    /// Returns the number of nodes that have recently sent hellos to this node as the owner.
+    pub async fn peer_count(&self) -> usize {
+        self.shared.hellos.lock().await.len()
     }
 
     /// Stops serving peers; requests in progress get up to `drain` to finish.
@@ -258,7 +259,7 @@
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         ticks.tick().await;
-        for (kind, count) in shared.meter.take_left_out() {
+        for (kind, count) in shared.meter.take_omitted_lines() {
             slog::warn!(shared.log, "lines-left-out"; "kind" => kind, "count" => count);
         }
     }
@@ -295,11 +296,11 @@
         while let Some(incoming) = calls.recv().await {
             let peer_service = self.clone();
             tokio::spawn(async move {
-                let Some(question) = message::question(&incoming.call) else {
+                let Some(request) = message::decode_request(&incoming.call) else {
                     return;
                 };
-                let reply = peer_service.reply(question).await;
-                if let Some(answer) = message::answer(&reply) {
+                let reply = peer_service.reply(request).await;
+                if let Some(answer) = message::encode_reply(&reply) {
                     // The caller may have given up.
                     let _ = incoming.answer.send(answer);
                 }
@@ -307,38 +308,40 @@
         }
     }
 
-    async fn reply(&self, question: Question) -> Reply {
+    async fn reply(&self, request: Request) -> Reply {
         let shared = &self.shared;
-        shared.meter.peer_call(question.word());
-        match question {
-            Question::Hello(greeting) => self.record_greeting(greeting).await,
-            Question::Advise {
+        shared.meter.peer_call(request.as_str());
+        match request {
+            Request::Hello(hello) => self.record_hello(hello).await,
+            Request::Advise {
                 step,
                 workers,
-                patience,
-            } => Reply::Advised(shared.platform.advise(step, workers, patience).await),
-            Question::Store => Reply::Store(member::vouch(shared).await),
-            Question::Configuration(known) => Reply::Configuration(edition::current(shared, known)),
-            Question::Orders(orders) => match self.dispatcher.dispatch(orders) {
-                true => Reply::Noted,
+                timeout,
+            } => Reply::Advised(shared.platform.advise(step, workers, timeout).await),
+            Request::ProbeStore => Reply::StoreLatency(member::recent_store_latency(shared).await),
+            Request::Configuration(known) => {
+                Reply::Configuration(config_exchange::current(shared, known))
+            }
+            Request::Orders(orders) => match self.dispatcher.dispatch(orders) {
+                true => Reply::Ack,
                 false => self.not_owner(),
             },
-            Question::Vacant(epoch) => {
+            Request::Released(epoch) => {
                 if shared.epoch() == epoch {
-                    shared.vacant.notify_waiters();
+                    shared.owner_lost.notify_waiters();
                 }
-                Reply::Noted
+                Reply::Ack
             }
-            Question::Handed(claim) => {
+            Request::HandedOver(claim) => {
                 if claim.epoch > shared.epoch() {
-                    shared.note_claim(claim);
-                    shared.vacant.notify_one();
+                    shared.record_claim(claim);
+                    shared.owner_lost.notify_one();
                 }
-                Reply::Noted
+                Reply::Ack
             }
             other => {
-                let reply = match shared.seat() {
-                    Some(seat) => owner::accept(&seat, other).await,
+                let reply = match shared.engine_handle() {
+                    Some(engine) => owner::handle_request(&engine, other).await,
                     None => None,
                 };
                 reply.unwrap_or_else(|| self.not_owner())
@@ -346,21 +349,21 @@
         }
     }
 
-    /// Answers a greeting and, if this node is the owner, records the peer.
-    async fn record_greeting(&self, greeting: Greeting) -> Reply {
+    /// Answers a hello and, if this node is the owner, records the peer.
+    async fn record_hello(&self, hello: Hello) -> Reply {
         let shared = &self.shared;
-        let acting = shared.acting.borrow().clone();
-        let Some(acting) = acting else {
+        let ownership = shared.ownership.borrow().clone();
+        let Some(ownership) = ownership else {
             return self.not_owner();
         };
-        let peer = Peer::from(&greeting);
+        let peer = Peer::from(&hello);
         let now = Instant::now();
-        let mut greetings = shared.greetings.lock().await;
-        let previous = greetings.insert(greeting.node.clone(), (greeting, now));
+        let mut hellos = shared.hellos.lock().await;
+        let previous = hellos.insert(hello.node.clone(), (hello, now));
         if previous.is_none_or(|(previous, _)| Peer::from(&previous) != peer) {
             self.peer_change.notify_one();
         }
-        Reply::Owner(acting.claim, operator::extent(shared))
+        Reply::Owner(ownership.claim, operator::position(shared))
     }
 
     fn not_owner(&self) -> Reply {
@@ -375,7 +378,7 @@
         let mut last_sent: Option<(u32, Vec<Peer>)> = None;
         let mut ticks = interval(PEER_CHECK_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
-        let mut ownership = self.shared.acting.subscribe();
+        let mut ownership = self.shared.ownership.subscribe();
         loop {
             tokio::select! {
                 _ = ticks.tick() => {}
@@ -383,26 +386,26 @@
                 // This can't fail: the sender outlives this task.
                 _ = ownership.changed() => {}
             }
-            let acting = self.shared.acting.borrow().clone();
-            let Some((acting, control)) =
-                acting.and_then(|acting| Some((acting.claim, acting.seat?.control)))
+            let owned = self.shared.ownership.borrow().clone();
+            let Some((claim, actor)) =
+                owned.and_then(|owned| Some((owned.claim, owned.engine?.actor)))
             else {
                 last_sent = None;
                 continue;
             };
-            let mut greetings = self.shared.greetings.lock().await;
-            greetings.retain(|_, (_, at)| at.elapsed() < PEER_TIMEOUT);
-            drop(greetings);
-            let peers = self.shared.greeted().await;
+            let mut hellos = self.shared.hellos.lock().await;
+            hellos.retain(|_, (_, at)| at.elapsed() < PEER_TIMEOUT);
+            drop(hellos);
+            let peers = self.shared.hello_peers().await;
             *self.shared.peers.lock().await = peers.clone();
-            let update = (acting.epoch.0, peers.clone());
+            let update = (claim.epoch.0, peers.clone());
             if last_sent.as_ref() == Some(&update) {
                 continue;
             }
-            slog::info!(self.shared.log, "nodes"; "epoch" => %acting.epoch,
+            slog::info!(self.shared.log, "nodes"; "epoch" => %claim.epoch,
                 "count" => peers.len() + 1);
             // The actor may be stopping.
-            let _ = control.tell(Event::Peers(peers)).await;
+            let _ = actor.tell(Event::Peers(peers)).await;
             last_sent = Some(update);
             sleep(MIN_PEER_UPDATE_INTERVAL).await;
         }
--- a/crates/node/src/operator.rs
+++ b/crates/node/src/operator.rs
@@ -1,9 +1,9 @@
 //! Tracks how far this node has read the operator's records, and decides how often it reads them.
 //!
 //! Every node reads these records itself, and each call of the store has a cost. The owner reads often and reports with
-//! each reply to a heartbeat how far it has read. A node that has read as far knows from this report that there is
+//! each reply to a hello how far it has read. A node that has read as far knows from this report that there is
 //! nothing newer, so it lets its calls wait at the store for long; a node that has not reads at once. This way a lost
-//! answer or a dead connection is noticed with the next heartbeat.
+//! answer or a dead connection is noticed with the next hello.
 
 use std::{
     future::pending,
@@ -21,7 +21,7 @@
 
 use crate::{
     message::ReadPosition,
-    port::Platform,
+    platform::Platform,
     shared::Shared, //
 };
 
@@ -34,14 +34,14 @@
 /// The same for a node with a recent confirmation by the owner. A store that doesn't answer this node is noticed after
 /// this time, or with the first request of a caller.
 const CONFIRMED_READ_WAIT: Duration = Duration::from_millis(4_000);
-/// The time for which a confirmation counts as recent. Nodes send a heartbeat to the owner at least every 0.7 s.
+/// The time for which a confirmation counts as recent. Nodes send a hello to the owner at least every 0.7 s.
 const CONFIRMATION_VALIDITY: Duration = Duration::from_millis(1_500);
 /// The time for which the store's answer to this node may be later than that to the owner.
 const OWNER_LEAD_TOLERANCE: Duration = Duration::from_millis(100);
 
 /// How far this node and the owner have read the operator's records.
 #[derive(Debug)]
-pub(crate) struct Reading {
+pub(crate) struct ReadState {
     /// The offset of the next record, once this node has read any.
     next_offset: watch::Sender<Option<u64>>,
     /// The offset of the next record as last reported by the owner.
@@ -50,7 +50,7 @@
     confirmed_at: watch::Sender<Option<Instant>>,
 }
 
-impl Default for Reading {
+impl Default for ReadState {
     fn default() -> Self {
         Self {
             next_offset: watch::Sender::new(None),
@@ -66,22 +66,26 @@
 }
 
 /// Returns how far this node has read, with the time since the store or the owner confirmed that there is no more.
-pub(crate) fn extent<P: Platform>(shared: &Shared<P>) -> Option<ReadPosition> {
+pub(crate) fn position<P: Platform>(shared: &Shared<P>) -> Option<ReadPosition> {
     let next = *shared.operator.next_offset.borrow();
     next.map(|next| ReadPosition {
         next,
-        age: shared.config_read.borrow().elapsed(),
+        age: shared.config_confirmed_at.borrow().elapsed(),
     })
 }
 
-/// Processes the position reported by the owner in reply to a heartbeat sent at `asked`.
-pub(crate) fn confirm<P: Platform>(shared: &Shared<P>, owner: ReadPosition, asked: Instant) {
-    let reading = &shared.operator;
-    reading.owner_offset.send_replace(owner.next);
-    if *reading.next_offset.borrow() != Some(owner.next) {
+/// Processes the position reported by the owner in reply to a hello sent at `asked`.
+pub(crate) fn apply_owner_position<P: Platform>(
+    shared: &Shared<P>,
+    owner: ReadPosition,
+    asked: Instant,
+) {
+    let state = &shared.operator;
+    state.owner_offset.send_replace(owner.next);
+    if *state.next_offset.borrow() != Some(owner.next) {
         return;
     }
-    reading.confirmed_at.send_replace(Some(Instant::now()));
+    state.confirmed_at.send_replace(Some(Instant::now()));
     if let Some(confirmed_at) = asked.checked_sub(owner.age) {
         shared.confirm_operator_read(confirmed_at);
     }
@@ -89,7 +93,7 @@
 
 /// Returns the time for which the next call of this node waits at the store for a change.
 pub(crate) fn read_wait<P: Platform>(shared: &Shared<P>) -> Duration {
-    let is_owner = shared.acting.borrow().is_some();
+    let is_owner = shared.ownership.borrow().is_some();
     let confirmed = *shared.operator.confirmed_at.borrow();
     match confirmed {
         _ if is_owner => OWNER_READ_WAIT,
@@ -123,7 +127,7 @@
 
 /// Waits until the last confirmation that there is nothing newer, by the store or the owner, is no longer recent.
 async fn wait_until_unconfirmed<P: Platform>(shared: &Shared<P>) {
-    let mut confirmed = shared.config_read.subscribe();
+    let mut confirmed = shared.config_confirmed_at.subscribe();
     loop {
         let until = *confirmed.borrow_and_update() + CONFIRMATION_VALIDITY;
         tokio::select! {
--- a/crates/node/src/order.rs
+++ b/crates/node/src/order.rs
@@ -29,12 +29,12 @@
 use tokio::time::Instant;
 
 use crate::{
-    port::{
-        INVENTORY,
-        ORDER,
+    platform::{
+        INVENTORY_MARGIN,
+        ORDER_TIMEOUT,
         Platform, //
     },
-    report::Meter, //
+    telemetry::Meter, //
 };
 
 /// An order to a worker.
@@ -45,9 +45,9 @@
     /// Stop a task.
     Stop(Stop),
     /// Run a best-effort task at a share of its processor.
-    Pace(Throttle),
+    Throttle(Throttle),
     /// Extend the lease and return the inventory.
-    Hold(Heartbeat),
+    Heartbeat(Heartbeat),
 }
 
 /// The result of an order.
@@ -58,33 +58,33 @@
     /// The result of an order to stop.
     Stopped(WorkerId, TaskId, Run, StopAnswer),
     /// The result of an order to run at a share, with the share in percent.
-    Paced(WorkerId, TaskId, Run, u8, StopAnswer),
+    Throttled(WorkerId, TaskId, Run, u8, StopAnswer),
     /// The result of a request for an inventory that was made at this time.
-    Held(WorkerId, Timestamp, HeartbeatAnswer),
+    Inventory(WorkerId, Timestamp, HeartbeatAnswer),
 }
 
 impl Order {
     /// Returns the destination.
-    pub(crate) fn to(&self) -> &Destination {
+    pub(crate) fn destination(&self) -> &Destination {
         match self {
             Self::Start(order) => &order.to,
             Self::Stop(order) => &order.to,
-            Self::Pace(order) => &order.to,
-            Self::Hold(order) => &order.to,
+            Self::Throttle(order) => &order.to,
+            Self::Heartbeat(order) => &order.to,
         }
     }
 
     /// Returns the time after which an order without an answer is abandoned.
-    pub(crate) fn patience(&self) -> Duration {
+    pub(crate) fn timeout(&self) -> Duration {
         match self {
-            Self::Start(_) | Self::Stop(_) | Self::Pace(_) => ORDER,
-            Self::Hold(order) => order.wait + INVENTORY,
+            Self::Start(_) | Self::Stop(_) | Self::Throttle(_) => ORDER_TIMEOUT,
+            Self::Heartbeat(order) => order.wait + INVENTORY_MARGIN,
         }
     }
 
     /// Returns the report on an order without an answer, which may or may not take effect.
-    pub(crate) fn unanswered(&self) -> Report {
-        let worker = self.to().worker.clone();
+    pub(crate) fn unanswered_report(&self) -> Report {
+        let worker = self.destination().worker.clone();
         match self {
             Self::Start(order) => {
                 Report::Started(worker, order.task, order.run, StartAnswer::NoAnswer)
@@ -92,27 +92,29 @@
             Self::Stop(order) => {
                 Report::Stopped(worker, order.task, order.run, StopAnswer::NoAnswer)
             }
-            Self::Pace(order) => {
+            Self::Throttle(order) => {
                 let (task, run, percent) = (order.task, order.run, order.percent);
-                Report::Paced(worker, task, run, percent, StopAnswer::NoAnswer)
+                Report::Throttled(worker, task, run, percent, StopAnswer::NoAnswer)
+            }
+            Self::Heartbeat(order) => {
+                Report::Inventory(worker, order.asked, HeartbeatAnswer::NoAnswer)
             }
-            Self::Hold(order) => Report::Held(worker, order.asked, HeartbeatAnswer::NoAnswer),
         }
     }
 
     /// Returns the report on an order that is certain never to be sent.
-    pub(crate) fn unsent(&self) -> Report {
+    pub(crate) fn unsent_report(&self) -> Report {
         match self {
             Self::Start(order) => {
                 let worker = order.to.worker.clone();
                 Report::Started(worker, order.task, order.run, StartAnswer::Unsent)
             }
-            Self::Stop(_) | Self::Pace(_) | Self::Hold(_) => self.unanswered(),
+            Self::Stop(_) | Self::Throttle(_) | Self::Heartbeat(_) => self.unanswered_report(),
         }
     }
 
     /// Sends the order and waits for the answer.
-    pub(crate) async fn carry_out<P: Platform>(self, platform: &P, meter: &Meter) -> Report {
+    pub(crate) async fn execute<P: Platform>(self, platform: &P, meter: &Meter) -> Report {
         let started_at = Instant::now();
         let (kind, report, outcome) = match self {
             Self::Start(order) => {
@@ -127,18 +129,18 @@
                 let report = Report::Stopped(worker, task, run, answer);
                 ("stop", report, answer.as_str())
             }
-            Self::Pace(order) => {
+            Self::Throttle(order) => {
                 let worker = order.to.worker.clone();
                 let (task, run, percent) = (order.task, order.run, order.percent);
                 let answer = platform.pace(order).await;
-                let report = Report::Paced(worker, task, run, percent, answer);
+                let report = Report::Throttled(worker, task, run, percent, answer);
                 ("pace", report, answer.as_str())
             }
-            Self::Hold(order) => {
+            Self::Heartbeat(order) => {
                 let (worker, asked) = (order.to.worker.clone(), order.asked);
                 let answer = platform.hold(order).await;
                 let outcome = answer.as_str();
-                ("hold", Report::Held(worker, asked, answer), outcome)
+                ("hold", Report::Inventory(worker, asked, answer), outcome)
             }
         };
         meter.worker_call(kind, started_at.elapsed(), outcome);
--- a/crates/node/src/owner/answer.rs
+++ b/crates/node/src/owner/answer.rs
@@ -11,12 +11,12 @@
 };
 use crate::{
     message::{
-        Absent,
-        Question,
-        Reply, //
+        Reply,
+        Request,
+        UnknownJob, //
     },
-    port::Platform,
-    shared::Seat, //
+    platform::Platform,
+    shared::EngineHandle, //
 };
 
 /// How long a request waits until the owner has read what the answer depends on; nodes give the
@@ -27,66 +27,78 @@
 const MAX_COUNT_AGE: Duration = Duration::from_millis(2_500);
 
 /// Handles a notification or a query from a node; `None` if the owner can't answer.
-pub(crate) async fn accept<P: Platform>(seat: &Seat<P>, question: Question) -> Option<Reply> {
-    match question {
-        Question::Accepted(accepted) => notify(seat, Event::Accepted(accepted)).await,
-        Question::Announced(accepted) => notify(seat, Event::Announced(accepted)).await,
-        Question::Withdrawn(job) => notify(seat, Event::Withdrawn(job)).await,
-        Question::Cancelled(cancelled) => notify(seat, Event::Cancelled(cancelled)).await,
-        Question::Reports(reports) => notify(seat, Event::Reports(reports)).await,
-        Question::Look { job, viewer, asked } => {
-            query_job(seat, JobQuery { job, viewer }, asked).await
-        }
-        Question::Pending(queue, viewer) => {
-            count_pending(seat, PendingQuery { queue, viewer }).await
+pub(crate) async fn handle_request<P: Platform>(
+    engine: &EngineHandle<P>,
+    request: Request,
+) -> Option<Reply> {
+    match request {
+        Request::Accepted(accepted) => notify(engine, Event::Accepted(accepted)).await,
+        Request::Announced(accepted) => notify(engine, Event::Announced(accepted)).await,
+        Request::Withdrawn(job) => notify(engine, Event::Withdrawn(job)).await,
+        Request::Cancelled(cancelled) => notify(engine, Event::Cancelled(cancelled)).await,
+        Request::Reports(reports) => notify(engine, Event::Reports(reports)).await,
+        Request::JobState {
+            job,
+            workspace,
+            elapsed,
+        } => query_job(engine, JobQuery { job, workspace }, elapsed).await,
+        Request::Pending(queue, workspace) => {
+            count_pending(engine, PendingQuery { queue, workspace }).await
         }
         _ => None,
     }
 }
 
 /// Sends the actor an event, behind all events sent before.
-async fn notify<P: Platform>(seat: &Seat<P>, event: Event) -> Option<Reply> {
-    seat.control.tell(event).await.ok()?;
-    Some(Reply::Noted)
+async fn notify<P: Platform>(engine: &EngineHandle<P>, event: Event) -> Option<Reply> {
+    engine.actor.tell(event).await.ok()?;
+    Some(Reply::Ack)
 }
 
-/// Looks up a job. Reports it as absent only once everything that was stored when the caller asked
+/// Looks up a job. Reports it as unknown only once everything that was stored when the caller asked
 /// has been read.
-async fn query_job<P: Platform>(seat: &Seat<P>, query: JobQuery, asked: Duration) -> Option<Reply> {
-    let required_time = Instant::now().checked_sub(asked)?;
+async fn query_job<P: Platform>(
+    engine: &EngineHandle<P>,
+    query: JobQuery,
+    elapsed: Duration,
+) -> Option<Reply> {
+    let required_time = Instant::now().checked_sub(elapsed)?;
     let job = query.job;
-    let found = seat.control.ask(query.clone()).await.ok()?;
+    let found = engine.actor.ask(query.clone()).await.ok()?;
     if let Some(state) = found.state {
         return Some(Reply::State(state));
     }
-    if !seat
-        .view
+    if !engine
+        .read_progress
         .wait_until_read(required_time, CATCH_UP_TIMEOUT)
         .await
     {
         return None;
     }
-    let found = seat.control.ask(query).await.ok()?;
+    let found = engine.actor.ask(query).await.ok()?;
     match found.state {
         Some(state) => Some(Reply::State(state)),
-        None if seat.view.is_unreadable(job) => None,
-        None => Some(Reply::Absent(Absent {
+        None if engine.read_progress.is_unreadable(job) => None,
+        None => Some(Reply::UnknownJob(UnknownJob {
             epoch: found.epoch,
-            view: seat.view.age(),
+            max_staleness: engine.read_progress.age(),
         })),
     }
 }
 
-/// Counts the pending jobs of a queue, from a view that is at most [`MAX_COUNT_AGE`] old.
-async fn count_pending<P: Platform>(seat: &Seat<P>, query: PendingQuery) -> Option<Reply> {
+/// Counts the pending jobs of a queue, as of a time at most [`MAX_COUNT_AGE`] ago.
+async fn count_pending<P: Platform>(
+    engine: &EngineHandle<P>,
+    query: PendingQuery,
+) -> Option<Reply> {
     let required_time = Instant::now().checked_sub(MAX_COUNT_AGE)?;
-    if !seat
-        .view
+    if !engine
+        .read_progress
         .wait_until_read(required_time, CATCH_UP_TIMEOUT)
         .await
     {
         return None;
     }
-    let count = seat.control.ask(query).await.ok()?;
+    let count = engine.actor.ask(query).await.ok()?;
     Some(Reply::Pending(count))
 }
--- a/crates/node/src/owner/control.rs
+++ b/crates/node/src/owner/control.rs
@@ -55,27 +55,26 @@
     },
 };
 
-use super::{forget, given::DelegatedOrders, listing, orders::Failure, view::View};
+use super::{delegated::DelegatedOrders, forget, listing, orders::Failure, view::ReadProgress};
 use crate::{
-    evacuation,
-    hand::Reports,
+    assignment::{
+        Assignment,
+        Peer, //
+    },
+    dispatch::Reports,
+    evacuation, lag,
     message::{
         self,
-        Question,
-        Reply, //
+        Reply,
+        Request, //
     },
     order::{
         Order,
         Report, //
     },
-    port::Platform,
-    pulse,
-    report::millis,
-    share::{
-        Peer,
-        Share, //
-    },
+    platform::Platform,
     shared::Shared,
+    telemetry::millis,
 };
 
 /// Added to twice the expected duration of an advice call to give its timeout. The duration counts
@@ -86,16 +85,16 @@
 const ADVICE_TIMEOUT_MARGIN: Duration = Duration::from_millis(300);
 
 /// If no event arrives for this long, the process was not running: the actor gets a tick every
-/// 25 ms. A claim lapses after 0.7 s, so another node may own the cell by then.
+/// 25 ms. A claim expires after 0.7 s, so another node may own the cell by then.
 const STALL_THRESHOLD: Duration = Duration::from_millis(900);
 
 /// The actor that holds the engine. Nothing else issues orders.
 #[derive(Actor)]
-pub(crate) struct Control<P: Platform> {
+pub(crate) struct EngineActor<P: Platform> {
     pub(super) engine: Engine,
     pub(super) shared: Arc<Shared<P>>,
     records: mpsc::UnboundedSender<Vec<Entry>>,
-    view: View,
+    read_progress: ReadProgress,
     /// When the actor started.
     started_at: Instant,
     /// Whether a timer is already set for the engine's next pass.
@@ -106,7 +105,7 @@
     /// suspended by then.
     last_event_at: Instant,
     suspended_total: Duration,
-    pub(super) share: Share,
+    pub(super) assignment: Assignment,
     pub(super) delegated: DelegatedOrders,
     /// Batches of orders for other nodes to send to workers, by the address of the node.
     pub(super) batches: HashMap<SocketAddr, Vec<(u64, Order)>>,
@@ -140,7 +139,7 @@
     /// Another configuration is in force.
     Configured(Arc<Config>),
     /// The set of evacuated data centres was read.
-    Evacuation(evacuation::Reading),
+    Evacuation(evacuation::Snapshot),
     /// The nodes of the cell other than the owner.
     Peers(Vec<Peer>),
     /// The delay for batching orders has passed.
@@ -157,7 +156,7 @@
 #[derive(Clone)]
 pub(super) struct JobQuery {
     pub(super) job: JobId,
-    pub(super) viewer: Option<WorkspaceName>,
+    pub(super) workspace: Option<WorkspaceName>,
 }
 
 /// The answer to a [`JobQuery`].
@@ -171,28 +170,28 @@
 /// Queries how many jobs of a queue have not started any task, as callers of a workspace see it.
 pub(super) struct PendingQuery {
     pub(super) queue: QueueName,
-    pub(super) viewer: Option<WorkspaceName>,
+    pub(super) workspace: Option<WorkspaceName>,
 }
 
-impl<P: Platform> Control<P> {
+impl<P: Platform> EngineActor<P> {
     pub(super) fn new(
         engine: Engine,
         shared: Arc<Shared<P>>,
         records: mpsc::UnboundedSender<Vec<Entry>>,
-        view: View,
+        read_progress: ReadProgress,
     ) -> Self {
-        let suspended = shared.platform.suspended();
+        let suspended = shared.platform.total_suspension();
         Self {
             engine,
             shared,
             records,
-            view,
+            read_progress,
             started_at: Instant::now(),
             is_pass_scheduled: false,
             is_deposed: false,
             last_event_at: Instant::now(),
             suspended_total: suspended,
-            share: Share::default(),
+            assignment: Assignment::default(),
             delegated: DelegatedOrders::default(),
             batches: HashMap::default(),
             is_batch_scheduled: false,
@@ -206,7 +205,7 @@
     /// count go on, so suspension is checked separately.
     fn check_stall(&mut self) {
         let idle = std::mem::replace(&mut self.last_event_at, Instant::now()).elapsed();
-        let suspended = pulse::slept(&self.shared.platform, &mut self.suspended_total);
+        let suspended = lag::take_suspension(&self.shared.platform, &mut self.suspended_total);
         if (idle < STALL_THRESHOLD && suspended.is_none()) || self.is_deposed {
             return;
         }
@@ -243,16 +242,16 @@
                     .for_each(|change| change.apply_to(engine, now));
             }
             Event::Configured(config) => engine.configure(config.as_ref().clone()),
-            Event::Evacuation(reading) => reading.tell(engine, now),
+            Event::Evacuation(snapshot) => snapshot.apply(engine, now),
             Event::Peers(peers) => {
-                let own_peer = self.shared.peer();
+                let own_peer = self.shared.as_peer();
                 let names = peers.iter().map(|peer| peer.node.clone());
                 let names: Vec<NodeName> = names.chain([own_peer.node.clone()]).collect();
                 engine.set_advice_nodes(&names, now);
-                self.share.renew(own_peer, peers);
+                self.assignment.update_nodes(own_peer, peers);
             }
             Event::Tick(due) => {
-                self.shared.pulse.note_event(due.elapsed());
+                self.shared.lag.record_event_wait(due.elapsed());
                 for report in self.delegated.overdue() {
                     self.handle_report(report);
                 }
@@ -273,8 +272,8 @@
             match effect {
                 Effect::Start(order) => orders.push(Order::Start(order)),
                 Effect::Stop(order) => orders.push(Order::Stop(order)),
-                Effect::Throttle(order) => orders.push(Order::Pace(order)),
-                Effect::Heartbeat(order) => orders.push(Order::Hold(order)),
+                Effect::Throttle(order) => orders.push(Order::Throttle(order)),
+                Effect::Heartbeat(order) => orders.push(Order::Heartbeat(order)),
                 Effect::Advise {
                     node,
                     step,
@@ -285,11 +284,11 @@
                     let _ = self.records.send(entries);
                 }
                 Effect::Remove(jobs) => forget::forget(&self.shared, jobs),
-                Effect::Log(note) => self.report_note(&note),
+                Effect::Log(record) => self.log_record(&record),
                 Effect::Deposed => {
                     slog::warn!(self.shared.log, "fenced"; "epoch" => %self.engine.epoch());
                     self.is_deposed = true;
-                    self.shared.acting.send_replace(None);
+                    self.shared.ownership.send_replace(None);
                 }
             }
         }
@@ -312,8 +311,8 @@
         });
     }
 
-    fn report_note(&self, note: &LogRecord) {
-        self.shared.meter.note(&self.shared.log, note);
+    fn log_record(&self, record: &LogRecord) {
+        self.shared.meter.decision(&self.shared.log, record);
     }
 
     /// Calls the advice service from this node, or has another node call it.
@@ -352,26 +351,26 @@
         .iter()
         .find(|peer| peer.node == *node)
         .map(|peer| peer.address)?;
-    let question = Question::Advise {
+    let request = Request::Advise {
         step,
         workers,
-        patience: time_limit,
+        timeout: time_limit,
     };
-    match message::ask(&shared.rpc, address, &question, time_limit).await {
+    match message::send(&shared.rpc, address, &request, time_limit).await {
         Ok(Reply::Advised(answer)) => answer,
         Ok(_) | Err(_) => None,
     }
 }
 
 /// Sends the actor an event, unless the actor has ended.
-pub(super) async fn tell<P: Platform>(control: &WeakActorRef<Control<P>>, event: Event) {
-    if let Some(control) = control.upgrade() {
+pub(super) async fn tell<P: Platform>(actor: &WeakActorRef<EngineActor<P>>, event: Event) {
+    if let Some(actor) = actor.upgrade() {
         // The actor may be stopping.
-        let _ = control.tell(event).await;
+        let _ = actor.tell(event).await;
     }
 }
 
-impl<P: Platform> Message<Event> for Control<P> {
+impl<P: Platform> Message<Event> for EngineActor<P> {
     type Reply = ();
 
     async fn handle(&mut self, event: Event, context: &mut Context<Self, ()>) {
@@ -392,45 +391,46 @@
     }
 }
 
-impl<P: Platform> Message<JobQuery> for Control<P> {
+impl<P: Platform> Message<JobQuery> for EngineActor<P> {
     type Reply = JobAnswer;
 
     async fn handle(&mut self, query: JobQuery, _: &mut Context<Self, JobAnswer>) -> JobAnswer {
         JobAnswer {
-            state: self.engine.state_for(query.job, query.viewer.as_ref()),
+            state: self.engine.state_for(query.job, query.workspace.as_ref()),
             epoch: self.engine.epoch(),
         }
     }
 }
 
-impl<P: Platform> Message<PendingQuery> for Control<P> {
+impl<P: Platform> Message<PendingQuery> for EngineActor<P> {
     type Reply = u32;
 
     async fn handle(&mut self, query: PendingQuery, _: &mut Context<Self, u32>) -> u32 {
-        self.engine.pending_for(&query.queue, query.viewer.as_ref())
+        self.engine
+            .pending_for(&query.queue, query.workspace.as_ref())
     }
 }
 
-/// Requests an update of the gauges that show the engine's view of the cell.
+/// Requests an update of the gauges that show the engine's state.
 pub(super) struct UpdateGauges;
 
-impl<P: Platform> Message<UpdateGauges> for Control<P> {
+impl<P: Platform> Message<UpdateGauges> for EngineActor<P> {
     type Reply = ();
 
     async fn handle(&mut self, _: UpdateGauges, _: &mut Context<Self, ()>) {
         let counts = self.engine.counts();
         let epoch = u64::from(self.engine.epoch().0);
-        let view = self.view.age();
-        self.shared.meter.believed(&counts, epoch, view);
+        let staleness = self.read_progress.age();
+        self.shared.meter.engine_counts(&counts, epoch, staleness);
         self.shared.meter.workspaces(self.engine.usage());
         if self.shared.meter.may_log("believed") {
             slog::info!(self.shared.log, "believed"; "epoch" => epoch, "jobs" => counts.jobs,
                 "waiting" => counts.waiting,
                 "open_steps" => counts.open_steps, "claims" => counts.claims,
                 "listed" => counts.listed_runs,
-                "lag_ms" => millis(self.shared.pulse.take_worst()),
+                "lag_ms" => millis(self.shared.lag.take_longest_wait()),
                 "owned_ms" => millis(self.started_at.elapsed()),
-                "view_ms" => millis(view),
+                "view_ms" => millis(staleness),
                 "workers_heard" => counts.workers_heard,
                 "workers_silent" => counts.workers_silent,
                 "workers_unheard" => counts.workers_not_yet_heard,
--- a/crates/node/src/owner/given.rs
+++ b/crates/node/src/owner/delegated.rs
@@ -29,7 +29,7 @@
     /// Adds an order; returns its number.
     pub(crate) fn add(&mut self, order: Order) -> u64 {
         self.last_number += 1;
-        let due = Instant::now() + order.patience() + REPORT_TIMEOUT_MARGIN;
+        let due = Instant::now() + order.timeout() + REPORT_TIMEOUT_MARGIN;
         self.deadlines.insert((due, self.last_number));
         self.orders.insert(self.last_number, order);
         self.last_number
@@ -44,13 +44,13 @@
     /// Removes orders that were certainly never sent; returns the reports that say so.
     pub(crate) fn unsent(&mut self, numbers: &[u64]) -> Vec<Report> {
         let orders = numbers.iter().filter_map(|n| self.orders.remove(n));
-        orders.map(|order| order.unsent()).collect()
+        orders.map(|order| order.unsent_report()).collect()
     }
 
     /// Removes orders whose outcome nobody knows; returns the reports that say so.
     pub(crate) fn unanswered(&mut self, numbers: &[u64]) -> Vec<Report> {
         let orders = numbers.iter().filter_map(|n| self.orders.remove(n));
-        orders.map(|order| order.unanswered()).collect()
+        orders.map(|order| order.unanswered_report()).collect()
     }
 
     /// Removes orders whose reports are overdue; returns reports that say that the outcome is
@@ -63,7 +63,7 @@
         {
             self.deadlines.pop_first();
             if let Some(order) = self.orders.remove(&number) {
-                reports.push(order.unanswered());
+                reports.push(order.unanswered_report());
             }
         }
         reports
--- a/crates/node/src/owner/jobs.rs
+++ b/crates/node/src/owner/jobs.rs
@@ -25,34 +25,34 @@
 };
 
 use super::{
-    Control,
+    EngineActor,
     Event,
-    View, //
+    ReadProgress, //
 };
 use crate::{
-    front::{
+    fallback::{
+        self,
+        Decoded,
+        Decoder, //
+    },
+    frontend::{
         JobRecord,
         Key, //
     },
     intake,
-    port::{
+    platform::{
         Error,
-        FIRST_PARTITIONS,
         JOB_PARTITIONS,
         Platform,
         Record,
+        SMALL_CELL_JOB_PARTITIONS,
         Topic, //
     },
-    recall::{
-        self,
-        Own,
-        Settled, //
-    },
     shared::Shared,
     watch::{
         Batch,
         Reader,
-        pause, //
+        wait_to_retry, //
     },
 };
 
@@ -80,7 +80,7 @@
 /// until the next read, up to 2 s later.
 const MAX_READ_AGE_AT_TAKEOVER: Duration = Duration::from_secs(1);
 /// If a partition takes long to read, the limit is this many times the duration of its last read
-/// instead, since its view is never younger than one read.
+/// instead, since what is known of it is never younger than one read.
 const MAX_READ_AGE_IN_READS: u32 = 2;
 /// How often partitions are read again at most. Where a third of all answers is lost, the slowest
 /// of 16 takes more than a second each time, and a cell without an owner serves nobody. A
@@ -107,7 +107,7 @@
             reader: Reader::new(Topic::Jobs(number), "jobs"),
             requested_at: Instant::now(),
             // Overwritten by the first read, before it is used.
-            read_up_to: shared.began,
+            read_up_to: shared.started_at,
             read_duration: Duration::ZERO,
         };
         let found = partition.read_with_retry(shared).await;
@@ -120,19 +120,19 @@
         self.requested_at = requested_at;
         let mut found = Vec::new();
         loop {
-            let settled = match self.read_page(shared).await {
-                Ok(settled) => settled,
+            let decoded = match self.read_page(shared).await {
+                Ok(decoded) => decoded,
                 Err(error) if found.is_empty() => return Err(error),
                 // The reader has moved past what was found; the next read returns the rest.
                 Err(_) => return Ok(found),
             };
-            found.extend(settled.found);
-            let keys = settled.rejected.into_iter();
+            found.extend(decoded.values);
+            let keys = decoded.rejected.into_iter();
             let keys = keys.filter_map(|record| record.key);
             // A foreign record under the key of a job leaves the state of the job unknown.
             let jobs = keys.filter_map(|key| Key::accepted_job(&key));
             found.extend(jobs.map(JobRecord::Unreadable));
-            if settled.is_last {
+            if decoded.is_last {
                 self.read_up_to = requested_at;
                 self.read_duration = requested_at.elapsed();
                 return Ok(found);
@@ -143,24 +143,24 @@
     async fn read_page<P: Platform>(
         &mut self,
         shared: &Shared<P>,
-    ) -> Result<Settled<JobRecord>, Error> {
+    ) -> Result<Decoded<JobRecord>, Error> {
         let number = self.number;
         let read = |record: &Record| JobRecord::read(record, number);
         let page = match self.reader.read(shared, Duration::ZERO).await? {
-            Batch::More(page) => return Ok(recall::read(shared, "jobs", page, read)),
-            Batch::Whole(page) => page,
+            Batch::Incremental(new) => return Ok(fallback::decode_page(shared, "jobs", new, read)),
+            Batch::Full(page) => page,
         };
         let topic = Topic::Jobs(number);
-        let own = Own {
-            key: JobRecord::is_key,
-            read: &read,
+        let decoder = Decoder {
+            is_own: JobRecord::is_key,
+            decode: &read,
         };
-        let settled = recall::settle(shared, topic, "jobs", page, own).await;
-        if settled.is_err() {
+        let decoded = fallback::decode_with_fallback(shared, topic, "jobs", page, decoder).await;
+        if decoded.is_err() {
             // The reader has moved past records that are not returned, so reading starts over.
             self.reader = Reader::new(topic, "jobs");
         }
-        settled
+        decoded
     }
 
     /// Returns whether the partition was read recently enough for a new owner to act.
@@ -174,7 +174,7 @@
         loop {
             match self.read_new(shared).await {
                 Ok(found) => return found,
-                Err(_) => pause().await,
+                Err(_) => wait_to_retry().await,
             }
         }
     }
@@ -194,9 +194,9 @@
     (partitions, found)
 }
 
-/// Creates the view of an owner from how far the partitions have been read.
-pub(super) fn new_view(partitions: &[Partition]) -> View {
-    View::new(
+/// Returns the read progress of an owner that has read the partitions as far as they say.
+pub(super) fn read_progress(partitions: &[Partition]) -> ReadProgress {
+    ReadProgress::new(
         partitions
             .iter()
             .map(|partition| partition.read_up_to)
@@ -212,9 +212,9 @@
 pub(super) async fn follow<P: Platform>(
     shared: Arc<Shared<P>>,
     mut partition: Partition,
-    view: View,
+    read_progress: ReadProgress,
     writers: Writers,
-    control: WeakActorRef<Control<P>>,
+    actor: WeakActorRef<EngineActor<P>>,
 ) {
     loop {
         let may_be_wide = shared.spread().may_use_all_partitions();
@@ -224,31 +224,31 @@
             MIN_REQUESTED_READ_GAP
         };
         sleep_until(partition.requested_at + gap).await;
-        let requested = view.wait_for_request(partition.number);
+        let requested = read_progress.wait_for_request(partition.number);
         let is_requested = timeout(READ_INTERVAL_WRITER_ABSENT, requested)
             .await
             .is_ok();
-        if partition.number >= FIRST_PARTITIONS && !may_be_wide {
+        if partition.number >= SMALL_CELL_JOB_PARTITIONS && !may_be_wide {
             // No node writes to this partition.
-            view.mark_read(partition.number, Instant::now());
-            if control.upgrade().is_none() {
+            read_progress.mark_read(partition.number, Instant::now());
+            if actor.upgrade().is_none() {
                 return;
             }
             continue;
         }
         let is_due = partition.requested_at.elapsed() >= writers.read_interval(partition.number);
         if !is_requested && !is_due {
-            if control.upgrade().is_none() {
+            if actor.upgrade().is_none() {
                 return;
             }
             continue;
         }
         let found = partition.read_new(&shared).await;
-        let Some(control) = control.upgrade() else {
+        let Some(actor) = actor.upgrade() else {
             return;
         };
         let Ok(found) = found else {
-            pause().await;
+            wait_to_retry().await;
             continue;
         };
         for record in found {
@@ -256,15 +256,15 @@
                 JobRecord::Accepted(accepted) => Event::Accepted(accepted),
                 JobRecord::Cancelled(cancelled) => Event::Cancelled(cancelled),
                 JobRecord::Unreadable(job) => {
-                    view.note_unreadable(job);
+                    read_progress.note_unreadable(job);
                     continue;
                 }
             };
             // The actor may be stopping.
-            let _ = control.tell(event).await;
+            let _ = actor.tell(event).await;
         }
         // The actor gets the records first: callers that this wakes up query it next.
-        view.mark_read(partition.number, partition.read_up_to);
+        read_progress.mark_read(partition.number, partition.read_up_to);
     }
 }
 
@@ -277,9 +277,9 @@
     pub(super) async fn follow<P: Platform>(
         self,
         shared: Arc<Shared<P>>,
-        control: WeakActorRef<Control<P>>,
+        actor: WeakActorRef<EngineActor<P>>,
     ) {
-        while control.upgrade().is_some() {
+        while actor.upgrade().is_some() {
             let peers = shared.peers.lock().await.clone();
             let present = peers.into_iter().map(|peer| peer.node);
             self.note(present.chain([shared.name.clone()]));
--- a/crates/node/src/owner/mod.rs
+++ b/crates/node/src/owner/mod.rs
@@ -2,8 +2,8 @@
 
 mod answer;
 mod control;
+mod delegated;
 mod forget;
-mod given;
 mod jobs;
 mod listing;
 mod orders;
@@ -13,11 +13,11 @@
 mod workers;
 
 pub(crate) use self::{
-    answer::accept,
+    answer::handle_request,
     control::{
-        Control,
+        EngineActor,
         Event, //
     },
     takeover::take_over,
-    view::View, //
+    view::ReadProgress, //
 };
--- a/crates/node/src/owner/orders.rs
+++ b/crates/node/src/owner/orders.rs
@@ -12,25 +12,25 @@
 use tokio::time::sleep;
 
 use super::control::{
-    Control,
+    EngineActor,
     Event,
     tell, //
 };
 use crate::{
-    hand::{
+    dispatch::{
         Orders,
         Reports, //
     },
     message::{
         self,
-        Question,
-        Reply, //
+        Reply,
+        Request, //
     },
     order::{
         Order,
         Report, //
     },
-    port::Platform,
+    platform::Platform,
 };
 
 /// How long orders for other nodes are collected into a batch. Each call between nodes costs the
@@ -58,12 +58,15 @@
     }
 }
 
-impl<P: Platform> Control<P> {
+impl<P: Platform> EngineActor<P> {
     /// Sends orders, each from the node that is responsible for the worker.
     pub(super) fn dispatch(&mut self, orders: Vec<Order>, actor_ref: &ActorRef<Self>) {
         let workers = self.engine.worker_count();
         for order in orders {
-            match self.share.node_of(&order.to().worker, workers) {
+            match self
+                .assignment
+                .node_of(&order.destination().worker, workers)
+            {
                 Some(node) => {
                     let number = self.delegated.add(order.clone());
                     let batch = self.batches.entry(node).or_default();
@@ -93,7 +96,7 @@
     fn send_directly(&self, order: Order, actor_ref: WeakActorRef<Self>) {
         let shared = self.shared.clone();
         tokio::spawn(async move {
-            let report = order.carry_out(&shared.platform, &shared.meter).await;
+            let report = order.execute(&shared.platform, &shared.meter).await;
             tell(&actor_ref, Event::Reported(report)).await;
         });
     }
@@ -107,15 +110,15 @@
         let shared = self.shared.clone();
         let epoch = self.engine.epoch();
         let numbers: Vec<u64> = orders.iter().map(|(number, _)| *number).collect();
-        let orders = Question::Orders(Orders {
+        let orders = Request::Orders(Orders {
             epoch,
             owner: shared.address,
             orders,
         });
         tokio::spawn(async move {
-            let answer = message::ask(&shared.rpc, node, &orders, ORDERS_TIMEOUT).await;
+            let answer = message::send(&shared.rpc, node, &orders, ORDERS_TIMEOUT).await;
             let failure = match answer {
-                Ok(Reply::Noted) => return,
+                Ok(Reply::Ack) => return,
                 Ok(_) => Failure::Unsent,
                 Err(error) if error.not_run() => Failure::Unsent,
                 Err(_) => Failure::Unanswered,
@@ -142,7 +145,7 @@
         failure: Failure,
         numbers: &[u64],
     ) {
-        if self.share.avoid(node) {
+        if self.assignment.avoid(node) {
             slog::warn!(self.shared.log, "orders-not-given"; "node" => %node,
                 "orders" => numbers.len(), "why" => failure.as_str());
         }
@@ -165,10 +168,10 @@
             Report::Stopped(worker, task, run, answer) => {
                 engine.stopped(&worker, task, run, answer, now);
             }
-            Report::Paced(worker, task, run, percent, answer) => {
+            Report::Throttled(worker, task, run, percent, answer) => {
                 engine.throttled(&worker, task, run, percent, answer, now);
             }
-            Report::Held(worker, asked, answer) => {
+            Report::Inventory(worker, asked, answer) => {
                 engine.handle_heartbeat_answer(&worker, asked, answer, now)
             }
         }
--- a/crates/node/src/owner/recorder.rs
+++ b/crates/node/src/owner/recorder.rs
@@ -13,11 +13,11 @@
 use tokio::sync::mpsc;
 
 use super::{
-    Control,
+    EngineActor,
     Event, //
 };
 use crate::{
-    port::{
+    platform::{
         Append,
         Condition,
         Error,
@@ -26,7 +26,7 @@
         Topic, //
     },
     shared::Shared,
-    watch::pause,
+    watch::wait_to_retry,
 };
 
 /// Raises the writer's epoch in the store, so that it refuses later records of former owners.
@@ -49,13 +49,13 @@
     shared: Arc<Shared<P>>,
     epoch: Epoch,
     mut records: mpsc::UnboundedReceiver<Vec<Entry>>,
-    control: WeakActorRef<Control<P>>,
+    actor: WeakActorRef<EngineActor<P>>,
 ) {
     let mut sequence = 0;
     while let Some(entries) = records.recv().await {
         sequence += 1;
         let is_stored = write_group(&shared, epoch, &mut sequence, &entries).await;
-        let Some(control) = control.upgrade() else {
+        let Some(actor) = actor.upgrade() else {
             return;
         };
         let event = match is_stored {
@@ -63,9 +63,9 @@
             false => Event::Deposed,
         };
         // The actor may be stopping.
-        let _ = control.tell(event).await;
+        let _ = actor.tell(event).await;
         if !is_stored {
-            shared.acting.send_replace(None);
+            shared.ownership.send_replace(None);
             return;
         }
     }
@@ -111,7 +111,7 @@
                 slog::warn!(shared.log, "sequence"; "sent" => *sequence, "expected" => expected);
                 *sequence = expected;
             }
-            Err(_) => pause().await,
+            Err(_) => wait_to_retry().await,
         }
     }
 }
--- a/crates/node/src/owner/takeover.rs
+++ b/crates/node/src/owner/takeover.rs
@@ -38,9 +38,9 @@
 };
 
 use super::{
-    Control,
+    EngineActor,
     Event,
-    View,
+    ReadProgress,
     control::UpdateGauges,
     jobs::{
         self,
@@ -50,46 +50,46 @@
     workers, //
 };
 use crate::{
-    front::JobRecord,
-    port::{
+    assignment::Peer,
+    fallback::{
+        self,
+        Decoder, //
+    },
+    frontend::JobRecord,
+    platform::{
         Error,
         Fault,
         Platform,
         Topic, //
     },
-    recall::{
-        self,
-        Own, //
-    },
-    report::millis,
-    share::Peer,
     shared::{
-        Acting,
-        Seat,
+        EngineHandle,
+        Ownership,
         Shared, //
     },
+    telemetry::millis,
     watch::{
         Batch,
         Reader,
-        pause, //
+        wait_to_retry, //
     },
 };
 
 /// How often the engine checks what is due; its shortest wait is 100 ms.
 const TICK_INTERVAL: Duration = Duration::from_millis(25);
-/// How often the gauges of the engine's view of the cell are updated.
+/// How often the gauges of the engine's state are updated.
 const GAUGE_UPDATE_INTERVAL: Duration = Duration::from_secs(2);
 /// How many events may wait for the actor; a busy second has some thousands.
 const MAILBOX_CAPACITY: usize = 16_384;
 
 /// Which records of the progress topic are the owner's, and how they are decoded.
-const OWNER_RECORDS: Own<'static, Entry> = Own {
-    key: |key| key.starts_with("w/") || key.parse::<JobId>().is_ok(),
-    read: &|record| {
+const OWNER_RECORDS: Decoder<'static, Entry> = Decoder {
+    is_own: |key| key.starts_with("w/") || key.parse::<JobId>().is_ok(),
+    decode: &|record| {
         let Some(value) = &record.value else {
             return Ok(None);
         };
-        let entry: Entry = record::decode(value).map_err(|_| Fault::Form)?;
+        let entry: Entry = record::decode(value).map_err(|_| Fault::Structure)?;
         let is_own = entry.key() == record.key;
         is_own.then_some(Some(entry)).ok_or(Fault::Id)
     },
@@ -104,55 +104,61 @@
 pub(crate) async fn take_over<P: Platform>(
     shared: &Arc<Shared<P>>,
     claim: &Claim,
-) -> Result<ActorRef<Control<P>>, Error> {
+) -> Result<ActorRef<EngineActor<P>>, Error> {
     let began = Instant::now();
     loop {
         match recorder::fence(shared, claim.epoch).await {
             Ok(()) => break,
             Err(Error::Fenced) => return Err(Error::Fenced),
-            Err(_) => pause().await,
+            Err(_) => wait_to_retry().await,
         }
     }
     // The list is read in the background: the takeover doesn't wait for all of it.
     let list = workers::start_initial_read(shared);
     let ((progress, progress_took), ((partitions, found), jobs_took)) =
         futures::join!(timed(read_progress(shared)), timed(jobs::read_all(shared)));
-    let mut inheritance = StoredState::default();
+    let mut stored = StoredState::default();
     for entry in progress {
         match entry {
-            Entry::Job(job, progress) => inheritance.progress.push((job, progress)),
-            Entry::Worker(id, usage) => inheritance.workers.push((id, usage)),
+            Entry::Job(job, progress) => stored.progress.push((job, progress)),
+            Entry::Worker(id, usage) => stored.workers.push((id, usage)),
             Entry::RemovedWorker(_) => {}
         }
     }
-    let view = jobs::new_view(&partitions);
+    let read_progress = jobs::read_progress(&partitions);
     for record in found {
         match record {
-            JobRecord::Accepted(accepted) => inheritance.accepted.push(*accepted),
-            JobRecord::Cancelled(cancelled) => inheritance.cancelled.push(cancelled),
-            JobRecord::Unreadable(job) => view.note_unreadable(job),
+            JobRecord::Accepted(accepted) => stored.accepted.push(*accepted),
+            JobRecord::Cancelled(cancelled) => stored.cancelled.push(cancelled),
+            JobRecord::Unreadable(job) => read_progress.note_unreadable(job),
         }
     }
     slog::info!(shared.log, "takeover"; "epoch" => %claim.epoch,
-        "jobs" => inheritance.accepted.len(), "workers" => inheritance.workers.len(),
-        "view_ms" => millis(view.age()),
+        "jobs" => stored.accepted.len(), "workers" => stored.workers.len(),
+        "view_ms" => millis(read_progress.age()),
         "progress_ms" => millis(progress_took), "jobs_ms" => millis(jobs_took),
         "took_ms" => millis(began.elapsed()));
     let now = shared.clock.now();
-    let mut engine = Engine::new(claim.epoch, shared.bounds, inheritance, now);
+    let mut engine = Engine::new(claim.epoch, shared.bounds, stored, now);
     // Configure the engine before it starts anything: jobs carry only the limits that they were
     // accepted under.
     if let Some(config) = shared.config.borrow().as_deref() {
         engine.configure(config.clone());
     }
-    if let Some(reading) = shared.evacuation.borrow().clone() {
-        reading.tell(&mut engine, now);
+    if let Some(snapshot) = shared.evacuation.borrow().clone() {
+        snapshot.apply(&mut engine, now);
     }
-    // Wait for other nodes to greet this one: without nodes that send its orders, the owner would
-    // connect to each worker itself.
-    let peers = shared.greeted().await;
+    // Wait for hellos of other nodes: without nodes that send its orders, the owner would connect
+    // to each worker itself.
+    let peers = shared.hello_peers().await;
     Ok(start_actor(
-        shared, claim, engine, partitions, view, list, peers,
+        shared,
+        claim,
+        engine,
+        partitions,
+        read_progress,
+        list,
+        peers,
     ))
 }
 
@@ -168,17 +174,17 @@
     const PURPOSE: &str = "progress";
     let mut reader = Reader::new(TOPIC, PURPOSE);
     loop {
-        let settled = match reader.read(shared, Duration::ZERO).await {
-            Ok(Batch::Whole(page) | Batch::More(page)) => {
-                recall::settle(shared, TOPIC, PURPOSE, page, OWNER_RECORDS).await
+        let decoded = match reader.read(shared, Duration::ZERO).await {
+            Ok(Batch::Full(page) | Batch::Incremental(page)) => {
+                fallback::decode_with_fallback(shared, TOPIC, PURPOSE, page, OWNER_RECORDS).await
             }
             Err(error) => Err(error),
         };
-        match settled {
-            Ok(settled) => return settled.found,
+        match decoded {
+            Ok(decoded) => return decoded.values,
             Err(_) => {
                 reader = Reader::new(TOPIC, PURPOSE);
-                pause().await;
+                wait_to_retry().await;
             }
         }
     }
@@ -189,15 +195,15 @@
     claim: &Claim,
     engine: Engine,
     partitions: Vec<Partition>,
-    view: View,
+    read_progress: ReadProgress,
     list: workers::InitialRead,
     peers: Vec<Peer>,
-) -> ActorRef<Control<P>> {
+) -> ActorRef<EngineActor<P>> {
     let (records, queue) = mpsc::unbounded_channel();
-    let mut control = Control::new(engine, shared.clone(), records, view.clone());
-    control.handle_event(Event::Peers(peers));
-    let control = Control::spawn_with_mailbox(control, mailbox::bounded(MAILBOX_CAPACITY));
-    let weak = control.downgrade();
+    let mut actor = EngineActor::new(engine, shared.clone(), records, read_progress.clone());
+    actor.handle_event(Event::Peers(peers));
+    let actor = EngineActor::spawn_with_mailbox(actor, mailbox::bounded(MAILBOX_CAPACITY));
+    let weak = actor.downgrade();
     tokio::spawn(recorder::run(
         shared.clone(),
         claim.epoch,
@@ -211,7 +217,7 @@
         tokio::spawn(jobs::follow(
             shared.clone(),
             partition,
-            view.clone(),
+            read_progress.clone(),
             writers.clone(),
             weak.clone(),
         ));
@@ -221,31 +227,31 @@
     tokio::spawn(forward_changes(configs, weak.clone(), Event::Configured));
     let evacuations = shared.evacuation.subscribe();
     tokio::spawn(forward_changes(evacuations, weak, Event::Evacuation));
-    shared.acting.send_replace(Some(Acting {
+    shared.ownership.send_replace(Some(Ownership {
         claim: claim.clone(),
-        seat: Some(Seat {
-            control: control.clone(),
-            view,
+        engine: Some(EngineHandle {
+            actor: actor.clone(),
+            read_progress,
         }),
     }));
-    control
+    actor
 }
 
-async fn tick<P: Platform>(control: WeakActorRef<Control<P>>) {
+async fn tick<P: Platform>(actor: WeakActorRef<EngineActor<P>>) {
     let mut ticks = interval(TICK_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut gauges_updated_at = Instant::now();
     loop {
         let due = ticks.tick().await;
-        let Some(control) = control.upgrade() else {
+        let Some(actor) = actor.upgrade() else {
             return;
         };
-        if control.tell(Event::Tick(due)).await.is_err() {
+        if actor.tell(Event::Tick(due)).await.is_err() {
             return;
         }
         if gauges_updated_at.elapsed() >= GAUGE_UPDATE_INTERVAL {
             gauges_updated_at = Instant::now();
-            let _ = control.tell(UpdateGauges).await;
+            let _ = actor.tell(UpdateGauges).await;
         }
     }
 }
@@ -253,20 +259,20 @@
 /// Sends the actor the newest value that this node knows, and again each time it changes.
 async fn forward_changes<P: Platform, T: Clone>(
     mut values: watch::Receiver<Option<T>>,
-    control: WeakActorRef<Control<P>>,
+    actor: WeakActorRef<EngineActor<P>>,
     event: fn(T) -> Event,
 ) {
     loop {
         let value = values.borrow_and_update().clone();
-        let Some(control) = control.upgrade() else {
+        let Some(actor) = actor.upgrade() else {
             return;
         };
         if let Some(value) = value
-            && control.tell(event(value)).await.is_err()
+            && actor.tell(event(value)).await.is_err()
         {
             return;
         }
-        drop(control);
+        drop(actor);
         if values.changed().await.is_err() {
             return;
         }
--- a/crates/node/src/owner/workers.rs
+++ b/crates/node/src/owner/workers.rs
@@ -17,7 +17,7 @@
 };
 
 use super::{
-    Control,
+    EngineActor,
     Event,
     control::tell,
     listing::{
@@ -27,7 +27,7 @@
     }, //
 };
 use crate::{
-    port::{
+    platform::{
         Error,
         Platform,
         Rejected,
@@ -37,7 +37,7 @@
     watch::{
         Batch,
         Reader,
-        pause, //
+        wait_to_retry, //
     },
 };
 
@@ -125,7 +125,7 @@
             .await?;
         // Later reads start where the first part ended, to get what has been written since.
         follower.reader.begin_at(page.next);
-        let changes = apply_batch(shared, &mut follower.listing, Batch::More(page));
+        let changes = apply_batch(shared, &mut follower.listing, Batch::Incremental(page));
         // The takeover may have been aborted.
         let _ = parts.send(changes);
         match last {
@@ -139,10 +139,10 @@
 pub(super) async fn follow<P: Platform>(
     shared: Arc<Shared<P>>,
     mut list: InitialRead,
-    control: WeakActorRef<Control<P>>,
+    actor: WeakActorRef<EngineActor<P>>,
 ) {
     while let Some(changes) = list.changes.recv().await {
-        tell(&control, Event::WorkersChanged(changes)).await;
+        tell(&actor, Event::WorkersChanged(changes)).await;
     }
     let Ok(mut follower) = list.follower.await else {
         // The runtime is shutting down.
@@ -155,14 +155,14 @@
     let _ = configured.await;
     loop {
         let changes = follower.read(&shared).await;
-        if control.upgrade().is_none() {
+        if actor.upgrade().is_none() {
             return;
         }
         let Ok(changes) = changes else {
-            pause().await;
+            wait_to_retry().await;
             continue;
         };
-        tell(&control, Event::WorkersChanged(changes)).await;
+        tell(&actor, Event::WorkersChanged(changes)).await;
         sleep(LIST_READ_INTERVAL).await;
     }
 }
@@ -174,11 +174,11 @@
     batch: Batch,
 ) -> Vec<Change> {
     let page = match batch {
-        Batch::Whole(page) => {
+        Batch::Full(page) => {
             listing.begin_full_read();
             page
         }
-        Batch::More(page) => page,
+        Batch::Incremental(page) => page,
     };
     let config = shared.config.borrow().clone();
     let reprocessed = config.map(|config| listing.configure(&config));
@@ -187,7 +187,7 @@
         match listing.apply(&shared.platform, &record) {
             Entry::Valid(registration) => changes.push(Change::Registered(registration)),
             Entry::Invalid(worker, fault) => {
-                shared.turn_away("workers", &Rejected::record(&record, fault));
+                shared.record_rejected("workers", &Rejected::new(&record, fault));
                 changes.push(Change::Distrusted(worker));
             }
             Entry::Removed => {}
--- a/crates/node/src/port.rs
+++ b/crates/node/src/platform.rs
@@ -33,9 +33,9 @@
 
 /// The timeout of an order to a worker. Workers answer within milliseconds or not at all, and the most urgent jobs
 /// have only 650 ms of slack.
-pub const ORDER: Duration = Duration::from_millis(250);
+pub const ORDER_TIMEOUT: Duration = Duration::from_millis(250);
 /// The time that a worker may take for its inventory beyond the wait requested of it.
-pub const INVENTORY: Duration = Duration::from_millis(800);
+pub const INVENTORY_MARGIN: Duration = Duration::from_millis(800);
 
 /// The number of partitions that job records are spread over. Each node writes to one of them.
 ///
@@ -43,7 +43,7 @@
 /// but can take 0.3 s, so nodes that share a partition would delay each other.
 pub const JOB_PARTITIONS: u16 = 48;
 /// The number of partitions that the job records of a small cell are spread over.
-pub const FIRST_PARTITIONS: u16 = 16;
+pub const SMALL_CELL_JOB_PARTITIONS: u16 = 16;
 
 /// The topics of the store. Each topic keeps at least the newest record of every key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -108,7 +108,7 @@
     Unanswered,
     /// The topic doesn't end at the expected offset; nothing was appended.
     #[error("the topic ends at offset {end}")]
-    Moved {
+    WrongEnd {
         /// The offset at which the topic ends.
         end: u64,
     },
@@ -123,7 +123,7 @@
     },
     /// The requested records are no longer stored.
     #[error("the store keeps records only from offset {first} on")]
-    Forgotten {
+    Truncated {
         /// The offset of the first stored record.
         first: u64,
     },
@@ -134,14 +134,14 @@
 
 impl Error {
     /// Returns the name of the error, as logs and metric labels have it.
-    pub const fn word(&self) -> &'static str {
+    pub const fn as_str(&self) -> &'static str {
         match self {
             Self::Refused(why) => why,
             Self::Unanswered => "unanswered",
-            Self::Moved { .. } => "moved",
+            Self::WrongEnd { .. } => "moved",
             Self::Fenced => "fenced",
             Self::Sequence { .. } => "sequence",
-            Self::Forgotten { .. } => "forgotten",
+            Self::Truncated { .. } => "forgotten",
             Self::Malformed(_) => "malformed",
         }
     }
@@ -158,7 +158,7 @@
     Value,
     /// The value doesn't have the expected structure.
     #[error("its value is not of the expected form")]
-    Form,
+    Structure,
     /// The id differs from that in the key, or can't be put into an order.
     #[error("its id is not that of its key, or can't be used")]
     Id,
@@ -184,11 +184,11 @@
 
 impl Fault {
     /// Returns the name of the fault, as logs and metric labels have it.
-    pub const fn word(self) -> &'static str {
+    pub const fn as_str(self) -> &'static str {
         match self {
             Self::Key => "key",
             Self::Value => "value",
-            Self::Form => "form",
+            Self::Structure => "form",
             Self::Id => "id",
             Self::Address => "address",
             Self::State => "state",
@@ -213,7 +213,7 @@
 
 impl Rejected {
     /// Returns the rejection of a record of a page.
-    pub fn record(record: &Record, fault: Fault) -> Self {
+    pub fn new(record: &Record, fault: Fault) -> Self {
         Self {
             key: Some(record.key.clone()),
             offset: None,
@@ -287,11 +287,11 @@
         &self,
         step: StepId,
         workers: Vec<WorkerId>,
-        patience: Duration,
+        timeout: Duration,
     ) -> impl Future<Output = Option<Vec<Grant>>> + Send;
 
     /// Returns the total time for which the machine was suspended since the process started.
-    fn suspended(&self) -> Duration;
+    fn total_suspension(&self) -> Duration;
 
     /// Decodes a configuration from its record; `None` if the record holds something else.
     ///
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -40,19 +40,21 @@
 };
 
 use crate::{
+    assignment::Peer,
     evacuation,
     health::{
         Call,
         StoreHealth, //
     },
     hedge,
+    lag::LagMonitor,
     member,
     operator,
     owner::{
-        Control,
-        View, //
+        EngineActor,
+        ReadProgress, //
     },
-    port::{
+    platform::{
         Append,
         Condition,
         Error,
@@ -62,40 +64,38 @@
         Rejected,
         Topic, //
     },
-    pulse::Pulse,
-    report::Meter,
     revocation::Revocation,
-    share::Peer,
-    succession::Greeting, //
+    succession::Hello,
+    telemetry::Meter, //
 };
 
 /// The ownership of the cell by this node.
-pub(crate) struct Acting<P: Platform> {
+pub(crate) struct Ownership<P: Platform> {
     pub(crate) claim: Claim,
     /// The engine's actor; `None` until the takeover has read the store.
-    pub(crate) seat: Option<Seat<P>>,
+    pub(crate) engine: Option<EngineHandle<P>>,
 }
 
 /// The engine's actor, and how far it has read the job records.
-pub(crate) struct Seat<P: Platform> {
-    pub(crate) control: ActorRef<Control<P>>,
-    pub(crate) view: View,
+pub(crate) struct EngineHandle<P: Platform> {
+    pub(crate) actor: ActorRef<EngineActor<P>>,
+    pub(crate) read_progress: ReadProgress,
 }
 
-impl<P: Platform> Clone for Seat<P> {
+impl<P: Platform> Clone for EngineHandle<P> {
     fn clone(&self) -> Self {
         Self {
-            control: self.control.clone(),
-            view: self.view.clone(),
+            actor: self.actor.clone(),
+            read_progress: self.read_progress.clone(),
         }
     }
 }
 
-impl<P: Platform> Clone for Acting<P> {
+impl<P: Platform> Clone for Ownership<P> {
     fn clone(&self) -> Self {
         Self {
             claim: self.claim.clone(),
-            seat: self.seat.clone(),
+            engine: self.engine.clone(),
         }
     }
 }
@@ -108,8 +108,8 @@
 /// The time limit of a read with all its copies. A call of the platform takes 3 s at most.
 const READ_TIMEOUT: Duration = Duration::from_millis(3_000);
 
-/// The last heartbeat that this node, as the owner, received from each other node, with its time of arrival.
-pub(crate) type Greetings = Mutex<HashMap<NodeName, (Greeting, Instant)>>;
+/// The last hello that this node, as the owner, received from each other node, with its time of arrival.
+pub(crate) type Hellos = Mutex<HashMap<NodeName, (Hello, Instant)>>;
 
 /// The state that the components of a node share, kept behind an `Arc`.
 pub(crate) struct Shared<P: Platform> {
@@ -121,7 +121,7 @@
     /// The number of files and connections that the process may have open.
     pub(crate) descriptors: u32,
     /// When this incarnation of the node started.
-    pub(crate) began: Instant,
+    pub(crate) started_at: Instant,
     pub(crate) bounds: Bounds,
     pub(crate) revocation: Revocation,
     pub(crate) platform: P,
@@ -134,32 +134,32 @@
     /// The operator's record from which that configuration was decoded.
     pub(crate) config_record: watch::Sender<Option<Record>>,
     /// When the store last confirmed, to this node or to the owner, which configuration is the newest.
-    pub(crate) config_read: watch::Sender<Instant>,
+    pub(crate) config_confirmed_at: watch::Sender<Instant>,
     /// How far this node has read the operator's records.
-    pub(crate) operator: operator::Reading,
+    pub(crate) operator: operator::ReadState,
     /// The evacuated data centres, once this node has read them from the store.
-    pub(crate) evacuation: watch::Sender<Option<evacuation::Reading>>,
+    pub(crate) evacuation: watch::Sender<Option<evacuation::Snapshot>>,
     /// The newest claim known to this node.
     pub(crate) claim: watch::Sender<Option<Claim>>,
     /// The strength of the strongest owner known to this node so far, in thousandths of a core.
-    pub(crate) strongest: AtomicU32,
+    pub(crate) strongest_owner: AtomicU32,
     /// The ownership of the cell by this node, if it is the owner.
-    pub(crate) acting: watch::Sender<Option<Acting<P>>>,
+    pub(crate) ownership: watch::Sender<Option<Ownership<P>>>,
     /// The nodes known to the owner, except the owner itself.
     pub(crate) peers: Mutex<Vec<Peer>>,
     pub(crate) is_leaving: AtomicBool,
     /// Notified when the owner may be gone.
-    pub(crate) vacant: Notify,
+    pub(crate) owner_lost: Notify,
     /// Notified when the owner's actor finds that it did not run for a while.
     pub(crate) stalled: Notify,
-    /// The last heartbeats of the other nodes to this one as the owner.
-    pub(crate) greetings: Greetings,
-    pub(crate) pulse: Pulse,
+    /// The last hellos of the other nodes to this one as the owner.
+    pub(crate) hellos: Hellos,
+    pub(crate) lag: LagMonitor,
     pub(crate) store: StoreHealth,
     /// The result of the last store probe that was made at the request of another node.
-    pub(crate) probe: member::Probe,
+    pub(crate) probe_cache: member::ProbeCache,
     /// Whether the store appears to be unreachable from this node only.
-    pub(crate) is_alone: AtomicBool,
+    pub(crate) is_isolated: AtomicBool,
 }
 
 impl<P: Platform> Shared<P> {
@@ -172,7 +172,7 @@
             // A second copy would fail because the first one has moved the end of the topic.
             Condition::EndsAt(_) => self.platform.append(append).await,
             Condition::None | Condition::Writer { .. } => {
-                let retry_delay = self.store.patience();
+                let retry_delay = self.store.overdue_time();
                 hedge::append(&self.platform, &append, retry_delay).await
             }
         };
@@ -190,7 +190,7 @@
     ) -> Result<Page, Error> {
         let call = self.store.begin(purpose, wait);
         let read = |wait| self.platform.read(topic, from, wait);
-        let retry_delay = READ_RETRY_DELAY.max(self.store.patience());
+        let retry_delay = READ_RETRY_DELAY.max(self.store.overdue_time());
         let result = hedge::read(&self.platform, wait, retry_delay, 1, READ_TIMEOUT, read).await;
         self.finish_read(&call, purpose, &result);
         result
@@ -203,7 +203,7 @@
             Topic::Claims | Topic::Configuration => 1,
             Topic::Jobs(_) | Topic::Progress | Topic::Workers => LARGE_TOPIC_DELAY_FACTOR,
         };
-        let retry_delay = READ_RETRY_DELAY.max(self.store.patience());
+        let retry_delay = READ_RETRY_DELAY.max(self.store.overdue_time());
         let read = |_| self.platform.newest(topic);
         let no_wait = Duration::ZERO;
         let result = hedge::read(
@@ -231,7 +231,7 @@
         let result = self.platform.newest_after(topic, after).await;
         self.finish_call(&call, purpose, &result);
         for rejected in result.iter().flat_map(|(page, _)| &page.rejected) {
-            self.turn_away(purpose, rejected);
+            self.record_rejected(purpose, rejected);
         }
         result
     }
@@ -239,17 +239,17 @@
     fn finish_read(&self, call: &Call, purpose: &'static str, result: &Result<Page, Error>) {
         self.finish_call(call, purpose, result);
         for rejected in result.iter().flat_map(|page| &page.rejected) {
-            self.turn_away(purpose, rejected);
+            self.record_rejected(purpose, rejected);
         }
     }
 
     /// Counts and logs a rejected record. Every rejection passes through this function.
-    pub(crate) fn turn_away(&self, topic: &'static str, rejected: &Rejected) {
+    pub(crate) fn record_rejected(&self, topic: &'static str, rejected: &Rejected) {
         self.meter.record_rejected(&self.log, topic, rejected);
     }
 
     fn finish_call<T>(&self, call: &Call, purpose: &'static str, result: &Result<T, Error>) {
-        self.meter.store_call(purpose, call.took(), result);
+        self.meter.store_call(purpose, call.elapsed(), result);
         self.store.end(call, result);
     }
 
@@ -258,18 +258,18 @@
     }
 
     /// Returns the engine's actor if this node owns the cell and has completed its takeover.
-    pub(crate) fn control(&self) -> Option<ActorRef<Control<P>>> {
-        Some(self.seat()?.control)
+    pub(crate) fn engine_actor(&self) -> Option<ActorRef<EngineActor<P>>> {
+        Some(self.engine_handle()?.actor)
     }
 
     /// Returns the engine's actor and how far it has read the job records, if this node owns the cell and has
     /// completed its takeover.
-    pub(crate) fn seat(&self) -> Option<Seat<P>> {
-        self.acting.borrow().as_ref()?.seat.clone()
+    pub(crate) fn engine_handle(&self) -> Option<EngineHandle<P>> {
+        self.ownership.borrow().as_ref()?.engine.clone()
     }
 
     /// Returns the description of this node that other nodes use.
-    pub(crate) fn peer(&self) -> Peer {
+    pub(crate) fn as_peer(&self) -> Peer {
         Peer {
             node: self.name.clone(),
             address: self.address,
@@ -278,58 +278,57 @@
         }
     }
 
-    /// Returns the nodes that sent heartbeats to this one as the owner.
-    pub(crate) async fn greeted(&self) -> Vec<Peer> {
-        let greetings = self.greetings.lock().await;
-        let mut peers: Vec<Peer> = greetings
-            .values()
-            .map(|(greeting, _)| greeting.into())
-            .collect();
+    /// Returns the nodes that sent hellos to this one as the owner.
+    pub(crate) async fn hello_peers(&self) -> Vec<Peer> {
+        let hellos = self.hellos.lock().await;
+        let mut peers: Vec<Peer> = hellos.values().map(|(hello, _)| hello.into()).collect();
         peers.sort_unstable();
         peers
     }
 
-    /// Returns the content of a heartbeat of this node.
-    pub(crate) fn greeting(&self) -> Greeting {
-        Greeting {
+    /// Returns the content of a hello of this node.
+    pub(crate) fn hello(&self) -> Hello {
+        Hello {
             node: self.name.clone(),
             address: self.address,
             incarnation: self.incarnation,
             strength: self.strength,
             descriptors: self.descriptors,
             may_own: !self.store.is_failing() && !self.is_leaving(),
-            age: self.began.elapsed(),
-            lag: self.pulse.timers(),
+            age: self.started_at.elapsed(),
+            lag: self.lag.timer_lag(),
         }
     }
 
     /// Records when the store confirmed, to this node or another, that this node has read the operator's newest
     /// records.
     pub(crate) fn confirm_operator_read(&self, confirmed_at: Instant) {
-        self.config_read.send_if_modified(|read| {
+        self.config_confirmed_at.send_if_modified(|read| {
             let is_later = confirmed_at > *read;
             *read = confirmed_at.max(*read);
             is_later
         });
-        self.evacuation.send_if_modified(|reading| {
-            let reading = reading.as_mut().filter(|reading| reading.at < confirmed_at);
-            let is_later = reading.is_some();
-            if let Some(reading) = reading {
-                reading.at = confirmed_at;
+        self.evacuation.send_if_modified(|snapshot| {
+            let snapshot = snapshot
+                .as_mut()
+                .filter(|snapshot| snapshot.confirmed_at < confirmed_at);
+            let is_later = snapshot.is_some();
+            if let Some(snapshot) = snapshot {
+                snapshot.confirmed_at = confirmed_at;
             }
             is_later
         });
     }
 
     /// Records the newest claim known to this node.
-    pub(crate) fn note_claim(&self, claim: Claim) {
-        self.strongest
+    pub(crate) fn record_claim(&self, claim: Claim) {
+        self.strongest_owner
             .fetch_max(claim.strength.get(), Ordering::Relaxed);
         self.claim.send_replace(Some(claim));
     }
 
     /// Records how many partitions jobs are spread over by the newest renewal of the claim known to this node.
-    pub(crate) fn note_spread(&self, renewed: &Claim) {
+    pub(crate) fn record_spread(&self, renewed: &Claim) {
         self.claim.send_if_modified(|claim| {
             let known = claim.as_mut().filter(|claim| claim.epoch == renewed.epoch);
             if let Some(known) = known {
@@ -347,8 +346,8 @@
     }
 
     /// Returns the strength of the strongest owner known to this node so far.
-    pub(crate) fn strongest(&self) -> Millicores {
-        Millicores(self.strongest.load(Ordering::Relaxed))
+    pub(crate) fn strongest_owner(&self) -> Millicores {
+        Millicores(self.strongest_owner.load(Ordering::Relaxed))
     }
 
     /// Returns the highest epoch known to this node.
--- a/crates/node/src/succession.rs
+++ b/crates/node/src/succession.rs
@@ -45,13 +45,13 @@
 /// change of owners adds to the backlog if the backlog is what makes them slow.
 const MAX_OWNERSHIP_DOUBLINGS: u8 = 4;
 /// An owner that was not slow for this long ends the series of consecutive slow owners.
-pub const CALM: Duration = Duration::from_secs(60);
+pub const SLOW_SERIES_GAP: Duration = Duration::from_secs(60);
 /// The number of samples of which a lag is the median. The ticks of an owner give that many in 0.2 s.
 const LAG_SAMPLES: usize = 8;
 
-/// The content of a node's heartbeat to the owner.
+/// The content of a hello, the periodic message of a node to the owner.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Greeting {
+pub struct Hello {
     /// The node.
     pub node: NodeName,
     /// The address at which it answers other nodes.
@@ -83,7 +83,7 @@
 
 impl Reason {
     /// Returns the name of the reason, as logs have it.
-    pub const fn word(self) -> &'static str {
+    pub const fn as_str(self) -> &'static str {
         match self {
             Self::Outranked => "outranked",
             Self::Slow => "slow",
@@ -96,7 +96,7 @@
 /// first read at `first_seen`, and the owner last answered with that renewal at `last_answered`.
 ///
 /// During an outage of the store no owner can renew its claim, so the time before `outage_ended` doesn't count. Weak
-/// nodes send heartbeats less often: without this rule, when an owner died as an outage ended, they found its claim to
+/// nodes send hellos less often: without this rule, when an owner died as an outage ended, they found its claim to
 /// have expired 0.1 to 0.4 s before the strong nodes did.
 pub fn silent_since(first_seen: Instant, last_answered: Instant, outage_ended: Instant) -> Instant {
     first_seen.min(last_answered).max(outage_ended)
@@ -122,39 +122,38 @@
 }
 
 /// Returns whether a node gets processor time promptly, given the lag of its timers.
-pub fn is_quick(lag: Duration) -> bool {
+pub fn is_prompt(lag: Duration) -> bool {
     lag < PROMPT_LAG
 }
 
-/// Chooses the next owner among the nodes that recently sent heartbeats to the owner; `None` if none of them would be
+/// Chooses the next owner among the nodes that recently sent hellos to the owner; `None` if none of them would be
 /// better.
 ///
 /// Prefers the strongest nodes, among these the ones that get processor time promptly, and among these the one that was
 /// started last: in a rolling restart, that node will be restarted again last.
-pub fn choose(
+pub fn choose_successor(
     own: Millicores,
     lag: Duration,
     reason: Reason,
-    greetings: &[Greeting],
-) -> Option<&Greeting> {
-    let is_eligible = |greeting: &&Greeting| {
-        greeting.may_own
+    hellos: &[Hello],
+) -> Option<&Hello> {
+    let is_eligible = |hello: &&Hello| {
+        hello.may_own
             && match reason {
-                Reason::Outranked => outranks(greeting.strength, own),
+                Reason::Outranked => outranks(hello.strength, own),
                 Reason::Slow => {
-                    let is_faster =
-                        is_quick(greeting.lag) && greeting.lag * MIN_LAG_IMPROVEMENT <= lag;
-                    is_faster && !outranks(own, greeting.strength)
+                    let is_faster = is_prompt(hello.lag) && hello.lag * MIN_LAG_IMPROVEMENT <= lag;
+                    is_faster && !outranks(own, hello.strength)
                 }
                 Reason::Leaving => true,
             }
     };
-    let eligible: Vec<&Greeting> = greetings.iter().filter(is_eligible).collect();
-    let strongest = eligible.iter().map(|greeting| greeting.strength).max()?;
+    let eligible: Vec<&Hello> = hellos.iter().filter(is_eligible).collect();
+    let strongest = eligible.iter().map(|hello| hello.strength).max()?;
     let strong = eligible
         .into_iter()
-        .filter(|greeting| !outranks(strongest, greeting.strength));
-    strong.min_by_key(|greeting| (!is_quick(greeting.lag), greeting.age))
+        .filter(|hello| !outranks(strongest, hello.strength));
+    strong.min_by_key(|hello| (!is_prompt(hello.lag), hello.age))
 }
 
 /// The lag of events: the median of the latest samples, so that a single late event doesn't count as slowness.
--- a/crates/node/src/report.rs
+++ b/crates/node/src/telemetry.rs
@@ -36,7 +36,7 @@
 use slog::Logger;
 use tokio::time::Instant;
 
-use crate::port::{
+use crate::platform::{
     Error,
     Rejected, //
 };
@@ -181,7 +181,7 @@
     }
 
     /// Returns the number of lines of each kind that were left out since the last call.
-    pub(crate) fn take_left_out(&self) -> Vec<(&'static str, u64)> {
+    pub(crate) fn take_omitted_lines(&self) -> Vec<(&'static str, u64)> {
         let Ok(mut rate_limits) = self.0.rate_limits.lock() else {
             return Vec::new();
         };
@@ -209,7 +209,7 @@
         took: Duration,
         result: &Result<T, Error>,
     ) {
-        let outcome = result.as_ref().err().map_or("ok", Error::word);
+        let outcome = result.as_ref().err().map_or("ok", Error::as_str);
         let labels = [
             KeyValue::new("purpose", purpose),
             KeyValue::new("outcome", outcome),
@@ -229,7 +229,7 @@
         self.0.peer_calls.add(1, &[KeyValue::new("kind", kind)]);
     }
 
-    pub(crate) fn report_lost(&self, why: &'static str) {
+    pub(crate) fn lost_report(&self, why: &'static str) {
         self.0.lost_reports.add(1, &[KeyValue::new("reason", why)]);
     }
 
@@ -238,7 +238,7 @@
         const KIND: &str = "record-rejected";
         let labels = [
             KeyValue::new("topic", topic),
-            KeyValue::new("fault", rejected.fault.word()),
+            KeyValue::new("fault", rejected.fault.as_str()),
         ];
         self.0.rejected.add(1, &labels);
         if !self.may_log(KIND) {
@@ -247,11 +247,11 @@
         slog::warn!(log, "record-rejected"; "topic" => topic,
             "key" => rejected.key.as_deref().map_or_else(String::new, shorten),
             OptionalField("offset", rejected.offset),
-            "fault" => rejected.fault.word(), "why" => %rejected.fault);
+            "fault" => rejected.fault.as_str(), "why" => %rejected.fault);
     }
 
     /// Sets the gauges that describe the state of the owner's engine.
-    pub(crate) fn believed(&self, counts: &Counts, epoch: u64, view: Duration) {
+    pub(crate) fn engine_counts(&self, counts: &Counts, epoch: u64, staleness: Duration) {
         let gauges: [(&'static str, usize); 10] = [
             ("jobs", counts.jobs),
             ("waiting", counts.waiting),
@@ -270,7 +270,7 @@
                 .believed
                 .record(value, &[KeyValue::new("kind", kind)]);
         }
-        for (kind, value) in [("epoch", epoch), ("view_ms", millis(view))] {
+        for (kind, value) in [("epoch", epoch), ("view_ms", millis(staleness))] {
             let labels = [KeyValue::new("kind", kind)];
             self.0.believed.record(value, &labels);
         }
@@ -296,18 +296,18 @@
     }
 
     /// Counts and logs a decision.
-    pub(crate) fn note(&self, log: &Logger, note: &LogRecord) {
-        let (kind, reason) = kind_and_reason(note);
+    pub(crate) fn decision(&self, log: &Logger, record: &LogRecord) {
+        let (kind, reason) = kind_and_reason(record);
         let labels = [KeyValue::new("kind", kind), KeyValue::new("reason", reason)];
         self.0.decisions.add(1, &labels);
-        match note {
+        match record {
             LogRecord::Placed { waited, .. } => self.0.wait.record(waited.as_secs_f64(), &[]),
             LogRecord::Finished { after, .. } => self.0.finish.record(after.as_secs_f64(), &[]),
             LogRecord::Advised { took, .. } => self.0.advice.record(took.as_secs_f64(), &[]),
             _ => {}
         }
         if self.may_log(kind) {
-            write_line(log, note);
+            write_line(log, record);
         }
     }
 }
@@ -338,11 +338,11 @@
 }
 
 /// Returns the kind and the reason of a decision, as metric labels.
-const fn kind_and_reason(note: &LogRecord) -> (&'static str, &'static str) {
-    match note {
+const fn kind_and_reason(record: &LogRecord) -> (&'static str, &'static str) {
+    match record {
         LogRecord::Placed { .. } => ("placed", ""),
         LogRecord::NotStarted { why, .. } => ("not-started", why),
-        LogRecord::Ended { reason: how, .. } => ("ended", how.as_str()),
+        LogRecord::Ended { reason, .. } => ("ended", reason.as_str()),
         LogRecord::Stopping { why, .. } => ("stopping", why),
         LogRecord::Preempting { .. } => ("preempting", ""),
         LogRecord::Worker { belief, .. } => ("worker", belief),
@@ -366,8 +366,8 @@
     u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
 }
 
-fn write_line(log: &Logger, note: &LogRecord) {
-    match note {
+fn write_line(log: &Logger, record: &LogRecord) {
+    match record {
         LogRecord::Placed {
             task,
             run,
@@ -387,9 +387,9 @@
             task,
             run,
             worker,
-            reason: how,
+            reason,
         } => slog::info!(log, "ended"; "task" => %task, "run" => run.0,
-            "worker" => worker.as_str(), "how" => how.as_str()),
+            "worker" => worker.as_str(), "how" => reason.as_str()),
         LogRecord::Stopping {
             task,
             run,
--- a/crates/node/src/watch.rs
+++ b/crates/node/src/watch.rs
@@ -26,8 +26,12 @@
         self,
         Scope, //
     },
+    fallback::{
+        self,
+        Decoder, //
+    },
     operator,
-    port::{
+    platform::{
         Error,
         Fault,
         Page,
@@ -35,10 +39,6 @@
         Record,
         Topic, //
     },
-    recall::{
-        self,
-        Own, //
-    },
     shared::Shared,
 };
 
@@ -56,9 +56,9 @@
 /// The result of a read.
 pub(crate) enum Batch {
     /// The newest record of every key; keys that are not among them were removed.
-    Whole(Page),
+    Full(Page),
     /// The records since the last read.
-    More(Page),
+    Incremental(Page),
 }
 
 impl Reader {
@@ -86,16 +86,16 @@
         let result = match self.next {
             None => {
                 let page = shared.newest(self.purpose, self.topic).await;
-                page.map(Batch::Whole)
+                page.map(Batch::Full)
             }
             Some(from) => {
                 let page = shared.read(self.purpose, self.topic, from, wait).await;
-                page.map(Batch::More)
+                page.map(Batch::Incremental)
             }
         };
         match &result {
-            Ok(Batch::Whole(page) | Batch::More(page)) => self.next = Some(page.next),
-            Err(Error::Forgotten { first }) => {
+            Ok(Batch::Full(page) | Batch::Incremental(page)) => self.next = Some(page.next),
+            Err(Error::Truncated { first }) => {
                 slog::warn!(shared.log, "history-gone"; "topic" => self.purpose, "first" => first);
                 self.next = None;
             }
@@ -106,7 +106,7 @@
 }
 
 /// Waits for between half of the maximum delay and all of it, so that nodes don't retry at the same time.
-pub(crate) async fn pause() {
+pub(crate) async fn wait_to_retry() {
     sleep(MAX_RETRY_DELAY.mul_f64(random_range(0.5..=1.0))).await;
 }
 
@@ -134,18 +134,18 @@
             }
         };
         let read = match batch {
-            Ok(Batch::Whole(page)) => {
-                let settled = replace_invalid(&shared, page).await;
-                if settled.is_err() {
+            Ok(Batch::Full(page)) => {
+                let decoded = replace_invalid(&shared, page).await;
+                if decoded.is_err() {
                     reader = Reader::new(Topic::Configuration, "configuration");
                 }
-                settled.map(|updates| (Scope::Whole, updates))
+                decoded.map(|updates| (Scope::Full, updates))
             }
             // If a record can't be decoded, the last one that could be stays in force.
-            Ok(Batch::More(page)) => {
+            Ok(Batch::Incremental(page)) => {
                 let decode = |record: &Record| decode(&shared, record);
-                let read = recall::read(&shared, "configuration", page, decode);
-                Ok((Scope::More, read.found))
+                let read = fallback::decode_page(&shared, "configuration", page, decode);
+                Ok((Scope::Incremental, read.values))
             }
             Err(error) => Err(error),
         };
@@ -161,7 +161,7 @@
                 apply(&shared, scope, updates);
                 operator::record_read(&shared, reader.next);
             }
-            Err(_) => pause().await,
+            Err(_) => wait_to_retry().await,
         }
     }
 }
@@ -172,13 +172,14 @@
     shared: &Shared<P>,
     page: Page,
 ) -> Result<Vec<Update>, Error> {
-    let own = Own {
-        key: |_| true,
-        read: &|record| decode(shared, record),
+    let decoder = Decoder {
+        is_own: |_| true,
+        decode: &|record| decode(shared, record),
     };
     let topic = Topic::Configuration;
-    let settled = recall::settle(shared, topic, "configuration", page, own).await;
-    settled.map(|settled| settled.found)
+    let decoded =
+        fallback::decode_with_fallback(shared, topic, "configuration", page, decoder).await;
+    decoded.map(|decoded| decoded.values)
 }
 
 /// Decodes a record of the operator; `None` if it removes its key or holds something else.
@@ -193,19 +194,19 @@
 /// Applies the records of a read that has just ended. The end of a waiting call without records confirms that nothing
 /// changed.
 fn apply<P: Platform>(shared: &Shared<P>, scope: Scope, updates: Vec<Update>) {
-    shared.config_read.send_replace(Instant::now());
+    shared.config_confirmed_at.send_replace(Instant::now());
     let mut changes = Vec::new();
     for update in updates {
         match update {
-            Update::Config(config, record) => take_config(shared, config, record),
+            Update::Config(config, record) => apply_config(shared, config, record),
             Update::Evacuation(change) => changes.push(change),
         }
     }
-    evacuation::take(shared, scope, changes);
+    evacuation::update(shared, scope, changes);
 }
 
 /// Puts a configuration in force on this node, unless its version is no later than the current one.
-pub(crate) fn take_config<P: Platform>(shared: &Shared<P>, config: Config, record: Record) {
+pub(crate) fn apply_config<P: Platform>(shared: &Shared<P>, config: Config, record: Record) {
     let current = shared.config.borrow().as_ref().map(|config| config.version);
     if current.is_some_and(|current| current >= config.version) {
         return;
--- a/crates/node/tests/node/history.rs
+++ b/crates/node/tests/node/history.rs
@@ -18,8 +18,8 @@
 };
 use fulmarpier_node::{
     Node,
-    front::Refusal,
-    port::Topic, //
+    frontend::Refusal,
+    platform::Topic, //
 };
 use rand::{
     RngExt,
@@ -150,8 +150,8 @@
         let job = self.random_job();
         let queue = QueueName::from("q");
         let deadline = Instant::now() + 3 * SECOND;
-        let front = self.node.front();
-        let answer = front.cancel(&queue, JobId(job), deadline).await;
+        let frontend = self.node.frontend();
+        let answer = frontend.cancel(&queue, JobId(job), deadline).await;
         let now = Instant::now();
         let due = match answer {
             // There may have been no owner to notify.
@@ -163,10 +163,10 @@
         *earliest = due.min(*earliest);
     }
 
-    async fn look(&mut self) {
+    async fn check_job_state(&mut self) {
         let job = self.random_job();
         let is_there = self.jobs.contains(&job);
-        let found = self.node.front().look(JobId(job)).await;
+        let found = self.node.frontend().job_state(JobId(job)).await;
         let shown = match found {
             Ok(_) => true,
             Err(Refusal::NoJob) => false,
@@ -188,7 +188,7 @@
             0..=2 => self.record_job(),
             3 => self.record_cancellation(),
             4 | 5 => self.cancel().await,
-            6 | 7 => self.look().await,
+            6 | 7 => self.check_job_state().await,
             8 => self.block_partition(),
             _ => {
                 let modes = [
@@ -219,7 +219,7 @@
                 );
                 self.violations.push(line);
             }
-            let state = self.node.front().look(JobId(job)).await;
+            let state = self.node.frontend().job_state(JobId(job)).await;
             let is_expected = match state {
                 Ok(State::Completed) => true,
                 Ok(State::Cancelled) => due.is_some(),
--- a/crates/node/tests/node/platform.rs
+++ b/crates/node/tests/node/platform.rs
@@ -59,7 +59,7 @@
         Workspace, //
     },
 };
-use fulmarpier_node::port::{
+use fulmarpier_node::platform::{
     Append,
     Condition,
     Error,
@@ -394,7 +394,7 @@
             records.into_iter().partition(is_rejected);
         let rejected = unreadable
             .iter()
-            .map(|record| Rejected::record(record, Fault::Value));
+            .map(|record| Rejected::new(record, Fault::Value));
         Page {
             records,
             rejected: rejected.collect(),
@@ -596,7 +596,7 @@
         match append.condition {
             Condition::None => {}
             Condition::EndsAt(at) if at == end => {}
-            Condition::EndsAt(_) => return Err(Error::Moved { end }),
+            Condition::EndsAt(_) => return Err(Error::WrongEnd { end }),
             Condition::Writer { epoch, sequence } => {
                 if epoch.0 < state.fence {
                     return Err(Error::Fenced);
@@ -681,7 +681,7 @@
                     .copied()
                     .unwrap_or(0);
                 if from < first {
-                    return Err(Error::Forgotten { first });
+                    return Err(Error::Truncated { first });
                 }
                 let records = state.topics.get(&topic_name(topic));
                 let end = records.map_or(0, |records| records.len() as u64);
@@ -804,7 +804,7 @@
         None
     }
 
-    fn suspended(&self) -> Duration {
+    fn total_suspension(&self) -> Duration {
         *self.suspended.lock().unwrap()
     }
 
@@ -813,7 +813,7 @@
             ("config", Some(b"1")) => (1, "p"),
             ("config", Some(b"2")) => (2, "elsewhere"),
             ("config", Some(value)) if value.starts_with(KEYS_PREFIX) => (version(value), "p"),
-            ("config", _) => return Err(Fault::Form),
+            ("config", _) => return Err(Fault::Structure),
             _ => return Ok(None),
         };
         let mut config = Config {
@@ -842,7 +842,7 @@
                 data_centre: DataCentre::from(name),
                 is_evacuated: record.value.is_some(),
             })),
-            Some(_) => Err(Fault::Form),
+            Some(_) => Err(Fault::Structure),
         }
     }
 
@@ -854,7 +854,7 @@
         let pool = match record.value.as_deref() {
             Some(b"here") => PoolName::from("p"),
             Some(b"elsewhere") => PoolName::from("elsewhere"),
-            _ => return Err(Fault::Form),
+            _ => return Err(Fault::Structure),
         };
         if !pools.contains(&pool) {
             return Err(Fault::Pool);
--- a/crates/node/tests/node/record.rs
+++ b/crates/node/tests/node/record.rs
@@ -18,9 +18,9 @@
     spread::Spread,
 };
 use fulmarpier_node::{
-    front::Refusal,
-    port::{
-        FIRST_PARTITIONS,
+    frontend::Refusal,
+    platform::{
+        SMALL_CELL_JOB_PARTITIONS,
         Topic, //
     },
 };
@@ -48,8 +48,8 @@
 };
 
 /// Guards against a takeover that never ends. One partition takes longer than a second per call, the others take
-/// milliseconds. If a new owner reads all 16 partitions again whenever its view of any is too old, the view is too old
-/// each time the slow one answers. As the claim is renewed meanwhile, no other node takes over either.
+/// milliseconds. If a new owner reads all 16 partitions again whenever its last read of any is too old, that read is
+/// too old each time the slow one answers. As the claim is renewed meanwhile, no other node takes over either.
 #[rstest]
 #[case::below_a_second(900)]
 #[case::above_a_second(1_100)]
@@ -60,7 +60,7 @@
     platform.delay_reads(Topic::Jobs(0), Duration::from_millis(delay_ms));
     let one = start_node("one", &platform);
     let takeover = timeout(60 * SECOND, async {
-        while one.front().pending(&QueueName::from("q")).await.is_err() {
+        while one.frontend().pending(&QueueName::from("q")).await.is_err() {
             sleep(SECOND / 20).await;
         }
     });
@@ -128,18 +128,24 @@
         .unwrap();
     assert_eq!(cancel(&one, 1).await, Ok(()));
     sleep(10 * SECOND).await;
-    assert_eq!(one.front().look(JobId(1)).await, Ok(State::Cancelled));
+    assert_eq!(
+        one.frontend().job_state(JobId(1)).await,
+        Ok(State::Cancelled)
+    );
     one.leave();
-    one.disowned(SECOND).await;
+    one.wait_for_release(SECOND).await;
     one.stop(SECOND).await;
-    for partition in 0..FIRST_PARTITIONS {
+    for partition in 0..SMALL_CELL_JOB_PARTITIONS {
         platform.block_reads(Topic::Jobs(partition), 2 * SECOND);
     }
     let again = start_node("one", &platform);
     sleep(SECOND).await;
     assert_eq!(cancel(&again, 1).await, Ok(()));
     wait_until_ready(&again).await;
-    assert_eq!(again.front().look(JobId(1)).await, Ok(State::Cancelled));
+    assert_eq!(
+        again.frontend().job_state(JobId(1)).await,
+        Ok(State::Cancelled)
+    );
 }
 
 /// Guards against a finished job whose record stays in the store. The store refuses the partition of the job's node, so
@@ -152,15 +158,18 @@
     wait_until_ready(&one).await;
     submit_spec(&one, 1, job(vec![step()], None)).await.unwrap();
     let key = JobId(1).to_string();
-    let own = (0..FIRST_PARTITIONS).find(|p| platform.newest_job(*p, &key).is_some());
+    let own = (0..SMALL_CELL_JOB_PARTITIONS).find(|p| platform.newest_job(*p, &key).is_some());
     let own = own.unwrap();
     platform.refuse_appends(own);
     submit_spec(&one, 2, job(vec![step()], None)).await.unwrap();
     let key = JobId(2).to_string();
-    let next = (own + 1) % FIRST_PARTITIONS;
+    let next = (own + 1) % SMALL_CELL_JOB_PARTITIONS;
     assert!(platform.newest_job(next, &key).is_some());
     sleep(15 * SECOND).await;
-    assert_eq!(one.front().look(JobId(2)).await, Ok(State::Completed));
+    assert_eq!(
+        one.frontend().job_state(JobId(2)).await,
+        Ok(State::Completed)
+    );
     assert!(
         platform.newest_job(next, &key).is_none(),
         "its record is still in the store"
@@ -175,7 +184,7 @@
     wait_until_ready(&one).await;
     platform.put_in_partition(3, &JobId(1).to_string(), vec![0xff]);
     sleep(3 * SECOND).await;
-    let found = one.front().look(JobId(1)).await;
+    let found = one.frontend().job_state(JobId(1)).await;
     assert_ne!(found, Err(Refusal::NoJob));
 }
 
@@ -190,13 +199,13 @@
     let one = start_node("one", &platform);
     wait_until_ready(&one).await;
     one.leave();
-    one.disowned(SECOND).await;
+    one.wait_for_release(SECOND).await;
     one.stop(SECOND).await;
     platform.lose_newest_reads(lost);
     let two = start_node("two", &platform);
     wait_until(|| async { platform.owner().as_deref() == Some("two") }).await;
     let claimed = Instant::now();
-    wait_until(|| async { two.front().pending(&QueueName::from("q")).await.is_ok() }).await;
+    wait_until(|| async { two.frontend().pending(&QueueName::from("q")).await.is_ok() }).await;
     let took = claimed.elapsed().as_millis();
     assert!(took <= max_ms, "{took} ms");
 }
@@ -212,7 +221,7 @@
     wait_until_ready(&one).await;
     let two = start_node("two", &platform);
     wait_until_ready(&two).await;
-    wait_until(|| async { one.greeted_by().await == 1 }).await;
+    wait_until(|| async { one.peer_count().await == 1 }).await;
     let newest = platform.claims().pop().unwrap();
     platform.write_claim(&Claim {
         spread: Spread::default(),
@@ -224,7 +233,7 @@
         ..newest
     });
     one.leave();
-    one.disowned(SECOND).await;
+    one.wait_for_release(SECOND).await;
     sleep(2 * SECOND).await;
     let epochs: Vec<_> = platform.claims().iter().map(|claim| claim.epoch).collect();
     assert!(epochs.is_sorted(), "{epochs:?}");
--- a/crates/node/tests/node/service.rs
+++ b/crates/node/tests/node/service.rs
@@ -20,10 +20,10 @@
     spread::Spread,
 };
 use fulmarpier_node::{
-    front::Refusal,
-    port::{
-        FIRST_PARTITIONS,
-        JOB_PARTITIONS, //
+    frontend::Refusal,
+    platform::{
+        JOB_PARTITIONS,
+        SMALL_CELL_JOB_PARTITIONS, //
     },
 };
 use fulmarpier_state::{
@@ -93,7 +93,7 @@
     wait_until_ready(&one).await;
     let two = start_node("two", &platform);
     wait_until_ready(&two).await;
-    wait_until(|| async { one.greeted_by().await == 1 }).await;
+    wait_until(|| async { one.peer_count().await == 1 }).await;
     platform.set_mode(Mode::Slow);
     let renewals = |count: usize| {
         let before = platform.claims().len();
@@ -123,12 +123,12 @@
     platform.set_own_mode(Mode::Unresponsive);
     let queue = QueueName::from("q");
     let far_deadline = Instant::now() + 300 * SECOND;
-    let front = one.front();
+    let frontend = one.frontend();
     let (sent, waiting) = tokio::join!(
-        front.submit(&queue, JobId(1), two_step_job(), far_deadline),
+        frontend.submit(&queue, JobId(1), two_step_job(), far_deadline),
         async {
             tokio::time::sleep(SECOND / 10).await;
-            front
+            frontend
                 .submit(&queue, JobId(2), two_step_job(), far_deadline)
                 .await
         }
@@ -138,7 +138,11 @@
         Err(Refusal::Unknown),
         "its record may still be written"
     );
-    assert_eq!(waiting, Err(Refusal::NotKept), "its record was never sent");
+    assert_eq!(
+        waiting,
+        Err(Refusal::NotStored),
+        "its record was never sent"
+    );
     assert_eq!(
         platform.timed_out_calls(),
         0,
@@ -152,7 +156,7 @@
     let platform = Fake::new();
     let one = start_node("one", &platform);
     wait_until_ready(&one).await;
-    for partition in (0..FIRST_PARTITIONS).step_by(2) {
+    for partition in (0..SMALL_CELL_JOB_PARTITIONS).step_by(2) {
         platform.refuse_appends(partition);
     }
     // Whichever partition a node's name selects, this one or the next accepts the record.
@@ -191,10 +195,10 @@
     let (two, three) = (start_node("two", &platform), start_node("three", &platform));
     wait_until_ready(&two).await;
     wait_until_ready(&three).await;
-    wait_until(|| async { one.greeted_by().await == 2 }).await;
+    wait_until(|| async { one.peer_count().await == 2 }).await;
     let before = platform.claims();
     one.leave();
-    one.disowned(SECOND).await;
+    one.wait_for_release(SECOND).await;
     wait_until(|| async { platform.owner().is_some_and(|owner| owner != "one") }).await;
     let later = &platform.claims()[before.len()..];
     // The former owner writes the first claim of the next epoch for its successor, so no release leaves the cell
@@ -217,11 +221,14 @@
     submit(&two, 1).await.unwrap();
     wait_until_completed(&two, 1).await;
     one.leave();
-    one.disowned(SECOND).await;
+    one.wait_for_release(SECOND).await;
     one.stop(SECOND).await;
     submit(&two, 2).await.unwrap();
     wait_until_completed(&two, 2).await;
-    assert_eq!(two.front().look(JobId(1)).await, Ok(State::Completed));
+    assert_eq!(
+        two.frontend().job_state(JobId(1)).await,
+        Ok(State::Completed)
+    );
     assert_eq!(platform.starts(1), 4);
 }
 
@@ -255,7 +262,7 @@
     tokio::time::sleep(4 * SECOND).await;
     assert_eq!(platform.owner().as_deref(), Some("strong"));
     strong.leave();
-    strong.disowned(SECOND).await;
+    strong.wait_for_release(SECOND).await;
     wait_until(|| async { platform.owner().as_deref() == Some("equal") }).await;
 }
 
@@ -265,7 +272,7 @@
     let (one, two) = (start_node("one", &platform), start_node("two", &platform));
     wait_until_ready(&one).await;
     wait_until_ready(&two).await;
-    for partition in 0..FIRST_PARTITIONS {
+    for partition in 0..SMALL_CELL_JOB_PARTITIONS {
         let accepted = Accepted {
             job: JobId(100 + u64::from(partition)),
             queue: queue().into(),
@@ -276,7 +283,7 @@
         };
         platform.record_job(partition, &accepted);
     }
-    for partition in 0..FIRST_PARTITIONS {
+    for partition in 0..SMALL_CELL_JOB_PARTITIONS {
         let job = 100 + u64::from(partition);
         wait_until_completed(&two, job).await;
         assert_eq!(platform.starts(job), 4);
@@ -319,19 +326,22 @@
     let queue = QueueName::from("q");
     let mut unplaceable = two_step_job();
     unplaceable.steps[0].size = Resources::new(Millicores::from_cores(64), Bytes::from_gib(1), 0);
-    for job in 0..u64::from(FIRST_PARTITIONS) {
+    for job in 0..u64::from(SMALL_CELL_JOB_PARTITIONS) {
         let deadline = Instant::now() + 3 * SECOND;
-        let front = one.front();
-        let submission = front.submit(&queue, JobId(100 + job), unplaceable.clone(), deadline);
+        let frontend = one.frontend();
+        let submission = frontend.submit(&queue, JobId(100 + job), unplaceable.clone(), deadline);
         submission.await.unwrap();
     }
     tokio::time::sleep(SECOND).await;
-    for partition in 0..FIRST_PARTITIONS {
+    for partition in 0..SMALL_CELL_JOB_PARTITIONS {
         platform.record_cancellation(partition, 100 + u64::from(partition));
     }
     tokio::time::sleep(3 * SECOND).await;
-    for job in 100..100 + u64::from(FIRST_PARTITIONS) {
-        assert_eq!(one.front().look(JobId(job)).await, Ok(State::Cancelled));
+    for job in 100..100 + u64::from(SMALL_CELL_JOB_PARTITIONS) {
+        assert_eq!(
+            one.frontend().job_state(JobId(job)).await,
+            Ok(State::Cancelled)
+        );
     }
 }
 
@@ -387,11 +397,14 @@
     let one = start_node("one", &platform);
     wait_until_ready(&one).await;
     platform.set_mode(Mode::Refusing);
-    assert_eq!(submit(&one, 1).await, Err(Refusal::NotKept));
+    assert_eq!(submit(&one, 1).await, Err(Refusal::NotStored));
     platform.set_mode(Mode::Healthy);
     wait_until_ready(&one).await;
     assert!(!platform.has_record(&JobId(1).to_string()));
-    assert_eq!(one.front().look(JobId(1)).await, Err(Refusal::NoJob));
+    assert_eq!(
+        one.frontend().job_state(JobId(1)).await,
+        Err(Refusal::NoJob)
+    );
 }
 
 #[tokio::test]
@@ -429,7 +442,7 @@
     platform.set_mode(Mode::Refusing);
     let before = platform.appends();
     for job in 1..200 {
-        assert_eq!(submit(&one, job).await, Err(Refusal::NotKept));
+        assert_eq!(submit(&one, job).await, Err(Refusal::NotStored));
     }
     // Appends that the store refuses are not counted.
     assert_eq!(platform.appends(), before);
@@ -443,18 +456,18 @@
     let queue = QueueName::from("q");
     let deadline = Instant::now() + 3 * SECOND;
     submit(&one, 1).await.unwrap();
-    wait_until(|| async { one.front().look(JobId(1)).await.is_ok() }).await;
-    let front = one.front();
-    front.cancel(&queue, JobId(1), deadline).await.unwrap();
+    wait_until(|| async { one.frontend().job_state(JobId(1)).await.is_ok() }).await;
+    let frontend = one.frontend();
+    frontend.cancel(&queue, JobId(1), deadline).await.unwrap();
     wait_until(|| async {
-        let state = one.front().look(JobId(1)).await;
+        let state = one.frontend().job_state(JobId(1)).await;
         matches!(state, Ok(State::Cancelled | State::Completed))
     })
     .await;
-    let unknown = front.cancel(&queue, JobId(9), deadline).await;
+    let unknown = frontend.cancel(&queue, JobId(9), deadline).await;
     assert_eq!(unknown, Err(Refusal::NoJob));
     let missing = QueueName::from("missing");
-    let refused = front
+    let refused = frontend
         .submit(&missing, JobId(3), two_step_job(), deadline)
         .await;
     assert_eq!(refused, Err(Refusal::NoQueue));
@@ -468,14 +481,14 @@
     wait_until_ready(&one).await;
     let missing = QueueName::from("missing");
     let deadline = Instant::now() + 300 * SECOND;
-    let front = one.front();
-    let submit = || front.submit(&missing, JobId(1), two_step_job(), deadline);
+    let frontend = one.frontend();
+    let submit = || frontend.submit(&missing, JobId(1), two_step_job(), deadline);
     assert_eq!(submit().await, Err(Refusal::NoQueue));
-    assert_eq!(front.pending(&missing).await, Err(Refusal::NoQueue));
+    assert_eq!(frontend.pending(&missing).await, Err(Refusal::NoQueue));
     platform.set_mode(Mode::Unresponsive);
     tokio::time::sleep(4 * SECOND).await;
     assert_eq!(submit().await, Err(Refusal::NotReady));
-    assert_eq!(front.pending(&missing).await, Err(Refusal::NotReady));
+    assert_eq!(frontend.pending(&missing).await, Err(Refusal::NotReady));
     platform.set_mode(Mode::Healthy);
     tokio::time::sleep(SECOND).await;
     assert_eq!(submit().await, Err(Refusal::NoQueue));
--- a/crates/node/tests/node/workspace.rs
+++ b/crates/node/tests/node/workspace.rs
@@ -13,11 +13,11 @@
 };
 use fulmarpier_node::{
     Node,
-    front::{
-        Front,
+    frontend::{
+        Frontend,
         Refusal, //
     },
-    port::Topic,
+    platform::Topic,
     revocation::Revocation, //
 };
 use rstest::rstest;
@@ -60,10 +60,10 @@
 }
 
 /// Authenticates a caller by its key.
-fn authenticate(node: &Node<Fake>, key: &str) -> Result<Front<Fake>, Refusal> {
-    let front = node.front();
-    let config = front.config().ok_or(Refusal::NotReady)?;
-    front.authenticate(&config, &ingress(false), Some(&KeyDigest::of(key)))
+fn authenticate(node: &Node<Fake>, key: &str) -> Result<Frontend<Fake>, Refusal> {
+    let frontend = node.frontend();
+    let config = frontend.config().ok_or(Refusal::NotReady)?;
+    frontend.authenticate(&config, &ingress(false), Some(&KeyDigest::of(key)))
 }
 
 /// Returns the version of the configuration that [`configure`] writes for a text.
@@ -71,9 +71,9 @@
     platform::version(format!("keys: {text}").as_bytes())
 }
 
-async fn wait_until_admitted(node: &Node<Fake>, key: &str) -> Front<Fake> {
+async fn wait_until_admitted(node: &Node<Fake>, key: &str) -> Frontend<Fake> {
     wait_until(|| async {
-        let config = node.front().config();
+        let config = node.frontend().config();
         let has_keys = config.is_some_and(|config| config.directory.is_some());
         has_keys && authenticate(node, key).is_ok()
     })
@@ -81,23 +81,23 @@
     authenticate(node, key).unwrap()
 }
 
-async fn submit(front: &Front<Fake>, id: u64) -> Result<(), Refusal> {
+async fn submit(frontend: &Frontend<Fake>, id: u64) -> Result<(), Refusal> {
     let deadline = Instant::now() + 3 * SECOND;
     let queue = QueueName::from("q");
-    front
+    frontend
         .submit(&queue, JobId(id), two_step_job(), deadline)
         .await
 }
 
-async fn cancel(front: &Front<Fake>, id: u64) -> Result<(), Refusal> {
+async fn cancel(frontend: &Frontend<Fake>, id: u64) -> Result<(), Refusal> {
     let deadline = Instant::now() + 3 * SECOND;
-    front
+    frontend
         .cancel(&QueueName::from("q"), JobId(id), deadline)
         .await
 }
 
-async fn wait_until_completed(front: &Front<Fake>, id: u64) {
-    wait_until(|| async { front.look(JobId(id)).await == Ok(State::Completed) }).await;
+async fn wait_until_completed(frontend: &Frontend<Fake>, id: u64) {
+    wait_until(|| async { frontend.job_state(JobId(id)).await == Ok(State::Completed) }).await;
 }
 
 #[tokio::test]
@@ -105,17 +105,17 @@
     let platform = Fake::new();
     let one = start_node("one", &platform);
     wait_until_ready(&one).await;
-    let config = one.front().config().unwrap();
+    let config = one.frontend().config().unwrap();
     let try_key = |is_public, key: Option<&str>| {
-        let front = one.front();
-        let config = front.config().unwrap();
+        let frontend = one.frontend();
+        let config = frontend.config().unwrap();
         let key = key.map(KeyDigest::of);
-        front
+        frontend
             .authenticate(&config, &ingress(is_public), key.as_ref())
             .map(drop)
     };
-    let front = one.front().authenticate(&config, &ingress(false), None);
-    assert!(front.is_ok(), "without workspaces no key is needed");
+    let frontend = one.frontend().authenticate(&config, &ingress(false), None);
+    assert!(frontend.is_ok(), "without workspaces no key is needed");
     configure(&platform, "a=ka,kb b=kc");
     wait_until_admitted(&one, "ka").await;
     assert_eq!(try_key(false, Some("kb")), Ok(()));
@@ -145,16 +145,16 @@
         .unwrap();
     wait_until(|| async { own.pending(&queue).await == Ok(1) }).await;
     assert_eq!(other.pending(&queue).await, Ok(0));
-    assert_eq!(other.look(JobId(1)).await, Err(Refusal::NoJob));
+    assert_eq!(other.job_state(JobId(1)).await, Err(Refusal::NoJob));
     assert_eq!(cancel(&other, 1).await, Err(Refusal::NoJob));
-    assert_eq!(own.look(JobId(1)).await, Ok(State::Queued));
+    assert_eq!(own.job_state(JobId(1)).await, Ok(State::Queued));
     // The same holds for a job that is not known yet.
     assert_eq!(cancel(&other, 2).await, Err(Refusal::NoJob));
     submit(&own, 2).await.unwrap();
     wait_until_completed(&own, 2).await;
-    assert_eq!(other.look(JobId(2)).await, Err(Refusal::NoJob));
+    assert_eq!(other.job_state(JobId(2)).await, Err(Refusal::NoJob));
     assert_eq!(cancel(&own, 1).await, Ok(()));
-    wait_until(|| async { own.look(JobId(1)).await == Ok(State::Cancelled) }).await;
+    wait_until(|| async { own.job_state(JobId(1)).await == Ok(State::Cancelled) }).await;
 }
 
 /// One node accepts both submissions, so both records are in one partition.
@@ -172,11 +172,11 @@
     submit(&other, 1).await.unwrap();
     wait_until_completed(&own, 1).await;
     assert_eq!(platform.starts(1), 4);
-    assert_eq!(other.look(JobId(1)).await, Err(Refusal::NoJob));
+    assert_eq!(other.job_state(JobId(1)).await, Err(Refusal::NoJob));
     let two = start_node("two", &platform);
     wait_until_ready(&two).await;
     one.leave();
-    one.disowned(SECOND).await;
+    one.wait_for_release(SECOND).await;
     one.stop(SECOND).await;
     let own = wait_until_admitted(&two, "ka").await;
     wait_until_completed(&own, 1).await;
@@ -202,16 +202,16 @@
     configure(&platform, later);
     wait_until_completed(&own, 1).await;
     wait_until(|| async {
-        let front = one.front();
-        let config = front.config().unwrap();
+        let frontend = one.frontend();
+        let config = frontend.config().unwrap();
         config.version == version(later)
     })
     .await;
-    let front = wait_until_admitted(&one, key).await;
-    assert_eq!(front.look(JobId(1)).await, expected);
+    let frontend = wait_until_admitted(&one, key).await;
+    assert_eq!(frontend.job_state(JobId(1)).await, expected);
     // Submitted again by a caller of its workspace, it is the same job.
     if expected.is_ok() {
-        submit(&front, 1).await.unwrap();
+        submit(&frontend, 1).await.unwrap();
         sleep(SECOND / 2).await;
         assert_eq!(platform.starts(1), 4);
     }
@@ -275,7 +275,10 @@
     #[case] expected: bool,
 ) {
     let revocation = Revocation {
-        within: within_ms.map(Duration::from_millis),
+        max_config_age: within_ms.map(Duration::from_millis),
     };
-    assert_eq!(revocation.forbids(Duration::from_millis(age_ms)), expected);
+    assert_eq!(
+        revocation.is_exceeded_by(Duration::from_millis(age_ms)),
+        expected
+    );
 }
