--- a/crates/cell/tests/cell/world/check.rs
+++ b/crates/cell/tests/cell/world/check.rs
@@ -65,7 +65,7 @@
         let task = order.task;
         let at = format!("{task} run {} on {}", order.run, order.to.worker);
         let running = self.workers.values();
-        let count: usize = running.map(|worker| worker.runs(task)).sum();
+        let count: usize = running.map(|worker| worker.run_count(task)).sum();
         if count > 1 {
             self.violations.push(format!("{at}: runs twice"));
         }
@@ -157,7 +157,11 @@
         if !self.crashing_task_ids.contains(&task) {
             self.wrongly_given_up += 1;
         }
-        let under = self.crashes_under.get(&task).copied().unwrap_or_default();
+        let under = self
+            .crashes_while_running
+            .get(&task)
+            .copied()
+            .unwrap_or_default();
         if under < MIN_CRASHES_TO_GIVE_UP {
             let line =
                 format!("{task} is given up after {under} workers went down while running it");
--- a/crates/cell/tests/cell/world/deliver.rs
+++ b/crates/cell/tests/cell/world/deliver.rs
@@ -55,15 +55,15 @@
         };
         if !self.workers.contains_key(&id) && !self.is_down(&id) {
             if is_current && is_answered {
-                let gone = Event::Started(id, order.task, order.run, StartAnswer::Replaced);
-                self.schedule(NETWORK_DELAY, gone);
+                let answer = Event::Started(id, order.task, order.run, StartAnswer::Replaced);
+                self.schedule(NETWORK_DELAY, answer);
             }
             return;
         }
         let Some(worker) = self.reachable_worker(&id) else {
             if is_current && is_answered {
-                let silent = Event::Started(id, order.task, order.run, StartAnswer::NoAnswer);
-                self.schedule(ORDER_TIMEOUT, silent);
+                let timeout = Event::Started(id, order.task, order.run, StartAnswer::NoAnswer);
+                self.schedule(ORDER_TIMEOUT, timeout);
             }
             return;
         };
@@ -141,7 +141,7 @@
         let acknowledged = worker.heartbeat(&order, is_lost, now);
         let is_waiting = worker
             .waiting_heartbeat
-            .is_some_and(|(_, call)| call == asked);
+            .is_some_and(|(_, waiting)| waiting == asked);
         for (task, run, is_done) in acknowledged {
             if is_done {
                 self.done.insert(task);
--- a/crates/cell/tests/cell/world/fault.rs
+++ b/crates/cell/tests/cell/world/fault.rs
@@ -66,7 +66,7 @@
     }
 
     fn crash_worker(&mut self, id: WorkerId, worker: &Worker) {
-        self.record_crash_under(worker);
+        self.count_crash_of_running_tasks(worker);
         self.break_connections(&id);
         self.down_until
             .insert(id.clone(), self.now + CRASH_DOWNTIME);
@@ -93,16 +93,16 @@
         is_gang && self.crashing_task_ids.iter().any(|task| task.step == id)
     }
 
-    pub(super) fn record_crash_under(&mut self, worker: &Worker) {
+    pub(super) fn count_crash_of_running_tasks(&mut self, worker: &Worker) {
         for task in worker.tasks() {
-            *self.crashes_under.entry(task).or_default() += 1;
+            *self.crashes_while_running.entry(task).or_default() += 1;
         }
     }
 
     /// Breaks the connections to a worker, which fails its heartbeats.
     pub(super) fn break_connections(&mut self, id: &WorkerId) {
-        let calls = self.heartbeats.iter().filter(|(worker, _)| worker == id);
-        for (id, asked) in calls.cloned().collect::<Vec<_>>() {
+        let in_flight = self.heartbeats.iter().filter(|(worker, _)| worker == id);
+        for (id, asked) in in_flight.cloned().collect::<Vec<_>>() {
             self.schedule(
                 NETWORK_DELAY,
                 Event::HeartbeatAnswered(id, asked, HeartbeatAnswer::ConnectionLost),
--- a/crates/cell/tests/cell/world/limit.rs
+++ b/crates/cell/tests/cell/world/limit.rs
@@ -56,8 +56,8 @@
     pub(crate) fn running(&self, name: &WorkspaceName) -> Resources {
         let tasks = self.workers.values().flat_map(Worker::tasks);
         let sizes = tasks.filter_map(|task| {
-            let (holder, spec) = self.workspace_jobs.get(&task.step.job)?;
-            (holder == name).then(|| spec.steps[usize::from(task.step.step)].size)
+            let (workspace, spec) = self.workspace_jobs.get(&task.step.job)?;
+            (workspace == name).then(|| spec.steps[usize::from(task.step.step)].size)
         });
         sizes.fold(Resources::ZERO, |sum, size| {
             sum.checked_add(size).expect("the sum doesn't overflow")
--- a/crates/cell/tests/cell/world/mod.rs
+++ b/crates/cell/tests/cell/world/mod.rs
@@ -5,8 +5,12 @@
 //! the owner acknowledges it. Orders may go unanswered, be executed late, or both.
 //!
 //! A heartbeat is the owner's call that renews a worker's lease and returns the worker's inventory: its running tasks
-//! and its unacknowledged ends. An acceptance is the stored record of an accepted job. An entry is what the list of
-//! workers in the store says about a worker.
+//! and its unacknowledged ends. An acceptance is the stored record of an accepted job. A worker's entry is what the
+//! list of workers in the store says about it; the type `Entry` is something else, a record that the engine stores. The
+//! operator's records in the store say which data centres are evacuated.
+//!
+//! A slot is a place for a worker in the cell: a worker that replaces another one starts in the same slot, so it has
+//! the same address and is in the same data centre. A history is one run of the simulation.
 
 mod check;
 mod deliver;
@@ -161,6 +165,7 @@
     NewWorker(u32),
     /// A worker has restarted under its id, in its slot.
     Restarted(Box<Registration>, u32, Restart),
+    /// The entry of a crashed worker is removed from the list of workers.
     Unlisted(WorkerId),
     /// The nodes read the operator's records.
     OperatorRead,
@@ -217,7 +222,7 @@
     /// How many other tasks ran on each worker that a task has crashed, in order.
     pub tasks_lost_with: Vec<(TaskId, usize)>,
     /// On how many workers each task was running when the worker went down.
-    crashes_under: BTreeMap<TaskId, u32>,
+    crashes_while_running: BTreeMap<TaskId, u32>,
     /// How many tasks were given up although they crash no worker.
     pub wrongly_given_up: u32,
     /// How often each crashing task was started after [`CRASHES_TO_PROVE`] crashes.
@@ -390,7 +395,7 @@
             crashed: BTreeMap::new(),
             crash_restart: None,
             tasks_lost_with: Vec::new(),
-            crashes_under: BTreeMap::new(),
+            crashes_while_running: BTreeMap::new(),
             wrongly_given_up: 0,
             starts_after_proof: BTreeMap::new(),
             down_until: BTreeMap::new(),
@@ -411,7 +416,7 @@
         for slot in 0..workers {
             world.add_worker(slot);
         }
-        world.brief_new_owner();
+        world.inform_new_owner();
         world
     }
 
@@ -433,7 +438,7 @@
         let Some(worker) = self.workers.remove(id) else {
             return;
         };
-        self.record_crash_under(&worker);
+        self.count_crash_of_running_tasks(&worker);
         self.engine.unregister(id, self.now);
         self.add_worker(worker.slot);
         let mut workers = self.workers.values_mut();
@@ -444,7 +449,7 @@
     }
 
     /// Tells a new owner of the configuration, the nodes and the workers.
-    fn brief_new_owner(&mut self) {
+    fn inform_new_owner(&mut self) {
         self.engine.configure(self.config.clone());
         if !self.is_new_owner_uninformed {
             self.send_evacuation();
@@ -532,8 +537,8 @@
     /// Stores the acceptance of a job and tells the owner of it.
     pub(crate) fn store_acceptance(&mut self, accepted: Accepted) {
         if let Some(name) = accepted.workspace_name() {
-            let holder = (name.clone(), accepted.spec.clone());
-            self.workspace_jobs.insert(accepted.job, holder);
+            let workspace_job = (name.clone(), accepted.spec.clone());
+            self.workspace_jobs.insert(accepted.job, workspace_job);
         }
         self.accepted.push(accepted.clone());
         self.engine.submit(accepted, self.now);
@@ -735,7 +740,7 @@
         let bounds = evacuate::bounds(&self.faults);
         self.engine = Engine::new(self.epoch, bounds, stored, self.now);
         self.reset_owner_evacuation();
-        self.brief_new_owner();
+        self.inform_new_owner();
     }
 
     /// Returns how many of the given jobs are completed.
--- a/crates/cell/tests/cell/world/restart.rs
+++ b/crates/cell/tests/cell/world/restart.rs
@@ -27,7 +27,7 @@
     pub downtime: Duration,
     /// Whether its connections break; else its heartbeats time out.
     pub breaks_connections: bool,
-    /// For how long after that its entry is still the one of the former incarnation.
+    /// For how long after the downtime its entry is still the one of the former incarnation.
     pub stale_entry_duration: Duration,
     /// The first label of the new incarnation.
     pub label: &'static str,
@@ -63,15 +63,15 @@
     }
 
     pub(super) fn go_down_for_restart(&mut self, id: WorkerId, worker: &Worker, restart: Restart) {
-        self.record_crash_under(worker);
+        self.count_crash_of_running_tasks(worker);
         if restart.breaks_connections {
             self.break_connections(&id);
         }
         self.down_until
             .insert(id.clone(), self.now + restart.downtime);
         let entry = Box::new(worker.entry(self.now));
-        let back = Event::Restarted(entry, worker.slot, restart);
-        self.schedule(restart.downtime, back);
+        let restarted = Event::Restarted(entry, worker.slot, restart);
+        self.schedule(restart.downtime, restarted);
     }
 
     pub(super) fn complete_restart(&mut self, entry: Registration, slot: u32, restart: Restart) {
--- a/crates/cell/tests/cell/world/worker.rs
+++ b/crates/cell/tests/cell/world/worker.rs
@@ -158,6 +158,7 @@
         stale.map_or_else(|| self.registration(), |(entry, _)| entry.clone())
     }
 
+    /// Returns what this incarnation itself would write as its entry.
     pub(crate) fn registration(&self) -> Registration {
         let port = 7_000 + u16::try_from(self.slot).unwrap_or(0);
         Registration {
@@ -361,7 +362,7 @@
         self.tasks.keys().copied()
     }
 
-    pub(crate) fn runs(&self, task: TaskId) -> usize {
+    pub(crate) fn run_count(&self, task: TaskId) -> usize {
         usize::from(self.tasks.contains_key(&task))
     }
 
