--- a/crates/cell/tests/cell/crash.rs
+++ b/crates/cell/tests/cell/crash.rs
@@ -1,7 +1,7 @@
 //! Tasks that crash each worker that starts them.
 //!
-//! A crashed worker reports no end of its runs. If the owner reopens what was lost with a worker as if it had never
-//! been started, no attempt is used up, and a task that crashes its workers is started again without end. Each start
+//! A crashed worker reports no end of its runs. If the owner queues the tasks of a lost worker again as if they had
+//! never been started, no attempt is used up, and a task that crashes its workers is started again without end. Each start
 //! takes down a worker with everything that runs there: workers crash 10 ms after such a start and come back after 3 s
 //! as other incarnations. With a start every 3.3 s, a sixteenth of a busy fleet is down at any time. The owner's log
 //! shows this fault when the step of such a task waits again as soon as its worker is found to be another incarnation.
@@ -121,7 +121,7 @@
 #[case::a_long_running_task("batch", vec![long_running()], Disturbance::Nothing)]
 #[case::while_owners_change("urgent", vec![single_task()], Disturbance::Takeovers)]
 #[case::a_member_of_a_gang_while_owners_change("gang", vec![gang()], Disturbance::Takeovers)]
-#[case::while_the_store_goes_away("urgent", vec![single_task()], Disturbance::Outages)]
+#[case::during_outages("urgent", vec![single_task()], Disturbance::Outages)]
 #[case::while_orders_are_lost("urgent", vec![single_task()], Disturbance::LostOrders)]
 #[case::whose_workers_come_back_under_their_ids("urgent", vec![single_task()], Disturbance::Restarts)]
 #[case::a_gang_whose_workers_come_back_under_their_ids("gang", vec![gang()], Disturbance::Restarts)]
@@ -150,12 +150,12 @@
     #[case] queue: &str,
     #[case] steps: Vec<Step>,
     #[values(7, 8, 9, 11, 180)] seconds_between_takeovers: u64,
-    #[values(true, false)] is_broken: bool,
+    #[values(true, false)] breaks_connections: bool,
 ) {
     let mut world = World::new(1, Faults::default());
     world.crash_restart = Some(Restart {
         downtime: Duration::from_secs(12),
-        breaks_connections: is_broken,
+        breaks_connections,
         ..Restart::default()
     });
     world.run(Duration::from_secs(1));
@@ -255,8 +255,8 @@
     /// How many of the other jobs were completed when the load ended, and how many there were.
     completed: (usize, usize),
     violations: Vec<String>,
-    /// How many tasks failed for crashes that they did not cause.
-    wrongly_failed: u32,
+    /// How many tasks were given up for crashes that they did not cause.
+    wrongly_given_up: u32,
 }
 
 /// Summarizes a world at the end of its load, then lets it run for 30 s more to finish the rest.
@@ -272,7 +272,7 @@
         tasks_lost: world.crashing_task_ids.iter().map(tasks_lost).collect(),
         completed,
         violations: world.violations,
-        wrongly_failed: world.wrongly_given_up,
+        wrongly_given_up: world.wrongly_given_up,
     }
 }
 
@@ -310,7 +310,7 @@
     let baseline = run_fleet(1, 0);
     let crashing = run_fleet(1, 8);
     assert_eq!(crashing.violations, Vec::<String>::new());
-    assert_eq!(crashing.wrongly_failed, 0);
+    assert_eq!(crashing.wrongly_given_up, 0);
     assert!(
         crashing.tasks_lost.len() >= 5,
         "some tasks crash their workers"
--- a/crates/cell/tests/cell/evacuate.rs
+++ b/crates/cell/tests/cell/evacuate.rs
@@ -21,8 +21,9 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-/// Returns faults that put the bound on starts after an evacuation in force, with hardly any evacuation by chance.
-fn bounded() -> Faults {
+/// Returns faults for which the world sets an evacuation deadline in the engine's bounds, with hardly any evacuation by
+/// chance.
+fn with_evacuation_deadline() -> Faults {
     Faults {
         evacuations: 1,
         ..Faults::default()
@@ -133,8 +134,8 @@
 }
 
 #[test]
-fn an_evacuation_may_be_revoked_and_repeated_within_a_second() {
-    let mut world = world(bounded());
+fn an_evacuation_may_end_and_begin_again_within_a_second() {
+    let mut world = world(with_evacuation_deadline());
     let job = world.submit("batch", vec![wide_step(64)]);
     for _ in 0..3 {
         world.evacuate("north");
@@ -165,7 +166,7 @@
 /// An outage of the store ends long after the evacuation, and the owner reads of the evacuation up to a second later.
 #[test]
 fn no_order_that_waited_through_an_outage_is_sent_to_an_evacuated_data_centre() {
-    let mut world = world(bounded());
+    let mut world = world(with_evacuation_deadline());
     world.start_outage(7 * SECOND);
     let job = world.submit("batch", vec![wide_step(32)]);
     world.run(SECOND);
@@ -176,7 +177,7 @@
 /// The owner can write its own records but can't read the operator's, so it doesn't know what is evacuated.
 #[test]
 fn an_owner_that_can_t_read_what_is_evacuated_starts_nothing() {
-    let mut world = world(bounded());
+    let mut world = world(with_evacuation_deadline());
     world.are_operator_records_unavailable = true;
     world.run(Duration::from_millis(500));
     let early = world.submit("batch", vec![wide_step(4)]);
@@ -196,7 +197,7 @@
 }
 
 #[test]
-fn without_a_bound_an_owner_relies_on_its_last_reading() {
+fn without_an_evacuation_deadline_an_owner_relies_on_its_last_reading() {
     let mut world = world(Faults::default());
     world.are_operator_records_unavailable = true;
     world.run(10 * SECOND);
@@ -208,7 +209,7 @@
 fn a_new_owner_starts_nothing_before_it_knows_what_is_evacuated(
     #[values(true, false)] has_read: bool,
 ) {
-    let mut world = world(bounded());
+    let mut world = world(with_evacuation_deadline());
     world.evacuate("north");
     world.run(SECOND);
     world.are_operator_records_unavailable = true;
--- a/crates/cell/tests/cell/foreign.rs
+++ b/crates/cell/tests/cell/foreign.rs
@@ -1,4 +1,4 @@
-//! Workers whose registry entry is replaced by one that another writer has written and the owner can't use.
+//! Workers whose entry in the list of workers is overwritten by another writer, so that the owner can't use it.
 
 use std::time::Duration;
 
--- a/crates/cell/tests/cell/forget.rs
+++ b/crates/cell/tests/cell/forget.rs
@@ -1,4 +1,4 @@
-//! Finished jobs: their acceptance is removed from the record, their outcome stays.
+//! Finished jobs: their acceptance is removed from the store, their outcome stays.
 
 use std::time::Duration;
 
@@ -132,8 +132,8 @@
 
 /// The next owner knows only from the cancellation whether the job was ever submitted.
 #[rstest]
-#[case::unseen(Cancellation::UnknownJob, None)]
-#[case::seen(Cancellation::KnownJob, Some(State::Cancelled))]
+#[case::unknown_job(Cancellation::UnknownJob, None)]
+#[case::known_job(Cancellation::KnownJob, Some(State::Cancelled))]
 fn a_cancelled_job_without_an_acceptance_on_record_is_shown_if_it_was_submitted(
     #[case] cancellation: Cancellation,
     #[case] shown: Option<State>,
--- a/crates/cell/tests/cell/history.rs
+++ b/crates/cell/tests/cell/history.rs
@@ -61,10 +61,10 @@
         world.submit("batch", vec![labelled("r1", 2), step(2, vec![0])]);
         world.submit("urgent", vec![labelled("rare", 1)]);
         world.submit("batch", vec![step(2, vec![]), labelled("rare", 2)]);
-        let place = round % world.workers.len();
-        if let Some(id) = world.workers.keys().nth(place).cloned() {
-            let kind = if round % 3 == 0 { "rare" } else { "a" };
-            world.replace_worker(&id, kind);
+        let index = round % world.workers.len();
+        if let Some(id) = world.workers.keys().nth(index).cloned() {
+            let label = if round % 3 == 0 { "rare" } else { "a" };
+            world.replace_worker(&id, label);
         }
         world.run(Duration::from_secs(2));
     }
@@ -200,11 +200,11 @@
 };
 
 #[rstest]
-#[case::a_step_kept_asking_about_a_worker_that_had_another_label(
+#[case::a_step_kept_requesting_advice_about_a_worker_that_had_another_label(
     6_810_646_426_040_739_123,
     RESTARTS
 )]
-#[case::a_step_kept_asking_about_a_worker_with_all_faults(6_818_458_597_670_952_719, Faults { restarts: 40, ..ALL_AND_CRASHING_TASKS })]
+#[case::a_step_kept_requesting_advice_about_a_worker_with_all_faults(6_818_458_597_670_952_719, Faults { restarts: 40, ..ALL_AND_CRASHING_TASKS })]
 #[case::the_next_incarnation_announced_that_it_leaves(2_804_415_196_290_294_630, Faults { restarts: 40, ..ALL_AND_CRASHING_TASKS })]
 #[case::a_worker_announced_that_it_leaves_soon_after_its_restart(1_137_188_293_690_855_454, Faults { restarts: 40, ..ALL_AND_CRASHING_TASKS })]
 #[case::the_order_had_been_executed_before(1_854_814_032_114_709_740, RESTARTS)]
--- a/crates/cell/tests/cell/incarnation.rs
+++ b/crates/cell/tests/cell/incarnation.rs
@@ -125,11 +125,11 @@
     }
 
     fn register(&mut self, incarnation: Incarnation) {
-        self.report(incarnation, None);
+        self.register_leaving(incarnation, None);
     }
 
-    /// Registers the worker; `leaving` is the time until it leaves, where it does.
-    fn report(&mut self, incarnation: Incarnation, leaving: Option<Duration>) {
+    /// Registers the worker; `leaving` is the minimum time that it keeps running, if it leaves.
+    fn register_leaving(&mut self, incarnation: Incarnation, leaving: Option<Duration>) {
         let registration = Registration {
             id: self.worker.clone(),
             incarnation: Some(incarnation),
@@ -232,8 +232,8 @@
             .count()
     }
 
-    /// Breaks the connection, then has the second incarnation answer the next heartbeat and the one with the raised
-    /// fence.
+    /// Breaks the connection, then has the second incarnation answer the next two heartbeats; the second of them has the
+    /// raised fence.
     fn restart(&mut self, running: &[(TaskId, Run)]) {
         let heartbeat = self.heartbeats.pop().expect("a heartbeat is in flight");
         self.answer_heartbeat(&heartbeat, HeartbeatAnswer::ConnectionLost);
@@ -350,7 +350,7 @@
 }
 
 #[test]
-fn a_stop_confirmed_by_a_former_incarnation_is_ordered_of_the_next() {
+fn a_stop_confirmed_by_a_former_incarnation_is_sent_to_the_next_one() {
     let mut harness = Harness::new();
     let tasks = harness.submit(JobId(1), 1);
     for _ in 0..3 {
@@ -405,7 +405,7 @@
     let mut harness = Harness::new();
     harness.has_store = false;
     assert_eq!(harness.submit(JobId(1), 1), []);
-    harness.report(FIRST, Some(Duration::from_secs(2)));
+    harness.register_leaving(FIRST, Some(Duration::from_secs(2)));
     harness.has_store = true;
     harness.engine.handle_recorded(harness.now);
     harness.advance(50 * MILLISECOND);
@@ -414,21 +414,21 @@
 
 /// An order gets no answer, and its worker reports that it leaves before the order is sent again.
 #[test]
-fn an_order_without_an_answer_is_not_given_again_to_a_worker_that_leaves() {
+fn an_unanswered_order_is_not_sent_again_to_a_worker_that_leaves() {
     let mut harness = Harness::new();
     let tasks = harness.submit(JobId(1), 1);
-    harness.report(FIRST, Some(Duration::from_secs(2)));
+    harness.register_leaving(FIRST, Some(Duration::from_secs(2)));
     harness.started(tasks[0], Run(1), StartAnswer::NoAnswer);
     assert_eq!((harness.starts.len(), harness.stops.len()), (1, 1));
 }
 
-/// A worker crashes just after it started a task. That the worker has reported before that it leaves doesn't clear the
-/// task: a leaving worker gets no new task for a while before it is gone.
+/// A worker crashes just after it started a task. The crash counts against the task although the worker reported before
+/// that it leaves, because a leaving worker gets no new task for a while before it is gone.
 #[test]
 fn a_crash_of_a_worker_that_leaves_is_counted() {
     let mut harness = Harness::new();
     let tasks = harness.submit(JobId(1), 1);
-    harness.report(FIRST, Some(Duration::from_secs(2)));
+    harness.register_leaving(FIRST, Some(Duration::from_secs(2)));
     harness.started(tasks[0], Run(1), StartAnswer::Started);
     let heartbeat = harness.heartbeats.pop().unwrap();
     harness.answer_heartbeat(&heartbeat, HeartbeatAnswer::ConnectionLost);
--- a/crates/cell/tests/cell/limit.rs
+++ b/crates/cell/tests/cell/limit.rs
@@ -114,9 +114,9 @@
 
 #[rstest]
 #[case::a_gang_that_fits(gang(4), Ok(()))]
-#[case::a_gang_that_never_can(gang(5), Err(Invalid::Limit(0)))]
+#[case::a_gang_above_the_limit(gang(5), Err(Invalid::Limit(0)))]
 #[case::tasks_that_can_run_one_after_the_other(step(50), Ok(()))]
-#[case::a_task_that_never_can(Step { size: size(1_000, 5_000), ..step(1) }, Err(Invalid::Limit(0)))]
+#[case::a_task_above_the_limit(Step { size: size(1_000, 5_000), ..step(1) }, Err(Invalid::Limit(0)))]
 fn a_job_that_its_workspace_can_never_run_is_invalid(
     #[case] step: Step,
     #[case] expected: Result<(), Invalid>,
@@ -421,7 +421,7 @@
     world.violations
 }
 
-/// All faults together, with entries of other writers and workers that are replaced.
+/// [`history::ALL`], with overwritten entries and replacements of workers.
 const ALL_FAULTS: Faults = Faults {
     overwritten_entries: 30,
     replacements: 30,
--- a/crates/cell/tests/cell/pending.rs
+++ b/crates/cell/tests/cell/pending.rs
@@ -76,7 +76,7 @@
     assert_eq!(world.violations, Vec::<String>::new());
 }
 
-/// How many jobs are over when a new owner takes over, and as many wait.
+/// How many jobs are over when a new owner takes over, and how many others wait.
 const JOBS_EACH: u64 = 5;
 
 fn accepted(job: u64) -> Accepted {
@@ -134,7 +134,7 @@
         Effect::Heartbeat(heartbeat) => Some(heartbeat.asked),
         _ => None,
     });
-    let asked = asked.expect("a new owner calls every worker");
+    let asked = asked.expect("a new owner sends a heartbeat to every worker");
     engine.handle_heartbeat_answer(&worker, asked, HeartbeatAnswer::Listed(listed), now);
     engine
 }
--- a/crates/cell/tests/cell/preempt.rs
+++ b/crates/cell/tests/cell/preempt.rs
@@ -71,7 +71,8 @@
     (world, gangs)
 }
 
-/// A preemption for a late gang lets that gang start, so no more tasks are preempted than the gangs take the place of.
+/// Each preemption for a late gang must let that gang start, so at most as many tasks are preempted as the members of
+/// the late gangs displace.
 #[rstest]
 fn no_more_tasks_are_preempted_than_the_steps_that_start_need(
     #[values(70, 85, 95)] load: u32,
--- a/crates/cell/tests/cell/restart.rs
+++ b/crates/cell/tests/cell/restart.rs
@@ -46,7 +46,7 @@
 
 #[rstest]
 #[case::connections_break(Restart::default())]
-#[case::connections_fall_silent(Restart { breaks_connections: false, ..Restart::default() })]
+#[case::heartbeats_time_out(Restart { breaks_connections: false, ..Restart::default() })]
 #[case::registration_comes_late(LATE_REGISTRATION)]
 fn ends_reported_by_a_new_incarnation_count(#[case] restart: Restart) {
     let mut world = world_with_ended_runs(Faults::default());
@@ -107,13 +107,13 @@
 
 #[rstest]
 #[case::connections_break(Restart::default(), Disturbance::Nothing)]
-#[case::connections_fall_silent(Restart { breaks_connections: false, ..Restart::default() }, Disturbance::Nothing)]
-#[case::it_is_away_for_long(Restart { downtime: Duration::from_secs(3), ..Restart::default() }, Disturbance::Nothing)]
-#[case::it_is_back_at_once(Restart { downtime: Duration::from_millis(20), ..Restart::default() }, Disturbance::Nothing)]
+#[case::heartbeats_time_out(Restart { breaks_connections: false, ..Restart::default() }, Disturbance::Nothing)]
+#[case::downtime_is_long(Restart { downtime: Duration::from_secs(3), ..Restart::default() }, Disturbance::Nothing)]
+#[case::downtime_is_short(Restart { downtime: Duration::from_millis(20), ..Restart::default() }, Disturbance::Nothing)]
 #[case::while_owners_change(Restart::default(), Disturbance::Takeovers)]
-#[case::while_the_store_goes_away(Restart::default(), Disturbance::Outages)]
+#[case::during_outages(Restart::default(), Disturbance::Outages)]
 #[case::while_orders_are_lost(Restart::default(), Disturbance::LostOrders)]
-#[case::silent_while_orders_are_lost(Restart { breaks_connections: false, ..Restart::default() }, Disturbance::LostOrders)]
+#[case::heartbeats_time_out_while_orders_are_lost(Restart { breaks_connections: false, ..Restart::default() }, Disturbance::LostOrders)]
 fn every_job_completes_though_workers_restart(
     #[case] restart: Restart,
     #[case] disturbance: Disturbance,
@@ -138,10 +138,10 @@
 /// Tasks started meanwhile go to the other workers.
 #[rstest]
 #[case::with_another_label(Restart { label: "rare", ..LATE_REGISTRATION }, Disturbance::Nothing)]
-#[case::with_less_room(Restart { capacity_tasks: 1, ..LATE_REGISTRATION }, Disturbance::Nothing)]
-#[case::with_another_label_while_the_store_is_away(Restart { label: "rare", ..LATE_REGISTRATION }, Disturbance::Outages)]
-#[case::with_less_room_while_the_store_is_away(Restart { capacity_tasks: 1, ..LATE_REGISTRATION }, Disturbance::Outages)]
-fn no_task_is_started_by_labels_or_room_of_a_former_incarnation(
+#[case::with_less_capacity(Restart { capacity_tasks: 1, ..LATE_REGISTRATION }, Disturbance::Nothing)]
+#[case::with_another_label_during_outages(Restart { label: "rare", ..LATE_REGISTRATION }, Disturbance::Outages)]
+#[case::with_less_capacity_during_outages(Restart { capacity_tasks: 1, ..LATE_REGISTRATION }, Disturbance::Outages)]
+fn no_task_is_placed_by_the_labels_or_capacity_of_a_former_incarnation(
     #[case] restart: Restart,
     #[case] disturbance: Disturbance,
 ) {
@@ -189,7 +189,7 @@
     }
 }
 
-/// More tasks wait than fit, and those left hold tickets for workers that restart.
+/// More tasks wait than the workers have capacity for; those that still wait hold tickets for workers that restart.
 #[test]
 fn tickets_of_a_former_incarnation_are_not_used() {
     let mut world = World::new(1, Faults::default());
--- a/crates/cell/tests/cell/takeover.rs
+++ b/crates/cell/tests/cell/takeover.rs
@@ -194,7 +194,7 @@
         running: vec![running],
         ended: Vec::new(),
     };
-    let asked = asked.expect("the worker is called");
+    let asked = asked.expect("the worker is sent a heartbeat");
     engine.handle_heartbeat_answer(&worker, asked, HeartbeatAnswer::Listed(inventory), now);
     let effects = [effects, engine.advance(now)].concat();
     let stops = effects
--- a/crates/cell/tests/cell/wait.rs
+++ b/crates/cell/tests/cell/wait.rs
@@ -68,7 +68,8 @@
         elapsed += Duration::from_millis(100);
     }
     println!("{elapsed:?}");
-    // The jobs have 80 tasks of 1.6 s for 32 places on 8 workers, which takes 4 s; the last tasks take up to 3 s.
+    // The 40 jobs have 2 tasks each, of 1.6 s on average, and the 8 workers run 32 tasks at a time. That takes 40 times
+    // 2 times 1.6 s divided by 32, so 4 s, and the last of the tasks takes up to 3 s.
     assert!(elapsed <= Duration::from_secs(8), "{elapsed:?}");
 }
 
