--- a/crates/cell/tests/cell/incarnation.rs
+++ b/crates/cell/tests/cell/incarnation.rs
@@ -56,8 +56,8 @@
 use rstest::rstest;
 
 const MILLISECOND: Duration = Duration::from_millis(1);
-const FIRST: Incarnation = Incarnation(1_000);
-const SECOND: Incarnation = Incarnation(2_000);
+const FIRST_INCARNATION: Incarnation = Incarnation(1_000);
+const SECOND_INCARNATION: Incarnation = Incarnation(2_000);
 
 /// Returns a job with this many tasks.
 fn accepted(job: JobId, count: u16, received: Timestamp) -> Accepted {
@@ -93,15 +93,15 @@
     records: Vec<Entry>,
     is_deposed: bool,
     /// Whether the store answers writes.
-    has_store: bool,
+    is_store_available: bool,
 }
 
 impl Harness {
     /// Creates a harness whose worker has answered as the first incarnation.
     fn new() -> Self {
         let mut harness = Self::of_new_owner(StoredState::default());
-        harness.register(FIRST);
-        harness.send_inventory(FIRST, &[]);
+        harness.register(FIRST_INCARNATION);
+        harness.send_inventory(FIRST_INCARNATION, &[]);
         harness
     }
 
@@ -120,7 +120,7 @@
             log_records: Vec::new(),
             records: Vec::new(),
             is_deposed: false,
-            has_store: true,
+            is_store_available: true,
         }
     }
 
@@ -154,7 +154,7 @@
             }
             for effect in effects {
                 match effect {
-                    Effect::Record(entries) if self.has_store => {
+                    Effect::Record(entries) if self.is_store_available => {
                         self.records.extend(entries);
                         self.engine.handle_recorded(self.now);
                     }
@@ -232,14 +232,14 @@
             .count()
     }
 
-    /// Breaks the connection, then has the second incarnation answer the next two heartbeats; the second of them has the
-    /// raised fence.
+    /// Breaks the connection, then has the second incarnation answer the next two heartbeats; the second of them has
+    /// the raised fence.
     fn restart(&mut self, running: &[(TaskId, Run)]) {
         let heartbeat = self.heartbeats.pop().expect("a heartbeat is in flight");
         self.answer_heartbeat(&heartbeat, HeartbeatAnswer::ConnectionLost);
         self.advance(300 * MILLISECOND);
-        self.send_inventory(SECOND, running);
-        self.send_inventory(SECOND, running);
+        self.send_inventory(SECOND_INCARNATION, running);
+        self.send_inventory(SECOND_INCARNATION, running);
     }
 }
 
@@ -250,13 +250,13 @@
     let heartbeat = harness.heartbeats.pop().unwrap();
     harness.answer_heartbeat(&heartbeat, HeartbeatAnswer::ConnectionLost);
     harness.advance(300 * MILLISECOND);
-    harness.send_inventory(SECOND, &[]);
+    harness.send_inventory(SECOND_INCARNATION, &[]);
     let fence = harness.heartbeats.last().unwrap().to.fence;
     assert!(fence > heartbeat.to.fence);
     // The order is still in flight and could arrive before that heartbeat.
     assert_eq!(harness.starts.len(), 1);
-    harness.register(SECOND);
-    harness.send_inventory(SECOND, &[]);
+    harness.register(SECOND_INCARNATION);
+    harness.send_inventory(SECOND_INCARNATION, &[]);
     harness.advance(50 * MILLISECOND);
     let again = harness.starts.last().unwrap();
     assert_eq!(
@@ -285,8 +285,8 @@
     let first = harness.heartbeats.pop().unwrap();
     // The registration of the next incarnation causes a second heartbeat, which is answered first.
     harness.advance(5 * MILLISECOND);
-    harness.register(SECOND);
-    harness.send_inventory(SECOND, &[]);
+    harness.register(SECOND_INCARNATION);
+    harness.send_inventory(SECOND_INCARNATION, &[]);
     let heartbeats = harness.heartbeats.len();
     harness.answer_heartbeat(&first, HeartbeatAnswer::Fenced);
     assert!(!harness.is_deposed);
@@ -299,13 +299,13 @@
     harness.advance(MILLISECOND);
     let first = harness.heartbeats.pop().unwrap();
     harness.advance(5 * MILLISECOND);
-    harness.register(SECOND);
-    harness.send_inventory(SECOND, &[]);
+    harness.register(SECOND_INCARNATION);
+    harness.send_inventory(SECOND_INCARNATION, &[]);
     harness.log_records.clear();
-    harness.send_inventory_to(&first, FIRST, &[]);
+    harness.send_inventory_to(&first, FIRST_INCARNATION, &[]);
     assert!(!harness.has_logged_belief("reborn"));
     // The second incarnation has no order that it doesn't list.
-    harness.send_inventory(SECOND, &[]);
+    harness.send_inventory(SECOND_INCARNATION, &[]);
     assert!(!harness.has_logged_belief("reborn"));
 }
 
@@ -375,24 +375,24 @@
     let mut harness = Harness::new();
     let first = harness.heartbeats.pop().unwrap();
     harness.answer_heartbeat(&first, HeartbeatAnswer::Replaced);
-    harness.register(SECOND);
+    harness.register(SECOND_INCARNATION);
     assert!(harness.heartbeats.last().unwrap().to.fence > first.to.fence);
 }
 
 #[test]
 fn an_order_is_not_sent_if_its_worker_falls_silent_before_its_record_is_written() {
     let mut harness = Harness::new();
-    harness.has_store = false;
+    harness.is_store_available = false;
     assert_eq!(harness.submit(JobId(1), 1), []);
     let heartbeat = harness.heartbeats.pop().unwrap();
     harness.answer_heartbeat(&heartbeat, HeartbeatAnswer::ConnectionLost);
-    harness.has_store = true;
+    harness.is_store_available = true;
     harness.engine.handle_recorded(harness.now);
     harness.advance(50 * MILLISECOND);
     assert_eq!(harness.starts, []);
     // The same incarnation answers again, and the task is placed again.
     harness.advance(200 * MILLISECOND);
-    harness.send_inventory(FIRST, &[]);
+    harness.send_inventory(FIRST_INCARNATION, &[]);
     harness.advance(50 * MILLISECOND);
     assert_eq!(harness.starts.len(), 1);
 }
@@ -403,10 +403,10 @@
 #[test]
 fn an_order_that_waited_for_its_record_doesn_t_go_to_a_worker_that_leaves() {
     let mut harness = Harness::new();
-    harness.has_store = false;
+    harness.is_store_available = false;
     assert_eq!(harness.submit(JobId(1), 1), []);
-    harness.register_leaving(FIRST, Some(Duration::from_secs(2)));
-    harness.has_store = true;
+    harness.register_leaving(FIRST_INCARNATION, Some(Duration::from_secs(2)));
+    harness.is_store_available = true;
     harness.engine.handle_recorded(harness.now);
     harness.advance(50 * MILLISECOND);
     assert_eq!(harness.starts, []);
@@ -417,7 +417,7 @@
 fn an_unanswered_order_is_not_sent_again_to_a_worker_that_leaves() {
     let mut harness = Harness::new();
     let tasks = harness.submit(JobId(1), 1);
-    harness.register_leaving(FIRST, Some(Duration::from_secs(2)));
+    harness.register_leaving(FIRST_INCARNATION, Some(Duration::from_secs(2)));
     harness.started(tasks[0], Run(1), StartAnswer::NoAnswer);
     assert_eq!((harness.starts.len(), harness.stops.len()), (1, 1));
 }
@@ -428,7 +428,7 @@
 fn a_crash_of_a_worker_that_leaves_is_counted() {
     let mut harness = Harness::new();
     let tasks = harness.submit(JobId(1), 1);
-    harness.register_leaving(FIRST, Some(Duration::from_secs(2)));
+    harness.register_leaving(FIRST_INCARNATION, Some(Duration::from_secs(2)));
     harness.started(tasks[0], Run(1), StartAnswer::Started);
     let heartbeat = harness.heartbeats.pop().unwrap();
     harness.answer_heartbeat(&heartbeat, HeartbeatAnswer::ConnectionLost);
@@ -448,7 +448,7 @@
     harness.started(tasks[0], Run(1), StartAnswer::NoAnswer);
     assert_eq!(harness.starts.len(), 1);
     harness.advance(200 * MILLISECOND);
-    harness.send_inventory(FIRST, &[]);
+    harness.send_inventory(FIRST_INCARNATION, &[]);
     assert_eq!((harness.starts.len(), harness.stops.len()), (2, 0));
     assert_eq!(harness.starts[1].run, Run(1));
 }
@@ -464,7 +464,7 @@
     let crash = Crash {
         run: Run(1),
         worker: WorkerId::from("w1"),
-        incarnation: Some(FIRST),
+        incarnation: Some(FIRST_INCARNATION),
         is_certain: true,
         may_be_cut_off: is_doubted,
     };
@@ -482,7 +482,7 @@
     };
     let runs = WorkerRuns {
         address: "127.0.0.1:1".parse().unwrap(),
-        incarnation: Some(FIRST),
+        incarnation: Some(FIRST_INCARNATION),
         runs: Vec::new(),
     };
     StoredState {
@@ -500,8 +500,8 @@
 fn a_new_owner_retracts_a_crash_of_a_worker_that_answers(#[case] is_doubted: bool) {
     let job = JobId(1);
     let mut harness = Harness::of_new_owner(stored_crash(job, is_doubted));
-    harness.register(FIRST);
-    harness.send_inventory(FIRST, &[]);
+    harness.register(FIRST_INCARNATION);
+    harness.send_inventory(FIRST_INCARNATION, &[]);
     harness.advance(50 * MILLISECOND);
     let progress = harness.records.iter().rev().find_map(|entry| match entry {
         Entry::Job(id, progress) if *id == job => Some(progress),
@@ -515,8 +515,8 @@
 #[test]
 fn a_new_owner_counts_a_doubted_crash_once_another_incarnation_answers() {
     let mut harness = Harness::of_new_owner(stored_crash(JobId(1), true));
-    harness.register(SECOND);
+    harness.register(SECOND_INCARNATION);
     assert_eq!(harness.crash_count(), 0);
-    harness.send_inventory(SECOND, &[]);
+    harness.send_inventory(SECOND_INCARNATION, &[]);
     assert_eq!(harness.crash_count(), 1);
 }
--- a/crates/cell/tests/cell/limit.rs
+++ b/crates/cell/tests/cell/limit.rs
@@ -202,12 +202,12 @@
     };
     world.submit_for("calm", "batch", vec![preemptible]);
     world.run(SECOND / 5);
-    let asked = world.advice_call_sizes.len();
+    let advice_calls = world.advice_call_sizes.len();
     let urgent = world.submit_for("hot", "urgent", vec![step(2)]);
     world.run(3 * SECOND);
     assert_eq!(world.engine.state(urgent), Some(State::Queued));
     assert!(world.preempted.is_empty());
-    assert_eq!(world.advice_call_sizes.len(), asked);
+    assert_eq!(world.advice_call_sizes.len(), advice_calls);
     assert_eq!(world.violations, Vec::<String>::new());
 }
 
--- a/crates/cell/tests/cell/pending.rs
+++ b/crates/cell/tests/cell/pending.rs
@@ -107,11 +107,11 @@
 
 /// Creates the engine of a new owner with one worker and jobs with ids from 1 on, some of which are over, and has the
 /// worker answer with this inventory.
-fn take_over(over: StoredState, listed: Inventory) -> Engine {
+fn take_over(finished: StoredState, inventory: Inventory) -> Engine {
     let now = Timestamp::from_millis(2_000);
     let stored = StoredState {
         accepted: (1..=2 * JOBS_EACH).map(accepted).collect(),
-        ..over
+        ..finished
     };
     let mut engine = Engine::new(Epoch(2), Bounds::default(), stored, now);
     engine.set_evacuation(Evacuation::default(), now, now);
@@ -135,7 +135,7 @@
         _ => None,
     });
     let asked = asked.expect("a new owner sends a heartbeat to every worker");
-    engine.handle_heartbeat_answer(&worker, asked, HeartbeatAnswer::Listed(listed), now);
+    engine.handle_heartbeat_answer(&worker, asked, HeartbeatAnswer::Listed(inventory), now);
     engine
 }
 
@@ -148,7 +148,7 @@
         outcome: Some(Outcome::Completed),
         ..Progress::default()
     };
-    let over = StoredState {
+    let finished = StoredState {
         progress: (1..=JOBS_EACH)
             .map(|job| (JobId(job), completed.clone()))
             .collect(),
@@ -164,13 +164,13 @@
             checkpoint: None,
         }
     });
-    let listed = Inventory {
+    let inventory = Inventory {
         incarnation: None,
         clock: 1_000,
         running: Vec::new(),
         ended: ended.collect(),
     };
-    let engine = take_over(over, listed);
+    let engine = take_over(finished, inventory);
     assert_eq!(
         u64::from(engine.pending(&QueueName::from("batch"))),
         JOBS_EACH
@@ -180,7 +180,7 @@
 // The same for jobs that were cancelled before the takeover and whose tasks the worker still lists.
 #[test]
 fn runs_of_cancelled_jobs_do_not_lower_the_pending_count() {
-    let over = StoredState {
+    let finished = StoredState {
         cancelled: (1..=JOBS_EACH)
             .map(|job| Cancelled {
                 job: JobId(job),
@@ -199,13 +199,13 @@
             load: 0,
         }
     });
-    let listed = Inventory {
+    let inventory = Inventory {
         incarnation: None,
         clock: 1_000,
         running: running.collect(),
         ended: Vec::new(),
     };
-    let engine = take_over(over, listed);
+    let engine = take_over(finished, inventory);
     assert_eq!(
         u64::from(engine.pending(&QueueName::from("batch"))),
         JOBS_EACH
--- a/crates/cell/tests/cell/takeover.rs
+++ b/crates/cell/tests/cell/takeover.rs
@@ -48,7 +48,7 @@
 const JOB: JobId = JobId(7);
 
 /// Returns a job that was due a second ago and is due again in a minute.
-fn recurring_job(now: Timestamp) -> Accepted {
+fn repeated_job(now: Timestamp) -> Accepted {
     let step = Step {
         count: 1,
         size: size(1_000, 1_024),
@@ -95,7 +95,7 @@
         occurrence: 0,
         step: 0,
     };
-    let mut accepted = recurring_job(takeover);
+    let mut accepted = repeated_job(takeover);
     let mut spec = (*accepted.spec).clone();
     spec.schedule = None;
     accepted.spec = spec.into();
@@ -171,7 +171,7 @@
         runs: vec![(task, Run(1))],
     };
     let stored = StoredState {
-        accepted: vec![recurring_job(now)],
+        accepted: vec![repeated_job(now)],
         workers: vec![(worker.clone(), runs)],
         ..StoredState::default()
     };
--- a/crates/cell/tests/cell/world/check.rs
+++ b/crates/cell/tests/cell/world/check.rs
@@ -48,12 +48,12 @@
 
     /// Checks that a task isn't placed on a worker that leaves or whose entry another writer has overwritten.
     pub(super) fn check_placement(&mut self, task: TaskId, worker: &WorkerId) {
-        let entry = self.workers.get(worker);
-        if entry.is_some_and(|worker| worker.leaves_at.is_some()) {
+        let placed_on = self.workers.get(worker);
+        if placed_on.is_some_and(|worker| worker.leaves_at.is_some()) {
             let line = format!("{task} is placed on {worker}, which leaves");
             self.violations.push(line);
         }
-        if entry.is_some_and(|worker| worker.overwritten_until.is_some()) {
+        if placed_on.is_some_and(|worker| worker.overwritten_until.is_some()) {
             let line =
                 format!("{task} is placed on {worker}, whose entry another writer has overwritten");
             self.violations.push(line);
--- a/crates/cell/tests/cell/world/evacuate.rs
+++ b/crates/cell/tests/cell/world/evacuate.rs
@@ -132,10 +132,10 @@
 
     /// Checks that a call for advice names no worker in an evacuated data centre.
     pub(super) fn check_advice_call(&mut self, workers: &[WorkerId]) {
-        let asked = workers
+        let evacuated = workers
             .iter()
             .find(|worker| self.is_evacuated_for_owner(worker));
-        if let Some(worker) = asked {
+        if let Some(worker) = evacuated {
             let line = format!("a call for advice names {worker}, in an evacuated data centre");
             self.violations.push(line);
         }
