--- a/crates/cell/tests/cell/crash.rs
+++ b/crates/cell/tests/cell/crash.rs
@@ -2,9 +2,10 @@
 //!
 //! A crashed worker reports no end of its runs. If the owner queues the tasks of a lost worker again as if they had
 //! never been started, no attempt is used up, and a task that crashes its workers is started again without end. Each
-//! start takes down a worker with everything that runs there: workers crash 10 ms after such a start and come back after 3 s
-//! as other incarnations. With a start every 3.3 s, a sixteenth of a busy fleet is down at any time. The owner's log
-//! shows this fault when the step of such a task waits again as soon as its worker is found to be another incarnation.
+//! start takes down a worker with everything that runs there: workers crash 10 ms after such a start and come back
+//! after 3 s as other incarnations. With a start every 3.3 s, a sixteenth of a busy fleet is down at any time. The
+//! owner's log shows this fault when the step of such a task waits again as soon as its worker is found to be another
+//! incarnation.
 
 use std::time::Duration;
 
