--- a/crates/cell/examples/fleet.rs
+++ b/crates/cell/examples/fleet.rs
@@ -78,8 +78,8 @@
 const DEFAULT_LOADS: [u32; 1] = [80];
 /// The load that the rates of the job kinds add up to, in per cent of the fleet's capacity.
 const NOMINAL_LOAD: f64 = 80.0;
-/// The duration of each run, in virtual time.
-const RUN_DURATION: Duration = Duration::from_secs(20);
+/// The duration of each measurement, in virtual time.
+const MEASUREMENT_DURATION: Duration = Duration::from_secs(20);
 /// The interval between the registrations of a worker.
 const REGISTRATION_INTERVAL: Duration = Duration::from_millis(1_500);
 /// The interval between calls that let the engine act on the passing of time.
@@ -153,7 +153,7 @@
     println!("load  workers  starts/s  ms/s  us/start  worst ms  waiting");
     for load in loads {
         for fleet_size in &fleet_sizes {
-            run(*fleet_size, load);
+            measure(*fleet_size, load);
         }
     }
 }
@@ -187,7 +187,7 @@
 }
 
 impl SimulatedWorker {
-    fn end(&mut self, task: TaskId, run: Run, how: ExitReason) {
+    fn end(&mut self, task: TaskId, run: Run, reason: ExitReason) {
         if self.running.get(&task) != Some(&run) {
             return;
         }
@@ -197,7 +197,7 @@
             serial: self.serial,
             task,
             run,
-            reason: how,
+            reason,
             checkpoint: None,
         });
     }
@@ -354,12 +354,12 @@
         }
     }
 
-    fn end(&mut self, worker: &WorkerId, task: TaskId, run: Run, how: ExitReason) {
+    fn end(&mut self, worker: &WorkerId, task: TaskId, run: Run, reason: ExitReason) {
         let now = self.now;
         let Some(simulated_worker) = self.simulated_workers.get_mut(worker) else {
             return;
         };
-        simulated_worker.end(task, run, how);
+        simulated_worker.end(task, run, reason);
         let Some(asked) = simulated_worker.waiting.take() else {
             return;
         };
@@ -471,9 +471,9 @@
     }
 }
 
-fn run(workers: u32, load: u32) {
+fn measure(workers: u32, load: u32) {
     let mut simulation = Simulation::new(workers);
-    let end = simulation.now + RUN_DURATION;
+    let end = simulation.now + MEASUREMENT_DURATION;
     let tick = TICK.as_secs_f64();
     // The number of jobs of each kind that are due, including a fraction of the next one.
     let mut due = [0.0; KINDS.len()];
@@ -503,7 +503,7 @@
         }
         simulation.advance();
     }
-    let seconds = RUN_DURATION.as_secs_f64();
+    let seconds = MEASUREMENT_DURATION.as_secs_f64();
     let millis = simulation.engine_time.as_secs_f64() * 1_000.0;
     println!(
         "{load:>4} {workers:>8} {:>9.0} {:>6.1} {:>9.1} {:>9.1} {:>8}",
--- a/crates/cell/src/engine/announce.rs
+++ b/crates/cell/src/engine/announce.rs
@@ -80,8 +80,9 @@
         true
     }
 
-    /// Assigns runs that were found before their job was known to its tasks, which don't start again until these are
-    /// gone.
+    /// Assigns the runs that were found before their job was known to the tasks of the job.
+    ///
+    /// These tasks don't start again until the runs are gone.
     ///
     /// The orders of these runs never left, but the runs are on record, and a task must not have two runs there: the
     /// next owner could not tell which of them may be under way.
--- a/crates/cell/src/engine/ask.rs
+++ b/crates/cell/src/engine/ask.rs
@@ -36,7 +36,7 @@
 
 /// The maximum number of workers that the advice service accepts in one call.
 const MAX_WORKERS_PER_CALL: usize = 100;
-/// Calls that take longer than this are long: some nodes are withheld from them.
+/// Calls that take longer than this are long calls, which don't get the nodes that are reserved for short ones.
 const LONG_CALL_THRESHOLD: Duration = Duration::from_millis(150);
 /// The free capacity of the workers to ask about, as a multiple of what the step takes, scaled by the share of workers
 /// that is likely to be allowed.
@@ -54,8 +54,8 @@
 const REFRESH_CAPACITY_FACTOR: f64 = 1.5;
 /// The minimum number of workers to ask about.
 ///
-/// With only as many as the step just fits on, fleets of 48 workers score 0.03 lower: other steps take the workers that
-/// were asked about, and the further call costs more than the short one saved.
+/// With only as many as the step just fits on, the value of the results is 0.03 lower on fleets of 48 workers: other
+/// steps take the workers that were asked about, and the further call costs more than the short one saved.
 const MIN_ASKED_WORKERS: usize = 48;
 /// The maximum number of concurrent calls for one step.
 const MAX_CALLS_PER_STEP: usize = 6;
@@ -65,7 +65,8 @@
 /// Returns whether a step asks only about the workers on which it is likely to run.
 ///
 /// A gang takes its workers at once, and an urgent task the first one. Other tasks wait for capacity that may become
-/// free on any worker; if they ask about as few workers, they score a quarter lower on a busy fleet of 350 workers.
+/// free on any worker; if they ask about as few workers, the value of their results is a quarter lower on a busy fleet
+/// of 350 workers.
 fn is_selective(demand: &Demand<'_>) -> bool {
     demand.step.gang || demand.queue.priority == 0
 }
@@ -390,10 +391,10 @@
         let until = now + validity.unwrap_or_default();
         let tickets: Vec<_> = answer
             .into_iter()
-            .filter_map(|advised| {
-                let slot = self.slots.get(&advised.worker)?;
+            .filter_map(|grant| {
+                let slot = self.slots.get(&grant.worker)?;
                 let ticket = Ticket {
-                    text: advised.ticket,
+                    text: grant.ticket,
                     requested: call.since,
                     until,
                 };
--- a/crates/cell/src/engine/contact.rs
+++ b/crates/cell/src/engine/contact.rs
@@ -63,7 +63,7 @@
             };
             let was_leaving = worker.registration.leaving.is_some();
             let is_leaving = registration.leaving.is_some();
-            let is_changed = worker.offer_differs(&registration);
+            let is_changed = worker.capabilities_differ(&registration);
             let has_new_incarnation = worker.is_superseded_by(&registration);
             let shrinks = !worker.registration.capacity.fits(&registration.capacity);
             worker.registered = now;
@@ -463,7 +463,7 @@
             .allocations
             .iter()
             .filter(|(key, allocation)| {
-                let is_obsolete = worker.is_obsolete(allocation, asked);
+                let is_obsolete = worker.are_orders_obsolete(allocation, asked);
                 let is_settled = match allocation.phase {
                     Phase::Recording => false,
                     Phase::Starting => is_obsolete,
--- a/crates/cell/src/engine/crash.rs
+++ b/crates/cell/src/engine/crash.rs
@@ -63,8 +63,8 @@
 const MIN_CERTAIN_CRASHES: usize = 2;
 /// The number of crashes after which a task is given up in any case.
 ///
-/// Owners of workers tolerate three crashes and two further starts. With doubted crashes included, a task that reaches
-/// this number is not started until they are settled.
+/// The operators of the workers tolerate three crashes and two further starts. With doubted crashes included, a task that
+/// reaches this number is not started until they are settled.
 const MAX_CRASHES: usize = 5;
 /// How long a suspect waits for an empty worker.
 ///
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Returns whether the run may have just begun when its worker crashed, at `fell` or later.
+    /// Returns whether the run may have just begun when its worker crashed, at `crashed_at` or later.
     fn may_have_just_begun(&self, crashed_at: Timestamp) -> bool {
         match self.first_confirmed {
             Some(begun) => {
@@ -123,12 +123,13 @@
     /// before it leaves, so a run that it is known to have just begun contradicts that; one that it may have begun
     /// doesn't.
     fn crashes_at_start(&self, is_doubted: bool) -> Vec<(TaskId, Crash)> {
-        let (crashed_at, is_timed) = match self.silence {
+        let (crashed_at, is_time_known) = match self.silence {
             Some(Silence::Broken(at)) => (at, self.heard.is_some()),
             Some(Silence::Missed) | None => (self.heard.unwrap_or(Timestamp::ZERO), false),
         };
         let may_have_left = self.may_have_left();
-        let is_known = |allocation: &Allocation| is_timed && allocation.first_confirmed.is_some();
+        let is_known =
+            |allocation: &Allocation| is_time_known && allocation.first_confirmed.is_some();
         let allocations = self.allocations.iter();
         let begun = allocations.filter(|(_, allocation)| {
             allocation.may_have_just_begun(crashed_at) && (is_known(allocation) || !may_have_left)
@@ -224,7 +225,7 @@
     }
 
     /// Returns whether all waiting tasks have to run alone.
-    pub(super) fn are_suspects(&self) -> bool {
+    pub(super) fn are_all_suspects(&self) -> bool {
         self.suspects().count() == self.waiting.len()
     }
 }
@@ -264,14 +265,18 @@
 
     /// Returns the doubted crashes of a worker, with their tasks.
     fn doubted_crashes(&self, worker: &WorkerId) -> Vec<(TaskId, Crash)> {
-        let tasks = self.crash_suspects.get(worker).into_iter().flatten();
-        let doubts = tasks.flat_map(|task| {
+        let tasks = self
+            .tasks_by_crashed_worker
+            .get(worker)
+            .into_iter()
+            .flatten();
+        let doubted = tasks.flat_map(|task| {
             let crashes = self.task(*task).map(|state| state.crashes.iter());
             let crashes = crashes.into_iter().flatten();
             let crashes = crashes.filter(|crash| crash.may_be_cut_off && crash.worker == *worker);
             crashes.map(|crash| (*task, crash.clone()))
         });
-        doubts.collect()
+        doubted.collect()
     }
 
     /// Adds a crash, doubted or not, to a task, and gives the task's job up if that proves the task to be at fault.
@@ -317,9 +322,12 @@
 
     /// Indexes a task by the worker of one of its crashes, in case the worker answers again or turns out to be gone.
     fn index_crash(&mut self, worker: &WorkerId, task: TaskId) {
-        let suspects = self.crash_suspects.entry(worker.clone()).or_default();
-        if !suspects.contains(&task) {
-            suspects.push(task);
+        let tasks = self
+            .tasks_by_crashed_worker
+            .entry(worker.clone())
+            .or_default();
+        if !tasks.contains(&task) {
+            tasks.push(task);
         }
     }
 
@@ -347,7 +355,7 @@
             return;
         };
         let (id, incarnation) = (worker.registration.id.clone(), worker.incarnation);
-        for task in self.crash_suspects.remove(&id).unwrap_or_default() {
+        for task in self.tasks_by_crashed_worker.remove(&id).unwrap_or_default() {
             if let Some(state) = self.task_mut(task) {
                 state
                     .crashes
@@ -378,7 +386,7 @@
     /// Removes from the crash index the workers of whose crashes none counts against an open task.
     pub(super) fn forget_crashes(&mut self) {
         let jobs = &self.jobs;
-        self.crash_suspects.retain(|id, tasks| {
+        self.tasks_by_crashed_worker.retain(|id, tasks| {
             tasks.iter().any(|task| {
                 let job = jobs.get(&task.step.job).filter(|job| !job.is_over());
                 let stage = job.and_then(|job| job.stage(task.step));
@@ -436,13 +444,18 @@
         now: Timestamp,
     ) -> Option<Slot> {
         match self.must_run_alone(id, index, now) {
-            true => self.find_empty(id, reserved, now),
+            true => self.find_empty_worker(id, reserved, now),
             false => self.find_shared_worker(id, index, reserved, now),
         }
     }
 
     /// Returns a worker that may run a task of a step and holds nothing, or only tasks of the step that run alone.
-    fn find_empty(&self, id: StepId, reserved: &Reservations, now: Timestamp) -> Option<Slot> {
+    fn find_empty_worker(
+        &self,
+        id: StepId,
+        reserved: &Reservations,
+        now: Timestamp,
+    ) -> Option<Slot> {
         let job = self.jobs.get(&id.job)?;
         let (demand, stage) = (self.demand(job, id)?, job.stage(id)?);
         let mut candidates = self.candidates(&demand, stage);
--- a/crates/cell/src/engine/forget.rs
+++ b/crates/cell/src/engine/forget.rs
@@ -24,7 +24,7 @@
 const REMOVAL_INTERVAL: Duration = Duration::from_secs(3);
 /// The maximum number of removed jobs whose memory is freed in one call of [`Engine::advance`].
 ///
-/// Freeing 1,400 jobs at once, with their tasks and tickets, delays other events by 5 ms of a whole core.
+/// Freeing 1,400 jobs at once, with their tasks and tickets, delays other events by 5 ms on a whole core.
 const MAX_JOBS_FREED_AT_ONCE: usize = 32;
 /// How long a job stays in memory after its end: by then, most callers have queried it.
 const REMOVAL_DELAY: Duration = Duration::from_secs(2);
--- a/crates/cell/src/engine/free_capacity.rs
+++ b/crates/cell/src/engine/free_capacity.rs
@@ -51,8 +51,8 @@
         if self.free.len() <= slot.index() {
             self.free.resize(slot.index() + 1, None);
         }
-        let taking = worker.filter(|worker| worker.accepts_tasks());
-        self.free[slot.index()] = taking.map(|worker| worker.free);
+        let accepting = worker.filter(|worker| worker.accepts_tasks());
+        self.free[slot.index()] = accepting.map(|worker| worker.free);
         if self.entries.get(&slot) == entry.as_ref() {
             return;
         }
@@ -87,15 +87,15 @@
         self.pools.get(pool).map_or(0, |pool| pool.members)
     }
 
-    /// Returns the workers of a pool that accept tasks and have at least so much CPU free, those with the least first.
+    /// Returns the workers of a pool that accept tasks and have at least `min_cpu` free, those with the least first.
     /// Doesn't check for backoff after a rejection.
     pub(super) fn with_free_cpu(
         &self,
         pool: &PoolName,
-        least: Millicores,
+        min_cpu: Millicores,
     ) -> impl DoubleEndedIterator<Item = Slot> + use<'_> {
         let pool = self.pools.get(pool).into_iter();
-        pool.flat_map(move |pool| pool.accepting.range((least, Slot::FIRST)..))
+        pool.flat_map(move |pool| pool.accepting.range((min_cpu, Slot::FIRST)..))
             .map(|(_, slot)| *slot)
     }
 }
--- a/crates/cell/src/engine/job.rs
+++ b/crates/cell/src/engine/job.rs
@@ -73,7 +73,7 @@
     /// Tasks that are neither done nor under way.
     pub(super) waiting: BTreeSet<u16>,
     pub(super) done: u16,
-    /// How many tasks are done according to the store; later steps start by this number.
+    /// How many tasks are done according to the store; later steps open once this is all of them.
     pub(super) recorded_done: u16,
     /// When the step was opened: its predecessors are done, so that it may start.
     pub(super) opened_at: Option<Timestamp>,
--- a/crates/cell/src/engine/loss.rs
+++ b/crates/cell/src/engine/loss.rs
@@ -29,7 +29,7 @@
     pub(super) fn release(&mut self, slot: Slot, task: TaskId, run: Run, now: Timestamp) {
         self.needs_pass = true;
         if let Some(worker) = self.workers.get_mut(&slot) {
-            worker.end(task, run, now);
+            worker.note_end(task, run, now);
             let charge = worker
                 .release(task, run)
                 .and_then(|allocation| allocation.charge);
--- a/crates/cell/src/engine/mod.rs
+++ b/crates/cell/src/engine/mod.rs
@@ -3,6 +3,8 @@
 //!
 //! | module | what it does |
 //! |---|---|
+//! | `job` | holds the state of jobs, with their steps and tasks |
+//! | `timer` | finds what is due |
 //! | `announce` | prepares jobs whose acceptance is not yet on record |
 //! | `shrink` | handles workers whose capacity has decreased |
 //! | `limit` | enforces the resource limits of workspaces |
@@ -22,7 +24,7 @@
 //! | `restart` | handles new incarnations of known workers |
 //! | `loss` | handles lost workers and their runs |
 //! | `end` | handles ends of runs, attempts, and ends of jobs |
-//! | `forget` | compacts the records of jobs that are over |
+//! | `forget` | removes jobs that are over, except for their outcomes |
 //! | `recording` | writes records, and continues what waited for them |
 //! | `view` | provides what callers and operators see |
 
@@ -211,8 +213,9 @@
     stops: Timers<(Slot, TaskId, Run)>,
     /// When occurrences of scheduled jobs are due.
     due: BTreeSet<(Timestamp, JobId, u32)>,
-    /// The tasks suspected of crashing a worker, by worker. The suspicion is withdrawn if the worker answers again.
-    crash_suspects: HashMap<WorkerId, Vec<TaskId>>,
+    /// The tasks that had just begun on a worker when it seemed to crash, by worker. The crashes are retracted if the
+    /// worker answers again.
+    tasks_by_crashed_worker: HashMap<WorkerId, Vec<TaskId>>,
     /// The nodes that can ask for advice, and their calls in progress.
     advice_nodes: Nodes,
     /// The share of workers that advice has allowed, by queue.
@@ -277,7 +280,7 @@
             expiries: Timers::default(),
             stops: Timers::default(),
             due: BTreeSet::new(),
-            crash_suspects: HashMap::default(),
+            tasks_by_crashed_worker: HashMap::default(),
             advice_nodes: Nodes::default(),
             allowed_shares: AllowedShares::default(),
             record_queue: RecordQueue::default(),
--- a/crates/cell/src/engine/order.rs
+++ b/crates/cell/src/engine/order.rs
@@ -40,8 +40,8 @@
 
 /// How long a worker gets no new tasks after it rejected a start order.
 const REJECTION_BACKOFF: Duration = Duration::from_millis(500);
-/// After this many unanswered start orders a run is stopped. On bad days a twentieth of all orders goes unanswered; a
-/// worker that answers none of several doesn't answer heartbeats either.
+/// After this many unanswered start orders a run is stopped. On days with many faults a twentieth of all orders
+/// goes unanswered; a worker that answers none of several doesn't answer heartbeats either.
 const MAX_UNANSWERED_STARTS: u8 = 3;
 /// How long to wait before a stop order is sent again.
 const STOP_RETRY_DELAY: Duration = Duration::from_millis(100);
@@ -99,7 +99,7 @@
                 if let Some(worker) = self.workers.get_mut(&slot) {
                     worker.backoff_until = worker.backoff_until.max(now + REJECTION_BACKOFF);
                 }
-                match self.unanswered(slot, task, run) {
+                match self.unanswered_starts(slot, task, run) {
                     0 => self.release(slot, task, run, now),
                     // An earlier copy of the order may still be carried out.
                     _ => self.stop(slot, task, run, "unanswered", now),
@@ -136,7 +136,7 @@
     }
 
     /// Returns how many start orders of a run are unanswered.
-    fn unanswered(&self, slot: Slot, task: TaskId, run: Run) -> u8 {
+    fn unanswered_starts(&self, slot: Slot, task: TaskId, run: Run) -> u8 {
         let worker = self.workers.get(&slot);
         let allocation = worker.and_then(|worker| worker.allocations.get(&(task, run)));
         allocation.map_or(0, |allocation| allocation.unanswered_starts)
--- a/crates/cell/src/engine/place.rs
+++ b/crates/cell/src/engine/place.rs
@@ -33,8 +33,8 @@
     },
 };
 
-/// The time for which the members of a gang wait for each other, divided by this, is the time during which missing
-/// members of a partly started gang are placed on other workers. After that the gang is stopped and started anew.
+/// For the time that the members of a gang wait for each other, divided by this, missing members of a partly started
+/// gang are placed on other workers. After that the gang is stopped and started anew.
 const GANG_REPAIR_DIVISOR: u32 = 2;
 
 /// The requirements of a step on a worker.
@@ -224,18 +224,21 @@
     }
 
     /// Returns the workers that advice allows for a step or, if the queue needs no advice, all of its pool with at
-    /// least `least` CPU free.
+    /// least `min_cpu` free.
     fn slots_for<'a>(
         &'a self,
         demand: &Demand<'_>,
         stage: &'a Stage,
-        least: Millicores,
+        min_cpu: Millicores,
     ) -> impl Iterator<Item = Slot> + use<'a> {
         let (advised, others) = match demand.queue.advice {
             Some(_) => (Some(stage.advice.allowed.slots()), None),
             None => (
                 None,
-                Some(self.free_capacity.with_free_cpu(&demand.queue.pool, least)),
+                Some(
+                    self.free_capacity
+                        .with_free_cpu(&demand.queue.pool, min_cpu),
+                ),
             ),
         };
         let advised = advised.into_iter().flatten();
@@ -267,7 +270,7 @@
         {
             return true;
         }
-        let Some(places) = self.find_gang(id, &waiting, reserved, now) else {
+        let Some(places) = self.find_gang_workers(id, &waiting, reserved, now) else {
             self.reserve_until_empty(id, reserved, now);
             return false;
         };
@@ -278,7 +281,7 @@
             stage.gang_since = now;
         }
         for (index, slot) in places {
-            // `find_gang` has checked the free resources for all members.
+            // `find_gang_workers` has checked the free resources for all members.
             self.start(id, index, slot, run, now);
         }
         self.open_steps.remove(id);
@@ -332,7 +335,7 @@
     }
 
     /// Returns a worker for each member of a gang, or `None` if they don't all fit.
-    fn find_gang(
+    fn find_gang_workers(
         &self,
         id: StepId,
         members: &[u16],
@@ -508,7 +511,9 @@
     None
 }
 
-/// Places all members in one rack: the one with the least free capacity among those in which they all fit.
+/// Assigns all members to workers of one rack: the one with the least free capacity among those in which they all fit.
+///
+/// Returns `None` if there is no such rack.
 fn in_one_rack(fits: &[(Slot, usize, &Worker)], count: usize) -> Option<Vec<Slot>> {
     let mut racks: BTreeMap<&str, Vec<(Slot, usize)>> = BTreeMap::new();
     for (slot, fit, worker) in fits {
--- a/crates/cell/src/engine/recording.rs
+++ b/crates/cell/src/engine/recording.rs
@@ -54,7 +54,7 @@
     workers: BTreeSet<Slot>,
     /// Workers that are gone for good and whose runs are to be removed from the store.
     gone: BTreeSet<WorkerId>,
-    /// The serial of the last end that was handled, by worker.
+    /// The serial number of the last end that was handled, by worker.
     ends: BTreeMap<Slot, u64>,
     in_flight: Option<InFlight>,
     /// The earliest time of the next record write.
@@ -95,7 +95,7 @@
         self.ends.insert(slot, last);
     }
 
-    /// Drops the serials of the ends of a worker whose new incarnation numbers them from one again.
+    /// Drops the serial number of the last end of a worker whose new incarnation numbers its ends from one again.
     pub(super) fn drop_ends(&mut self, slot: Slot) {
         self.ends.remove(&slot);
         if let Some(flight) = &mut self.in_flight {
--- a/crates/cell/src/engine/schedule.rs
+++ b/crates/cell/src/engine/schedule.rs
@@ -12,7 +12,7 @@
 use crate::id::StepId;
 
 /// The cost limit of a pass, in worker checks, before it leaves the less urgent steps to later passes. Events wait
-/// while a pass runs, with this limit for 2 ms of a whole core at most (`examples/fleet`, 540 workers, 150% of the work
+/// while a pass runs: with this limit for 2 ms at most on a whole core (`examples/fleet`, 540 workers, 150% of the work
 /// that fits). When they waited up to 9 ms, five times as many urgent jobs were late in a burst on half a core.
 const MAX_PASS_CHECKS: usize = 8_000;
 /// The additional cost limit, in worker checks, for less urgent steps. Each pass continues where the previous one
--- a/crates/cell/src/engine/throttling.rs
+++ b/crates/cell/src/engine/throttling.rs
@@ -39,9 +39,9 @@
 /// The time until the effect of a change is visible: the change takes 0.1 s, and a worker's load figure covers half a
 /// second.
 const SETTLING_TIME: Duration = Duration::from_millis(700);
-/// At this fraction of the target of any latency-sensitive task the share is halved.
+/// The share is halved if any latency-sensitive task is at or above this fraction of its target.
 const REDUCE_AT_LOAD_RATIO: f64 = 0.85;
-/// At this fraction of all targets and below the share is raised.
+/// The share is raised if all latency-sensitive tasks are at or below this fraction of their targets.
 const RAISE_AT_LOAD_RATIO: f64 = 0.6;
 /// The increment by which the share is raised. It takes 7 s from zero to the full share.
 const SHARE_INCREMENT_PERCENT: u8 = 10;
--- a/crates/cell/src/engine/view.rs
+++ b/crates/cell/src/engine/view.rs
@@ -143,17 +143,17 @@
         queue: &QueueName,
         is_seen: impl Fn(Option<&WorkspaceName>) -> bool,
     ) -> u32 {
-        let waiting = self.waiting();
-        let waiting =
-            waiting.filter(|job| job.accepted.queue.name == *queue && is_seen(job.workspace()));
-        u32::try_from(waiting.count()).unwrap_or(u32::MAX)
+        let pending = self.pending_jobs();
+        let pending =
+            pending.filter(|job| job.accepted.queue.name == *queue && is_seen(job.workspace()));
+        u32::try_from(pending.count()).unwrap_or(u32::MAX)
     }
 
     /// Returns the pending jobs: those that are on record, are not over, and of which no task was seen on a worker.
     ///
     /// They are counted on request. A separate counter would have to be decremented for exactly the jobs that it was
     /// incremented for, on every path by which a job is added, begins or ends.
-    fn waiting(&self) -> impl Iterator<Item = &Job> {
+    fn pending_jobs(&self) -> impl Iterator<Item = &Job> {
         let jobs = self.jobs.iter();
         let jobs = jobs.filter(|(id, _)| !self.announced.contains_key(id));
         jobs.map(|(_, job)| job)
@@ -181,7 +181,7 @@
         let evacuated = self.workers.values().filter(|worker| worker.is_evacuated);
         Counts {
             jobs: self.jobs.len() + self.ended.len(),
-            waiting: self.waiting().count(),
+            waiting: self.pending_jobs().count(),
             open_steps: self.open_steps.len() + self.unschedulable.len(),
             unschedulable_steps: self.unschedulable.len(),
             claims: self
--- a/crates/cell/src/engine/wait.rs
+++ b/crates/cell/src/engine/wait.rs
@@ -167,7 +167,7 @@
     /// Parks a step that no known worker could run; returns whether it did.
     ///
     /// The step is reopened when a worker is listed or changes. If steps that can't run stayed among the open ones,
-    /// they would use up the step budget of a scheduling pass: behind 400 of them, 40 quick jobs on idle workers
+    /// they would use up the cost limit of a scheduling pass: behind 400 of them, 40 quick jobs on idle workers
     /// are not done after 30 s; with parking they are done after 6 s (virtual time, 8 workers).
     pub(super) fn park_unschedulable(&mut self, id: StepId, now: Timestamp) -> bool {
         let Some(job) = self.jobs.get(&id.job) else {
@@ -217,7 +217,7 @@
             WaitSurvey { open: 0, .. } if self.is_pool_evacuated(&demand) => WaitReason::Evacuated,
             WaitSurvey { allowed: 0, .. } if is_asked => WaitReason::NotAllowed,
             WaitSurvey { open: 0, .. } => WaitReason::NotAccepting,
-            _ if stage.are_suspects() => WaitReason::EmptyWorker,
+            _ if stage.are_all_suspects() => WaitReason::EmptyWorker,
             WaitSurvey { room: 0, .. } => WaitReason::Room,
             WaitSurvey {
                 room_with_ticket: 0,
--- a/crates/cell/src/event.rs
+++ b/crates/cell/src/event.rs
@@ -207,7 +207,8 @@
 /// The result of an order to stop a task or to limit its share.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StopAnswer {
-    /// The worker accepted the order. A run that is to be stopped ends, or is refused if it arrives later.
+    /// The worker accepted the order. A run that is to be stopped ends; if its start order arrives later, the worker
+    /// refuses it.
     Confirmed,
     /// The worker has seen a higher epoch.
     Fenced,
--- a/crates/cell/src/id.rs
+++ b/crates/cell/src/id.rs
@@ -189,7 +189,10 @@
 pub struct Fence(u64);
 
 impl Fence {
-    /// The number of fences in an epoch. Even if all of them are used, every epoch fits into 53 bits.
+    /// The number of fences in an epoch.
+    ///
+    /// Even if all of them are used, the fences of every epoch fit into 53 bits, which a double-precision number holds
+    /// exactly.
     const FENCES_PER_EPOCH: u64 = 1_000_000;
 
     /// Returns the lowest fence of an epoch.
--- a/crates/cell/src/lib.rs
+++ b/crates/cell/src/lib.rs
@@ -4,9 +4,10 @@
 //! jobs, their steps and the workers. It takes events and the current time and returns [`effect::Effect`]s; this crate
 //! does no I/O and reads no clock.
 //!
-//! State that must survive a node is stored in two kinds of records, [`record::Accepted`] and [`record::Progress`].
-//! Each record has its own key, under which the newest version replaces the older one. Starts are not recorded: a new
-//! owner takes over every worker at its epoch and adopts the runs that it finds there.
+//! State that must survive a node is stored in records: [`record::Accepted`] and [`record::Cancelled`] for what callers
+//! submit and cancel, [`record::Progress`] for each job and [`record::WorkerRuns`] for each worker. The last two have a
+//! key for each job or worker, under which the newest version replaces the older one. A run is recorded before the order
+//! to start it leaves. A new owner takes over every worker at its epoch and adopts the runs that it finds there.
 
 pub mod advice;
 pub mod bounds;
--- a/crates/cell/src/record.rs
+++ b/crates/cell/src/record.rs
@@ -120,7 +120,8 @@
     pub incarnation: Option<Incarnation>,
     /// Whether the task certainly ran there: the worker had confirmed it, and its connections broke at once.
     pub is_certain: bool,
-    /// Whether the worker may only be cut off from the network: it is silent, but the store lists it.
+    /// Whether the crash is doubted, since the worker may only be cut off from the network: it is silent, but the store
+    /// lists it.
     pub may_be_cut_off: bool,
 }
 
--- a/crates/cell/src/spread.rs
+++ b/crates/cell/src/spread.rs
@@ -1,4 +1,4 @@
-//! The decision over how many partitions the nodes of a cell spread the jobs that they accept.
+//! Decides over how many partitions the nodes of a cell spread the jobs that they accept.
 //!
 //! It serves a large cell with a slow store: a partition carries out one append at a time, which takes 0.3 s in such a
 //! store, and nodes that share a partition wait for each other. A small cell uses only the first partitions, since each
--- a/crates/cell/src/worker.rs
+++ b/crates/cell/src/worker.rs
@@ -321,7 +321,7 @@
 
     /// Returns whether an inventory requested at `asked` proves that no order to start a run can be carried out any
     /// more, because all of these orders were for a former incarnation.
-    pub fn is_obsolete(&self, allocation: &Allocation, asked: Timestamp) -> bool {
+    pub fn are_orders_obsolete(&self, allocation: &Allocation, asked: Timestamp) -> bool {
         allocation.fence < self.fence && self.fence_raised.is_some_and(|raised| raised <= asked)
     }
 
@@ -436,7 +436,7 @@
     }
 
     /// Records that a run is over.
-    pub fn end(&mut self, task: TaskId, run: Run, now: Timestamp) {
+    pub fn note_end(&mut self, task: TaskId, run: Run, now: Timestamp) {
         while let Some((at, ..)) = self.ended_runs.front()
             && now.since(*at) > MAX_INVENTORY_DELAY
         {
@@ -457,7 +457,7 @@
     }
 
     /// Returns whether a newer registration changes which steps can run on the worker.
-    pub fn offer_differs(&self, newer: &Registration) -> bool {
+    pub fn capabilities_differ(&self, newer: &Registration) -> bool {
         let own = &self.registration;
         (&own.pool, own.capacity, &own.labels) != (&newer.pool, newer.capacity, &newer.labels)
     }
