--- a/crates/cell/src/advice.rs
+++ b/crates/cell/src/advice.rs
@@ -124,7 +124,7 @@
 }
 
 impl Advice {
-    /// Records that a call about these workers has begun.
+    /// Notes that a call about these workers has begun.
     pub fn begin(&mut self, asked: &[Slot]) {
         self.calls_in_flight += 1;
         self.asked.extend(asked);
@@ -132,7 +132,7 @@
         self.asked.dedup();
     }
 
-    /// Records an answer.
+    /// Notes an answer.
     pub fn answer(&mut self, tickets: impl Iterator<Item = (Slot, Ticket)>) {
         self.calls_in_flight = self.calls_in_flight.saturating_sub(1);
         self.is_answered = true;
@@ -141,12 +141,12 @@
         }
     }
 
-    /// Records that a worker may no longer run the step: it has another incarnation now, which is of another kind.
+    /// Notes that a worker may no longer run the step: it has another incarnation now, which is of another kind.
     pub fn withdraw(&mut self, slot: Slot) {
         self.allowed.remove(slot);
     }
 
-    /// Records that a call got no answer: it says nothing about its workers, and no call is made before `retry_at`.
+    /// Notes that a call got no answer: it says nothing about its workers, and no call is made before `retry_at`.
     pub fn fail(&mut self, asked: &[Slot], retry_at: Timestamp) {
         self.calls_in_flight = self.calls_in_flight.saturating_sub(1);
         self.retry_at = retry_at;
@@ -290,14 +290,14 @@
         self.idle.first()
     }
 
-    /// Records that a node has begun a call.
+    /// Notes that a node has begun a call.
     pub fn begin(&mut self, node: NodeName, call: Call) {
         self.idle.remove(&node);
         self.long_calls += usize::from(call.is_long);
         self.busy.insert(node, call);
     }
 
-    /// Records that a node's call about a step has ended, with or without an answer; returns `None` if the node had no
+    /// Notes that a node's call about a step has ended, with or without an answer; returns `None` if the node had no
     /// such call.
     pub fn finish(
         &mut self,
--- a/crates/cell/src/engine/ask.rs
+++ b/crates/cell/src/engine/ask.rs
@@ -227,8 +227,8 @@
     /// Returns further workers to ask about for a step.
     ///
     /// For a gang, these are as many as make it likely that enough capacity becomes free on allowed workers. For
-    /// another step, they are the workers with free capacity; if there are none and the allowed workers are too small
-    /// even when empty, all workers.
+    /// another step, they are the workers with free capacity; if there are none and the allowed workers, even when
+    /// empty, have less than [`FREE_CAPACITY_FACTOR`] times what the step takes, all workers.
     fn further_workers(
         &self,
         demand: &Demand<'_>,
--- a/crates/cell/src/engine/contact.rs
+++ b/crates/cell/src/engine/contact.rs
@@ -75,7 +75,7 @@
                 self.expect_incarnation(slot, now);
             }
             if was_distrusted {
-                self.note_worker(slot, "trusted", now);
+                self.log_worker(slot, "trusted", now);
             }
             self.update_indexes(slot);
             self.mark_evacuated(slot);
@@ -86,13 +86,13 @@
                 self.reopen_unschedulable();
             }
             if is_leaving && !was_leaving {
-                self.note_worker(slot, "leaving", now);
+                self.log_worker(slot, "leaving", now);
             }
             return;
         }
         let worker = Worker::new(registration, self.fence, now, now);
         let slot = self.insert_worker(worker);
-        self.note_worker(slot, "listed", now);
+        self.log_worker(slot, "listed", now);
         self.reopen_unschedulable();
     }
 
@@ -106,7 +106,7 @@
         {
             worker.unlisted_since = Some(now);
             self.update_indexes(slot);
-            self.note_worker(slot, "unlisted", now);
+            self.log_worker(slot, "unlisted", now);
         }
     }
 
@@ -125,7 +125,7 @@
         {
             worker.distrusted_since = Some(now);
             self.update_indexes(slot);
-            self.note_worker(slot, "distrusted", now);
+            self.log_worker(slot, "distrusted", now);
         }
     }
 
@@ -199,8 +199,8 @@
         };
         // Answers are matched to heartbeats and probes by the time of the call, so two calls must not leave at the same
         // instant.
-        let is_calling = worker.heartbeat == CallState::InFlight(now);
-        if !is_calling && worker.probe.is_some_and(|probe| probe.is_due(now)) {
+        let is_heartbeat_sent_now = worker.heartbeat == CallState::InFlight(now);
+        if !is_heartbeat_sent_now && worker.probe.is_some_and(|probe| probe.is_due(now)) {
             worker.probe = Some(CallState::InFlight(now));
             let call = heartbeat_effect(worker, None, Duration::ZERO, now);
             self.outbox.push(call);
@@ -278,7 +278,7 @@
                 });
                 self.update_indexes(slot);
                 if was_responsive {
-                    self.note_worker(slot, "silent", now);
+                    self.log_worker(slot, "silent", now);
                 }
             }
         }
@@ -327,7 +327,7 @@
         worker.is_superseded = false;
         let last_processed = worker.last_processed_end;
         if !was_heard {
-            self.note_worker(slot, "heard", now);
+            self.log_worker(slot, "heard", now);
             self.retract_crashes(slot);
         }
         self.needs_pass = true;
@@ -483,7 +483,7 @@
     }
 
     /// Logs a change in what is believed about a worker.
-    pub(super) fn note_worker(&mut self, slot: Slot, belief: &'static str, now: Timestamp) {
+    pub(super) fn log_worker(&mut self, slot: Slot, belief: &'static str, now: Timestamp) {
         let Some(worker) = self.workers.get(&slot) else {
             return;
         };
--- a/crates/cell/src/engine/crash.rs
+++ b/crates/cell/src/engine/crash.rs
@@ -383,7 +383,7 @@
         }
     }
 
-    /// Removes from the crash index the workers of whose crashes none counts against an open task.
+    /// Removes from the crash index the workers none of whose crashes is noted for an open task any more.
     pub(super) fn forget_crashes(&mut self) {
         let jobs = &self.jobs;
         self.tasks_by_crashed_worker.retain(|id, tasks| {
--- a/crates/cell/src/engine/loss.rs
+++ b/crates/cell/src/engine/loss.rs
@@ -50,10 +50,10 @@
         let Some(stage) = job.stage_mut(task.step) else {
             return;
         };
-        let Some(own) = stage.task_mut(task.index) else {
+        let Some(state) = stage.task_mut(task.index) else {
             return;
         };
-        if !own.end_run(slot, run) || own.is_done || is_over {
+        if !state.end_run(slot, run) || state.is_done || is_over {
             return;
         }
         stage.waiting.insert(task.index);
@@ -63,8 +63,8 @@
 
     /// Removes an incarnation that is gone, with all its runs.
     pub(super) fn remove_lost_worker(&mut self, slot: Slot, why: &'static str, now: Timestamp) {
-        self.note_worker(slot, why, now);
-        self.note_losses(slot, why, now);
+        self.log_worker(slot, why, now);
+        self.log_losses(slot, why, now);
         self.count_crashes(slot, now);
         self.release_all(slot, now);
         // The worker may come back under the same id while orders to the former incarnation are still in flight.
@@ -77,7 +77,7 @@
     }
 
     /// Logs the runs that are lost with a worker.
-    pub(super) fn note_losses(&mut self, slot: Slot, why: &'static str, now: Timestamp) {
+    pub(super) fn log_losses(&mut self, slot: Slot, why: &'static str, now: Timestamp) {
         let Some(worker) = self.workers.get(&slot) else {
             return;
         };
@@ -115,8 +115,8 @@
         for (task, run) in self.runs_on(slot, |_| true) {
             let stage = self.jobs.get_mut(&task.step.job);
             let stage = stage.and_then(|job| job.stage_mut(task.step));
-            if let Some(own) = stage.and_then(|stage| stage.task_mut(task.index)) {
-                own.lost_runs.push((run, now + LATE_RETURN_PERIOD));
+            if let Some(state) = stage.and_then(|stage| stage.task_mut(task.index)) {
+                state.lost_runs.push((run, now + LATE_RETURN_PERIOD));
             }
         }
     }
@@ -150,8 +150,8 @@
         }
         self.note_possible_failures(slot, now);
         if is_listed {
-            self.note_worker(slot, "lapsed", now);
-            self.note_losses(slot, "lapsed", now);
+            self.log_worker(slot, "lapsed", now);
+            self.log_losses(slot, "lapsed", now);
             self.add_doubted_crashes(slot, now);
             self.release_all(slot, now);
         } else {
--- a/crates/cell/src/engine/order.rs
+++ b/crates/cell/src/engine/order.rs
@@ -122,8 +122,8 @@
     fn is_unfinished(&self, task: TaskId) -> bool {
         let job = self.jobs.get(&task.step.job).filter(|job| !job.is_over());
         let stage = job.and_then(|job| job.stage(task.step));
-        let own = stage.and_then(|stage| stage.task(task.index));
-        own.is_some_and(|own| !own.is_done)
+        let state = stage.and_then(|stage| stage.task(task.index));
+        state.is_some_and(|state| !state.is_done)
     }
 
     /// Returns whether unanswered start orders are sent to a worker again. They are not sent to a worker that has
--- a/crates/cell/src/engine/reserve.rs
+++ b/crates/cell/src/engine/reserve.rs
@@ -315,12 +315,12 @@
             free = free.checked_add(*freed).unwrap_or(free);
         }
         if victims > 0 {
-            self.note_preempting(id, offer, wanted, victims, now);
+            self.log_preempting(id, offer, wanted, victims, now);
         }
     }
 
     /// Logs that tasks on a worker are preempted for a step.
-    fn note_preempting(
+    fn log_preempting(
         &mut self,
         id: StepId,
         offer: &Offer,
--- a/crates/cell/src/engine/restart.rs
+++ b/crates/cell/src/engine/restart.rs
@@ -49,7 +49,7 @@
         };
         worker.is_superseded = true;
         worker.probe = Some(CallState::Due(now));
-        self.note_worker(slot, "superseded", now);
+        self.log_worker(slot, "superseded", now);
         self.revoke_unsent(slot, "reborn", now);
     }
 
@@ -66,7 +66,7 @@
     ) {
         self.revoke_unsent(slot, "reborn", now);
         self.exclude_restarted_runs(slot, inventory, asked);
-        self.note_losses(slot, "reborn", now);
+        self.log_losses(slot, "reborn", now);
         self.count_crashes(slot, now);
         self.fence = self.fence.next();
         let Some(worker) = self.workers.get_mut(&slot) else {
@@ -76,7 +76,7 @@
         worker.probe = Some(CallState::Due(now));
         self.record_queue.drop_ends(slot);
         self.resend_stops(slot, now);
-        self.note_worker(slot, "reborn", now);
+        self.log_worker(slot, "reborn", now);
     }
 
     /// Excludes runs that the new incarnation has started, or may have, from those that were lost with the former one.
--- a/crates/cell/src/engine/shrink.rs
+++ b/crates/cell/src/engine/shrink.rs
@@ -71,7 +71,7 @@
     /// Tasks that run there already go on until they end by themselves.
     pub(super) fn revoke_excess_starts(&mut self, slot: Slot, now: Timestamp) {
         self.report_validity.has_shrunk = true;
-        self.note_worker(slot, "shrunk", now);
+        self.log_worker(slot, "shrunk", now);
         for (task, run) in self.unsent(slot) {
             if !self
                 .workers
@@ -113,7 +113,7 @@
         why: &'static str,
         now: Timestamp,
     ) {
-        self.note_not_started(slot, task, run, why);
+        self.log_not_started(slot, task, run, why);
         self.release(slot, task, run, now);
     }
 
@@ -130,7 +130,7 @@
     }
 
     /// Logs that a run is not started.
-    fn note_not_started(&mut self, slot: Slot, task: TaskId, run: Run, why: &'static str) {
+    fn log_not_started(&mut self, slot: Slot, task: TaskId, run: Run, why: &'static str) {
         let Some(worker) = self.workers.get(&slot) else {
             return;
         };
--- a/crates/cell/src/engine/submit.rs
+++ b/crates/cell/src/engine/submit.rs
@@ -163,8 +163,8 @@
         self.note_cancelled(cancelled);
         let id = cancelled.job;
         let job = self.jobs.get_mut(&id);
-        let own = job.filter(|job| is_seen_by(cancelled.workspace.as_ref(), job.workspace()));
-        let Some(job) = own else {
+        let visible = job.filter(|job| is_seen_by(cancelled.workspace.as_ref(), job.workspace()));
+        let Some(job) = visible else {
             return false;
         };
         if job.is_over() {
--- a/crates/cell/src/worker.rs
+++ b/crates/cell/src/worker.rs
@@ -90,7 +90,7 @@
 }
 
 impl Allocation {
-    /// Records that the worker has the run.
+    /// Notes that the worker has the run.
     pub fn confirm(&mut self, now: Timestamp) {
         self.first_confirmed.get_or_insert(now);
         self.resend_when_heard = false;
@@ -251,12 +251,12 @@
         }
     }
 
-    /// Records the worker's clock at the time of its answer.
+    /// Notes the worker's clock at the time of its answer.
     pub fn read_clock(&mut self, millis: u64, now: Timestamp) {
         self.clock_reading = Some(ClockReading { millis, at: now });
     }
 
-    /// Returns the end of the longest possible lease on the worker's clock, and records that it is granted.
+    /// Returns the end of the longest possible lease on the worker's clock, and notes that it is granted.
     pub fn extend_lease(&mut self, bounds: &Bounds, now: Timestamp) -> Option<u64> {
         let reading = self.clock_reading?;
         let elapsed = now.since(reading.at) + bounds.lease;
@@ -435,7 +435,7 @@
         sizes.try_fold(Resources::ZERO, |sum, size| sum.checked_add(size))
     }
 
-    /// Records that a run is over.
+    /// Notes that a run is over.
     pub fn note_end(&mut self, task: TaskId, run: Run, now: Timestamp) {
         while let Some((at, ..)) = self.ended_runs.front()
             && now.since(*at) > MAX_INVENTORY_DELAY
