--- a/crates/cell/src/engine/crash.rs
+++ b/crates/cell/src/engine/crash.rs
@@ -63,8 +63,8 @@
 const MIN_CERTAIN_CRASHES: usize = 2;
 /// The number of crashes after which a task is given up in any case.
 ///
-/// The operators of the workers tolerate three crashes and two further starts. With doubted crashes included, a task that
-/// reaches this number is not started until they are settled.
+/// The operators of the workers tolerate three crashes and two further starts. With doubted crashes included, a task
+/// that reaches this number is not started until they are settled.
 const MAX_CRASHES: usize = 5;
 /// How long a suspect waits for an empty worker.
 ///
--- a/crates/cell/src/engine/job.rs
+++ b/crates/cell/src/engine/job.rs
@@ -56,8 +56,8 @@
     pub(super) crashes: Vec<Crash>,
     /// When the task began to wait for an empty worker.
     pub(super) waits_for_empty_since: Option<Timestamp>,
-    /// Runs on workers that were given up, each with the time until which its worker may still return and report that
-    /// the run failed.
+    /// Runs on workers that were declared lost, each with the time until which its worker may still return and report
+    /// that the run failed.
     pub(super) lost_runs: Vec<(Run, Timestamp)>,
     /// The last run that was started.
     pub(super) last_run: Run,
