--- a/crates/cell/src/lib.rs
+++ b/crates/cell/src/lib.rs
@@ -5,9 +5,9 @@
 //! does no I/O and reads no clock.
 //!
 //! State that must survive a node is stored in records: [`record::Accepted`] and [`record::Cancelled`] for what callers
-//! submit and cancel, [`record::Progress`] for each job and [`record::WorkerRuns`] for each worker. The last two have a
-//! key for each job or worker, under which the newest version replaces the older one. A run is recorded before the
-//! order to start it leaves. A new owner takes over every worker at its epoch and adopts the runs that it finds there.
+//! submit and cancel, [`record::Progress`] for each job and [`record::WorkerRuns`] for each worker. Each record has its
+//! own key, under which the newest version replaces the older one. A run is recorded before the order to start it
+//! leaves. A new owner takes over every worker at its epoch and adopts the runs that it finds there.
 
 pub mod advice;
 pub mod bounds;
