--- a/crates/node/src/owner/control.rs
+++ b/crates/node/src/owner/control.rs
@@ -55,7 +55,9 @@
     },
 };
 
-use super::{delegated::DelegatedOrders, forget, listing, orders::Failure, view::ReadProgress};
+use super::{
+    delegated::DelegatedOrders, forget, listing, orders::Failure, read_progress::ReadProgress,
+};
 use crate::{
     assignment::{
         Assignment,
--- a/crates/node/src/owner/mod.rs
+++ b/crates/node/src/owner/mod.rs
@@ -7,9 +7,9 @@
 mod jobs;
 mod listing;
 mod orders;
+mod read_progress;
 mod recorder;
 mod takeover;
-mod view;
 mod workers;
 
 pub(crate) use self::{
@@ -18,6 +18,6 @@
         EngineActor,
         Event, //
     },
+    read_progress::ReadProgress, //
     takeover::take_over,
-    view::ReadProgress, //
 };
