--- a/crates/node/src/owner/answer.rs
+++ b/crates/node/src/owner/answer.rs
@@ -4,7 +4,7 @@
 
 use tokio::time::Instant;
 
-use super::control::{
+use super::engine_actor::{
     Event,
     JobQuery,
     PendingQuery, //
--- a/crates/node/src/owner/mod.rs
+++ b/crates/node/src/owner/mod.rs
@@ -1,8 +1,8 @@
 //! The owner of the cell: its actor, the takeover, and what it reads from and writes to the store.
 
 mod answer;
-mod control;
 mod delegated;
+mod engine_actor;
 mod forget;
 mod jobs;
 mod listing;
@@ -14,7 +14,7 @@
 
 pub(crate) use self::{
     answer::handle_request,
-    control::{
+    engine_actor::{
         EngineActor,
         Event, //
     },
--- a/crates/node/src/owner/orders.rs
+++ b/crates/node/src/owner/orders.rs
@@ -11,7 +11,7 @@
 };
 use tokio::time::sleep;
 
-use super::control::{
+use super::engine_actor::{
     EngineActor,
     Event,
     tell, //
--- a/crates/node/src/owner/takeover.rs
+++ b/crates/node/src/owner/takeover.rs
@@ -41,7 +41,7 @@
     EngineActor,
     Event,
     ReadProgress,
-    control::UpdateGauges,
+    engine_actor::UpdateGauges,
     jobs::{
         self,
         Partition, //
--- a/crates/node/src/owner/workers.rs
+++ b/crates/node/src/owner/workers.rs
@@ -19,7 +19,7 @@
 use super::{
     EngineActor,
     Event,
-    control::tell,
+    engine_actor::tell,
     listing::{
         Change,
         Entry,
