--- a/crates/node/src/owner/mod.rs
+++ b/crates/node/src/owner/mod.rs
@@ -1,6 +1,5 @@
 //! The owner of the cell: its actor, the takeover, and what it reads from and writes to the store.
 
-mod answer;
 mod delegated;
 mod engine_actor;
 mod forget;
@@ -9,15 +8,16 @@
 mod orders;
 mod read_progress;
 mod recorder;
+mod requests;
 mod takeover;
 mod workers;
 
 pub(crate) use self::{
-    answer::handle_request,
     engine_actor::{
         EngineActor,
         Event, //
     },
     read_progress::ReadProgress, //
+    requests::handle_request,
     takeover::take_over,
 };
