--- a/crates/node/src/owner/engine_actor.rs
+++ b/crates/node/src/owner/engine_actor.rs
@@ -56,7 +56,7 @@
 };
 
 use super::{
-    delegated::DelegatedOrders, forget, listing, orders::Failure, read_progress::ReadProgress,
+    delegated::DelegatedOrders, listing, orders::Failure, read_progress::ReadProgress, removal,
 };
 use crate::{
     assignment::{
@@ -285,7 +285,7 @@
                     // The recorder runs until the actor ends, so the channel is open.
                     let _ = self.records.send(entries);
                 }
-                Effect::Remove(jobs) => forget::forget(&self.shared, jobs),
+                Effect::Remove(jobs) => removal::remove_acceptances(&self.shared, jobs),
                 Effect::Log(record) => self.log_record(&record),
                 Effect::Deposed => {
                     slog::warn!(self.shared.log, "fenced"; "epoch" => %self.engine.epoch());
--- a/crates/node/src/owner/mod.rs
+++ b/crates/node/src/owner/mod.rs
@@ -2,12 +2,12 @@
 
 mod delegated;
 mod engine_actor;
-mod forget;
 mod jobs;
 mod listing;
 mod orders;
 mod read_progress;
 mod recorder;
+mod removal;
 mod requests;
 mod takeover;
 mod workers;
--- a/crates/node/src/owner/forget.rs
+++ b/crates/node/src/owner/removal.rs
@@ -30,7 +30,7 @@
 ///
 /// The outcome of each of these jobs is stored already, or is stored in the same step, so the
 /// removal is safe at any time.
-pub(super) fn forget<P: Platform>(shared: &Arc<Shared<P>>, jobs: Vec<Removal>) {
+pub(super) fn remove_acceptances<P: Platform>(shared: &Arc<Shared<P>>, jobs: Vec<Removal>) {
     if shared.store.is_slow() || shared.store.is_failing() {
         return;
     }
