--- a/crates/cell/src/engine/view.rs
+++ b/crates/cell/src/engine/view.rs
@@ -161,7 +161,7 @@
     }
 
     /// Returns the cost of advice calls for a step and the validity of their tickets, if its queue needs advice.
-    pub fn advice_terms(&self, step: StepId) -> Option<AdviceTiming> {
+    pub fn advice_timing(&self, step: StepId) -> Option<AdviceTiming> {
         let job = self.jobs.get(&step.job)?;
         self.queue_of(job).advice
     }
--- a/crates/node/src/owner/engine_actor.rs
+++ b/crates/node/src/owner/engine_actor.rs
@@ -326,8 +326,8 @@
         actor_ref: WeakActorRef<Self>,
     ) {
         let shared = self.shared.clone();
-        let terms = self.engine.advice_terms(step);
-        let expected = terms.map(|terms: AdviceTiming| terms.call_duration(workers.len()));
+        let timing = self.engine.advice_timing(step);
+        let expected = timing.map(|timing: AdviceTiming| timing.call_duration(workers.len()));
         let time_limit = 2 * expected.unwrap_or_default() + ADVICE_TIMEOUT_MARGIN;
         tokio::spawn(async move {
             let answer = ask_for_advice(&shared, &node, step, workers, time_limit).await;
--- a/crates/node/src/owner/mod.rs
+++ b/crates/node/src/owner/mod.rs
@@ -17,7 +17,7 @@
         EngineActor,
         Event, //
     },
-    read_progress::ReadProgress, //
+    read_progress::ReadProgress,
     requests::handle_request,
-    takeover::take_over,
+    takeover::take_over, //
 };
