--- a/crates/node/src/owner/jobs.rs
+++ b/crates/node/src/owner/jobs.rs
@@ -208,7 +208,7 @@
 /// something that the owner doesn't know.
 ///
 /// Each partition has a task of its own: with a shared one, when a part of the store gave no answer
-/// for 3 s, cancellations in the rest took effect as much later.
+/// for 3 s, cancellations in the rest took effect 3 s later as well.
 pub(super) async fn follow<P: Platform>(
     shared: Arc<Shared<P>>,
     mut partition: Partition,
@@ -217,8 +217,8 @@
     actor: WeakActorRef<EngineActor<P>>,
 ) {
     loop {
-        let may_be_wide = shared.spread().may_use_all_partitions();
-        let gap = if may_be_wide {
+        let may_use_all = shared.spread().may_use_all_partitions();
+        let gap = if may_use_all {
             MIN_REQUESTED_READ_GAP_LARGE_CELL
         } else {
             MIN_REQUESTED_READ_GAP
@@ -228,7 +228,7 @@
         let is_requested = timeout(READ_INTERVAL_WRITER_ABSENT, requested)
             .await
             .is_ok();
-        if partition.number >= SMALL_CELL_JOB_PARTITIONS && !may_be_wide {
+        if partition.number >= SMALL_CELL_JOB_PARTITIONS && !may_use_all {
             // No node writes to this partition.
             read_progress.mark_read(partition.number, Instant::now());
             if actor.upgrade().is_none() {
--- a/crates/node/src/owner/listing.rs
+++ b/crates/node/src/owner/listing.rs
@@ -42,7 +42,7 @@
     /// A worker is no longer listed.
     Unregistered(WorkerId),
     /// A worker is listed with an entry that can't be used.
-    Distrusted(WorkerId),
+    Unusable(WorkerId),
 }
 
 impl Change {
@@ -51,7 +51,7 @@
         match self {
             Self::Registered(registration) => engine.register(registration, now),
             Self::Unregistered(worker) => engine.unregister(&worker, now),
-            Self::Distrusted(worker) => engine.mark_entry_unusable(&worker, now),
+            Self::Unusable(worker) => engine.mark_entry_unusable(&worker, now),
         }
     }
 }
--- a/crates/node/src/owner/takeover.rs
+++ b/crates/node/src/owner/takeover.rs
@@ -148,8 +148,8 @@
     if let Some(snapshot) = shared.evacuation.borrow().clone() {
         snapshot.apply(&mut engine, now);
     }
-    // Wait for hellos of other nodes: without nodes that send its orders, the owner would connect
-    // to each worker itself.
+    // The actor starts with the nodes that have sent hellos so far: without nodes that send its
+    // orders, the owner would connect to each worker itself.
     let peers = shared.hello_peers().await;
     Ok(start_actor(
         shared,
--- a/crates/node/src/owner/workers.rs
+++ b/crates/node/src/owner/workers.rs
@@ -188,7 +188,7 @@
             Entry::Valid(registration) => changes.push(Change::Registered(registration)),
             Entry::Invalid(worker, fault) => {
                 shared.record_rejected("workers", &Rejected::new(&record, fault));
-                changes.push(Change::Distrusted(worker));
+                changes.push(Change::Unusable(worker));
             }
             Entry::Removed => {}
         }
@@ -197,7 +197,7 @@
     for key in unread.filter_map(|rejected| rejected.key) {
         let worker = WorkerId::from(key);
         listing.mark_listed(worker.clone());
-        changes.push(Change::Distrusted(worker));
+        changes.push(Change::Unusable(worker));
     }
     changes
 }
