--- a/crates/node/src/member/follow.rs
+++ b/crates/node/src/member/follow.rs
@@ -78,7 +78,7 @@
             wait_to_retry().await;
             // Time in which the store isn't known to answer doesn't count towards the lease.
             Observation {
-                since: Instant::now(),
+                renewal_seen_at: Instant::now(),
                 ..seen
             }
         }
@@ -136,11 +136,15 @@
                     if renewal.is_some_and(|renewal| renewal <= renewals) {
                         // The claim was not renewed since the owner last answered.
                         let regained = shared.store.recovered_at();
-                        seen.since = succession::silent_since(seen.since, last_answer_at, regained);
+                        seen.renewal_seen_at = succession::silent_since(
+                            seen.renewal_seen_at,
+                            last_answer_at,
+                            regained,
+                        );
                     }
                 }
                 if last_answer_at.elapsed() < SILENCE_THRESHOLD
-                    || seen.since.elapsed() < claim_expiry_time(shared)
+                    || seen.renewal_seen_at.elapsed() < claim_expiry_time(shared)
                 {
                     sleep(HELLO_INTERVAL / 4).await;
                     continue;
@@ -294,7 +298,7 @@
             Observation {
                 claim: Some(claim),
                 end,
-                since: Instant::now(),
+                renewal_seen_at: Instant::now(),
             }
         }
         Err(Error::WrongEnd { .. }) => read_claim(shared).await,
--- a/crates/node/src/member/mod.rs
+++ b/crates/node/src/member/mod.rs
@@ -85,7 +85,7 @@
     claim: Option<Claim>,
     end: u64,
     /// When the latest renewal of the claim was first seen.
-    since: Instant,
+    renewal_seen_at: Instant,
 }
 
 /// Follows the owner, or acts as the owner, as long as the process runs.
@@ -150,7 +150,7 @@
     Observation {
         claim: Some(claim),
         end: 0,
-        since: Instant::now(),
+        renewal_seen_at: Instant::now(),
     }
 }
 
@@ -214,7 +214,7 @@
     Some(Observation {
         claim,
         end,
-        since: Instant::now(),
+        renewal_seen_at: Instant::now(),
     })
 }
 
--- a/crates/node/src/member/own.rs
+++ b/crates/node/src/member/own.rs
@@ -60,7 +60,7 @@
 const LEASE_RENEWAL_INTERVAL: Duration = Duration::from_millis(300);
 /// How long an owner keeps the cell before a stronger node may replace it: each change of owner
 /// costs 0.1 s.
-const MIN_TENURE: Duration = Duration::from_secs(3);
+const MIN_OWNED_TIME: Duration = Duration::from_secs(3);
 /// How long a leaving owner waits at most while the store is slow. With the usual grace period of
 /// 6 s, the process goes on serving its callers for 3 s.
 const MAX_LEAVE_DELAY: Duration = Duration::from_secs(2);
@@ -83,7 +83,7 @@
 /// How long an owner that reaches neither the store nor any other node goes on giving orders.
 /// Together with the time in which it notices, this is how much longer the next owner waits for the
 /// leases of silent workers.
-const MAX_ISOLATED_TIME: Duration = Duration::from_millis(1_200);
+const MAX_DISCONNECTED_TIME: Duration = Duration::from_millis(1_200);
 
 /// Owns the cell until the claim is lost, given up, or can't be trusted any more.
 pub(super) async fn own_cell<P: Platform>(shared: &Arc<Shared<P>>, mut claim: Claim, mut end: u64) {
@@ -101,7 +101,7 @@
     shared.lag.reset_event_waits();
     let (began, slow_owners) = (Instant::now(), claim.consecutive_slow_owners);
     let ending = tokio::select! {
-        ending = wait_for_dismissal(shared) => ending,
+        ending = wait_until_fenced_or_leaving(shared) => ending,
         reason = wait_for_better_owner(shared, slow_owners) => Ending::HandOver(reason),
         why = renew_claim(shared, &mut claim, &mut end) => Ending::Lost(why),
         why = wait_for_store_loss(shared) => Ending::Lost(why),
@@ -204,7 +204,7 @@
     };
     // The claim may be stored although no answer arrives, so this node must not go on for longer
     // than it would without the store.
-    let time_limit = MAX_ISOLATED_TIME
+    let time_limit = MAX_DISCONNECTED_TIME
         .min(RENEWAL_TIMEOUT + STORE_LATENCY_FACTOR * shared.store.typical_latency());
     let result = timeout(time_limit, append_successor(shared, &successor, end)).await;
     let is_stored = matches!(result, Ok(true));
@@ -265,7 +265,7 @@
 }
 
 /// Waits until a worker or the store reports a later owner, or the process is to end.
-async fn wait_for_dismissal<P: Platform>(shared: &Shared<P>) -> Ending {
+async fn wait_until_fenced_or_leaving<P: Platform>(shared: &Shared<P>) -> Ending {
     let mut ownership = shared.ownership.subscribe();
     loop {
         if ownership.borrow_and_update().is_none() {
@@ -299,7 +299,7 @@
         let lag = shared.lag.owner_lag();
         let reason = match () {
             () if succession::is_slow(lag, owned, slow_owners) => Reason::Slow,
-            () if owned >= MIN_TENURE => Reason::Outranked,
+            () if owned >= MIN_OWNED_TIME => Reason::Outranked,
             () => continue,
         };
         let hellos = recent_hellos(shared).await;
@@ -370,7 +370,7 @@
         let mut peers = shared.peers.lock().await.clone();
         // Once the limit is reached, all peers are asked before this node counts as cut off from
         // them.
-        if failing < MAX_ISOLATED_TIME {
+        if failing < MAX_DISCONNECTED_TIME {
             retain_sample(&mut peers);
         }
         let mut asked: FuturesUnordered<_> = peers
@@ -406,7 +406,7 @@
                 Err(_) => {}
             }
         }
-        if answers == 0 && failing >= MAX_ISOLATED_TIME {
+        if answers == 0 && failing >= MAX_DISCONNECTED_TIME {
             return "alone";
         }
     }
--- a/crates/node/src/succession.rs
+++ b/crates/node/src/succession.rs
@@ -1,4 +1,4 @@
-//! Decides which node should own the cell next and when an owner should release it. Pure functions.
+//! Decides which node should own the cell next and when an owner should give it up. Pure functions.
 //!
 //! The decisions cover four situations: a fleet in which small nodes would own a cell that only large ones can handle,
 //! a machine that becomes slow while its node is the owner, a rolling restart of the machines, and a backlog that makes
@@ -28,7 +28,7 @@
 const MILLICORES_PER_CORE: u64 = 1_000;
 /// A node outranks another if the ratio of their strengths is at least 3 to 2. Equal nodes never outrank each other.
 const OUTRANK_RATIO: (u64, u64) = (3, 2);
-/// An owner whose events wait for at least this long releases the cell.
+/// An owner whose events wait for at least this long gives the cell up.
 ///
 /// A job passes through about ten events from its arrival to its order. All of them queue for one thread, and the most
 /// urgent jobs have about 600 ms of slack for all of them together. On healthy machines events wait for 1 to 5 ms, and
@@ -40,10 +40,10 @@
 const MIN_LAG_IMPROVEMENT: u32 = 3;
 /// The time after a takeover during which an owner doesn't count as slow, because it first has to read the records,
 /// adopt the running tasks and start the backlog.
-const MIN_OWNERSHIP: Duration = Duration::from_secs(2);
+const SLOWNESS_GRACE_PERIOD: Duration = Duration::from_secs(2);
 /// The maximum number of times that this period is doubled. It doubles with each consecutive slow owner, because each
 /// change of owners adds to the backlog if the backlog is what makes them slow.
-const MAX_OWNERSHIP_DOUBLINGS: u8 = 4;
+const MAX_GRACE_PERIOD_DOUBLINGS: u8 = 4;
 /// An owner that was not slow for this long ends the series of consecutive slow owners.
 pub const SLOW_SERIES_GAP: Duration = Duration::from_secs(60);
 /// The number of samples of which a lag is the median. The ticks of an owner give that many in 0.2 s.
@@ -70,7 +70,7 @@
     pub lag: Duration,
 }
 
-/// The reason for which an owner releases the cell.
+/// The reason for which an owner gives the cell up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reason {
     /// There is a much stronger node.
@@ -116,9 +116,10 @@
 }
 
 /// Returns whether an owner is slow and should look for a faster one, given the lag of its events, the time for which
-/// it has owned the cell, and the number of consecutive owners before it that released the cell for being slow.
+/// it has owned the cell, and the number of consecutive owners before it that gave the cell up for being slow.
 pub fn is_slow(lag: Duration, owned: Duration, slow_owners: u8) -> bool {
-    lag >= SLOW_LAG && owned >= MIN_OWNERSHIP * (1 << slow_owners.min(MAX_OWNERSHIP_DOUBLINGS))
+    lag >= SLOW_LAG
+        && owned >= SLOWNESS_GRACE_PERIOD * (1 << slow_owners.min(MAX_GRACE_PERIOD_DOUBLINGS))
 }
 
 /// Returns whether a node gets processor time promptly, given the lag of its timers.
