--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -259,7 +259,7 @@
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         ticks.tick().await;
-        for (kind, count) in shared.meter.take_omitted_lines() {
+        for (kind, count) in shared.meter.take_suppressed_lines() {
             slog::warn!(shared.log, "lines-left-out"; "kind" => kind, "count" => count);
         }
     }
--- a/crates/node/src/telemetry.rs
+++ b/crates/node/src/telemetry.rs
@@ -56,7 +56,7 @@
 struct RateLimit {
     since: Instant,
     written: u32,
-    left_out: u64,
+    suppressed: u64,
 }
 
 struct Inner {
@@ -69,9 +69,9 @@
     wait: Histogram<f64>,
     finish: Histogram<f64>,
     advice: Histogram<f64>,
-    believed: Gauge<u64>,
+    engine_state: Gauge<u64>,
     workspaces: Gauge<u64>,
-    left_out: Counter<u64>,
+    suppressed_lines: Counter<u64>,
     lost_reports: Counter<u64>,
     rejected: Counter<u64>,
     peer_calls: Counter<u64>,
@@ -123,12 +123,13 @@
                 "From a job's arrival to the record of its end.",
             ),
             advice: registry.histogram("fulmarpier_advice_seconds", "Calls for advice."),
-            believed: registry.gauge("fulmarpier_believed", "What the owner believes, by kind."),
+            engine_state: registry
+                .gauge("fulmarpier_believed", "What the owner believes, by kind."),
             workspaces: registry.gauge(
                 "fulmarpier_workspace",
                 "What workspaces have running and may have, by workspace, resource and kind.",
             ),
-            left_out: registry.counter(
+            suppressed_lines: registry.counter(
                 "fulmarpier_log_lines_left_out",
                 "Lines left out of the log by kind.",
             ),
@@ -165,7 +166,7 @@
         let limit = rate_limits.entry(kind).or_insert(RateLimit {
             since: now,
             written: 0,
-            left_out: 0,
+            suppressed: 0,
         });
         if now.duration_since(limit.since) >= SECOND {
             limit.since = now;
@@ -175,25 +176,27 @@
             limit.written += 1;
             return true;
         }
-        limit.left_out += 1;
-        self.0.left_out.add(1, &[KeyValue::new("kind", kind)]);
+        limit.suppressed += 1;
+        self.0
+            .suppressed_lines
+            .add(1, &[KeyValue::new("kind", kind)]);
         false
     }
 
-    /// Returns the number of lines of each kind that were left out since the last call.
-    pub(crate) fn take_omitted_lines(&self) -> Vec<(&'static str, u64)> {
+    /// Returns the number of lines of each kind that were suppressed since the last call.
+    pub(crate) fn take_suppressed_lines(&self) -> Vec<(&'static str, u64)> {
         let Ok(mut rate_limits) = self.0.rate_limits.lock() else {
             return Vec::new();
         };
-        let left = rate_limits
+        let counts = rate_limits
             .iter_mut()
-            .map(|(kind, limit)| (*kind, std::mem::take(&mut limit.left_out)));
-        left.filter(|(_, count)| *count > 0).collect()
+            .map(|(kind, limit)| (*kind, std::mem::take(&mut limit.suppressed)));
+        counts.filter(|(_, count)| *count > 0).collect()
     }
 
-    pub(crate) fn request(&self, what: &'static str, outcome: &'static str) {
+    pub(crate) fn request(&self, call: &'static str, outcome: &'static str) {
         let labels = [
-            KeyValue::new("call", what),
+            KeyValue::new("call", call),
             KeyValue::new("outcome", outcome),
         ];
         self.0.requests.add(1, &labels);
@@ -267,12 +270,12 @@
         for (kind, value) in gauges {
             let value = u64::try_from(value).unwrap_or(u64::MAX);
             self.0
-                .believed
+                .engine_state
                 .record(value, &[KeyValue::new("kind", kind)]);
         }
         for (kind, value) in [("epoch", epoch), ("view_ms", millis(staleness))] {
             let labels = [KeyValue::new("kind", kind)];
-            self.0.believed.record(value, &labels);
+            self.0.engine_state.record(value, &labels);
         }
     }
 
