--- a/crates/node/src/assignment.rs
+++ b/crates/node/src/assignment.rs
@@ -53,7 +53,7 @@
     pub node: NodeName,
     /// The address at which it answers other nodes.
     pub address: SocketAddr,
-    /// The processor capacity that it may use.
+    /// The processor capacity that it may use, or the part of it that its link can keep busy.
     pub processor: Millicores,
     /// The number of files and connections that it may have open.
     pub descriptors: u32,
--- a/crates/node/src/frontend/job_record.rs
+++ b/crates/node/src/frontend/job_record.rs
@@ -20,9 +20,9 @@
 ///
 /// The two kinds of cancellation have different keys, so that a repeated cancellation that finds the job unknown
 /// doesn't replace one that found the job.
-const SEEN_SUFFIX: &str = "/x";
+const KNOWN_JOB_SUFFIX: &str = "/x";
 /// The suffix after the job id in the key of a cancellation whose job was unknown.
-const UNSEEN_SUFFIX: &str = "/u";
+const UNKNOWN_JOB_SUFFIX: &str = "/u";
 /// The separator before the workspace in a key. With the workspace in the key, records of one workspace never replace
 /// those of another, even under the same job id.
 const WORKSPACE_SEPARATOR: char = '@';
@@ -59,8 +59,8 @@
         };
         let cancellation = match kind {
             "" => None,
-            SEEN_SUFFIX => Some(Cancellation::KnownJob),
-            UNSEEN_SUFFIX => Some(Cancellation::UnknownJob),
+            KNOWN_JOB_SUFFIX => Some(Cancellation::KnownJob),
+            UNKNOWN_JOB_SUFFIX => Some(Cancellation::UnknownJob),
             _ => return None,
         };
         Some(Self {
@@ -81,8 +81,8 @@
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         let kind = match self.cancellation {
             None => "",
-            Some(Cancellation::KnownJob) => SEEN_SUFFIX,
-            Some(Cancellation::UnknownJob) => UNSEEN_SUFFIX,
+            Some(Cancellation::KnownJob) => KNOWN_JOB_SUFFIX,
+            Some(Cancellation::UnknownJob) => UNKNOWN_JOB_SUFFIX,
         };
         write!(f, "{}{kind}", self.job)?;
         match &self.workspace {
--- a/crates/node/src/frontend/mod.rs
+++ b/crates/node/src/frontend/mod.rs
@@ -186,7 +186,7 @@
     /// Returns whether this node's configuration may be older than the one in force on other nodes.
     ///
     /// This is the case if the store has been unreachable for this node alone for some time. While the store is
-    /// unavailable for all nodes, there is no newer configuration, and only the revocation bound applies.
+    /// unavailable for all nodes, there is no newer configuration, and only the revocation limit applies.
     fn is_config_outdated(&self) -> bool {
         let is_isolated = self.shared.is_isolated.load(Ordering::Relaxed);
         let age = self.shared.config_confirmed_at.borrow().elapsed();
--- a/crates/node/src/hedge.rs
+++ b/crates/node/src/hedge.rs
@@ -23,7 +23,7 @@
     Platform, //
 };
 
-/// The maximum number of copies of an unordered append, including the first.
+/// The maximum number of copies, including the first, of an unordered append: one without [`Condition::Writer`].
 const MAX_COPIES: u32 = 4;
 /// The maximum time between two copies of an append, unless the caller's `retry_delay` is longer. The whole cell waits
 /// for an ordered append.
@@ -36,7 +36,7 @@
 /// With a third of the answers lost, an append takes about 0.1 s this way. Without copies, it takes up to the timeout
 /// of a call.
 ///
-/// The store recognizes the copies of an append with [`Condition::Writer`] by the sequence number, so they are sent
+/// The store recognises the copies of an append with [`Condition::Writer`] by the sequence number, so they are sent
 /// until the timeout. A store that recovers from an outage answers none of the copies sent before, and no step starts
 /// before the owner's record is stored.
 ///
@@ -105,7 +105,7 @@
 /// Reads from the store and sends another copy of the call while no answer arrives.
 ///
 /// The first copy lets the store delay its answer by `wait` until there is a record; the others don't. The second copy
-/// is sent when `retry_delay` has passed after `wait`, and the gap grows by the factor `growth` with each copy. All
+/// is sent when `retry_delay` has passed after `wait`, and the gap grows by `delay_factor` with each copy. All
 /// copies together may take `wait + limit`.
 ///
 /// A store that recovers from an outage answers no call made before. Without copies, nodes that start during an outage
@@ -118,7 +118,7 @@
     platform: &P,
     wait: Duration,
     mut retry_delay: Duration,
-    growth: u32,
+    delay_factor: u32,
     limit: Duration,
     read: impl Fn(Duration) -> F,
 ) -> Result<T, Error>
@@ -136,7 +136,7 @@
             () = sleep_until(next) => {
                 platform.reconnect();
                 copies.push(read(Duration::ZERO));
-                retry_delay *= growth;
+                retry_delay *= delay_factor;
                 next += retry_delay;
                 continue;
             }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -10,6 +10,7 @@
 //! | `config_exchange` | reads the configuration from the owner while the store is silent |
 //! | `dispatch` | sends orders to workers on behalf of the owner and reports the results |
 //! | `evacuation` | the data centres that the operator has evacuated |
+//! | `fallback` | replaces invalid records of other writers by the last valid ones |
 //! | [`frontend`] | submits, looks up and cancels jobs for callers |
 //! | `health` | tracks whether and how fast the store answers this node |
 //! | `hedge` | sends another copy of a store call whose answer is overdue |
@@ -17,14 +18,17 @@
 //! | `lag` | measures how late timers and events run in this process |
 //! | `member` | follows the ownership of the cell and claims it |
 //! | `message` | the messages between nodes |
+//! | `node` | starts and stops a node and serves the requests of its peers |
 //! | `operator` | how current this node's copy of the operator's records is |
 //! | `order` | orders to workers and their results |
 //! | `owner` | the owner's actor, its takeover, and its reads and writes of the store |
+//! | [`platform`] | the interface to the store, the workers and the advice service |
 //! | [`retry_delay`] | how long a refused caller should wait before it retries |
 //! | [`revocation`] | how long a node may accept keys while it can't read the configuration |
+//! | `shared` | the state that the components of a node share |
 //! | [`succession`] | decides which node should own the cell next and when an owner should give up |
 //! | `telemetry` | logs and metrics |
-//! | `watch` | follows the configuration and the list of workers |
+//! | `watch` | reads topics of the store and follows the operator's records |
 
 pub mod assignment;
 mod config_exchange;
--- a/crates/node/src/platform.rs
+++ b/crates/node/src/platform.rs
@@ -48,7 +48,7 @@
 /// The topics of the store. Each topic keeps at least the newest record of every key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Topic {
-    /// Accepted and cancelled jobs, partitioned by job.
+    /// Accepted and cancelled jobs; carries the number of the partition.
     Jobs(u16),
     /// The progress of jobs and the workers that were used; written only by the owner.
     Progress,
@@ -159,7 +159,7 @@
     /// The value doesn't have the expected structure.
     #[error("its value is not of the expected form")]
     Structure,
-    /// The id differs from that in the key, or can't be put into an order.
+    /// The id differs from that in the key, or can't be used in an order to a worker.
     #[error("its id is not that of its key, or can't be used")]
     Id,
     /// The record has no usable address.
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -327,7 +327,7 @@
         self.claim.send_replace(Some(claim));
     }
 
-    /// Records how many partitions jobs are spread over by the newest renewal of the claim known to this node.
+    /// Records how many partitions jobs are spread over, as given by the newest renewal known of the claim.
     pub(crate) fn record_spread(&self, renewed: &Claim) {
         self.claim.send_if_modified(|claim| {
             let known = claim.as_mut().filter(|claim| claim.epoch == renewed.epoch);
