--- a/crates/node/src/member/mod.rs
+++ b/crates/node/src/member/mod.rs
@@ -6,6 +6,8 @@
 //! answered by a process that doesn't own the cell; its claim was not renewed for a lease while the
 //! store answered.
 //!
+//! A node is weak if the owner [outranks](crate::succession::outranks) it, and strong otherwise.
+//!
 //! `follow` holds the tasks of a node that doesn't own the cell, and `own` those of the owner;
 //! `isolation` detects whether the store fails for this node alone.
 
