--- a/crates/node/src/member/mod.rs
+++ b/crates/node/src/member/mod.rs
@@ -6,6 +6,8 @@
 //! answered by a process that doesn't own the cell; its claim was not renewed for a lease while the
 //! store answered.
 //!
+//! A node is weak if the owner [outranks](crate::succession::outranks) it, and strong otherwise.
+//!
 //! `follow` holds the tasks of a node that doesn't own the cell, and `own` those of the owner;
 //! `isolation` detects whether the store fails for this node alone.
 
@@ -85,7 +87,7 @@
     claim: Option<Claim>,
     end: u64,
     /// When the latest renewal of the claim was first seen.
-    since: Instant,
+    renewal_seen_at: Instant,
 }
 
 /// Follows the owner, or acts as the owner, as long as the process runs.
@@ -150,7 +152,7 @@
     Observation {
         claim: Some(claim),
         end: 0,
-        since: Instant::now(),
+        renewal_seen_at: Instant::now(),
     }
 }
 
@@ -214,7 +216,7 @@
     Some(Observation {
         claim,
         end,
-        since: Instant::now(),
+        renewal_seen_at: Instant::now(),
     })
 }
 
--- a/crates/node/src/owner/control.rs
+++ b/crates/node/src/owner/engine_actor.rs
@@ -55,7 +55,9 @@
     },
 };
 
-use super::{delegated::DelegatedOrders, forget, listing, orders::Failure, view::ReadProgress};
+use super::{
+    delegated::DelegatedOrders, listing, orders::Failure, read_progress::ReadProgress, removal,
+};
 use crate::{
     assignment::{
         Assignment,
@@ -283,7 +285,7 @@
                     // The recorder runs until the actor ends, so the channel is open.
                     let _ = self.records.send(entries);
                 }
-                Effect::Remove(jobs) => forget::forget(&self.shared, jobs),
+                Effect::Remove(jobs) => removal::remove_acceptances(&self.shared, jobs),
                 Effect::Log(record) => self.log_record(&record),
                 Effect::Deposed => {
                     slog::warn!(self.shared.log, "fenced"; "epoch" => %self.engine.epoch());
@@ -324,8 +326,8 @@
         actor_ref: WeakActorRef<Self>,
     ) {
         let shared = self.shared.clone();
-        let terms = self.engine.advice_terms(step);
-        let expected = terms.map(|terms: AdviceTiming| terms.call_duration(workers.len()));
+        let timing = self.engine.advice_timing(step);
+        let expected = timing.map(|timing: AdviceTiming| timing.call_duration(workers.len()));
         let time_limit = 2 * expected.unwrap_or_default() + ADVICE_TIMEOUT_MARGIN;
         tokio::spawn(async move {
             let answer = ask_for_advice(&shared, &node, step, workers, time_limit).await;
--- a/crates/node/src/owner/mod.rs
+++ b/crates/node/src/owner/mod.rs
@@ -1,23 +1,23 @@
 //! The owner of the cell: its actor, the takeover, and what it reads from and writes to the store.
 
-mod answer;
-mod control;
 mod delegated;
-mod forget;
+mod engine_actor;
 mod jobs;
 mod listing;
 mod orders;
+mod read_progress;
 mod recorder;
+mod removal;
+mod requests;
 mod takeover;
-mod view;
 mod workers;
 
 pub(crate) use self::{
-    answer::handle_request,
-    control::{
+    engine_actor::{
         EngineActor,
         Event, //
     },
-    takeover::take_over,
-    view::ReadProgress, //
+    read_progress::ReadProgress,
+    requests::handle_request,
+    takeover::take_over, //
 };
