--- a/crates/node/tests/assignment.rs
+++ b/crates/node/tests/assignment.rs
@@ -41,7 +41,8 @@
     counts
 }
 
-/// As a fleet and its number of strong nodes grow, no node may get more workers than its descriptors suffice for.
+/// As a fleet and its number of strong nodes grow, no node may get more workers than its file
+/// descriptors suffice for.
 #[rstest]
 #[case::small(350, 8)]
 #[case::large(6_000, 60)]
--- a/crates/node/tests/node/foreign.rs
+++ b/crates/node/tests/node/foreign.rs
@@ -54,7 +54,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_worker_whose_pool_is_configured_later_is_used_then() {
+async fn a_worker_whose_pool_is_configured_later_is_used_from_then_on() {
     let platform = Fake::new();
     platform.write(Topic::Workers, "w0", b"elsewhere");
     let one = start_node("one", &platform);
@@ -117,7 +117,8 @@
 /// Values that other writers may leave in any topic.
 const GARBAGE: [&[u8]; 3] = [b"", b"\xff\xff\xff\xff", REJECTED_VALUE];
 
-/// Writes invalid records into every topic, under keys that nodes use and under others.
+/// Writes invalid records into every topic, under keys that nodes use and under others. A key that ends in `/x` is that
+/// of a cancellation.
 fn write_garbage(platform: &Fake, job: u64) {
     let job = JobId(job).to_string();
     let cancelled = format!("{job}/x");
--- a/crates/node/tests/node/history.rs
+++ b/crates/node/tests/node/history.rs
@@ -165,19 +165,19 @@
 
     async fn check_job_state(&mut self) {
         let job = self.random_job();
-        let is_there = self.jobs.contains(&job);
+        let exists = self.jobs.contains(&job);
         let found = self.node.frontend().job_state(JobId(job)).await;
         let shown = match found {
             Ok(_) => true,
             Err(Refusal::NoJob) => false,
             Err(_) => return,
         };
-        if is_there && !shown {
+        if exists && !shown {
             self.violations
                 .push(format!("job {job} exists but is reported as missing"));
         }
         // A recorded cancellation counts as evidence that the job exists.
-        if !is_there && shown && !self.recorded_cancellations.contains(&job) {
+        if !exists && shown && !self.recorded_cancellations.contains(&job) {
             self.violations
                 .push(format!("job {job} does not exist but is reported"));
         }
@@ -210,10 +210,10 @@
         for job in self.jobs.clone() {
             let due = self.cancellation_deadlines.get(&job).copied();
             let last = self.platform.last_start(job);
-            if let (Some(last), Some(until)) = (last, due)
-                && last > until
+            if let (Some(last), Some(due)) = (last, due)
+                && last > due
             {
-                let late = last - until;
+                let late = last - due;
                 let line = format!(
                     "job {job} started {late:?} after its cancellation had to be in effect"
                 );
--- a/crates/node/tests/node/platform.rs
+++ b/crates/node/tests/node/platform.rs
@@ -281,7 +281,7 @@
         *self.own_mode.lock().unwrap() = Some(mode);
     }
 
-    fn log_read(&self, topic: Topic) {
+    fn record_read(&self, topic: Topic) {
         let read = (topic_name(topic), Instant::now());
         self.reads.lock().unwrap().push(read);
     }
@@ -304,9 +304,9 @@
             key: accepted.job.to_string(),
             value: Some(record::encode(accepted).unwrap().into()),
         };
-        let place = topic_name(Topic::Jobs(partition));
+        let topic = topic_name(Topic::Jobs(partition));
         let mut state = self.state();
-        state.topics.entry(place).or_default().push(record);
+        state.topics.entry(topic).or_default().push(record);
     }
 
     /// Writes a record with any value into a partition of the jobs.
@@ -315,9 +315,9 @@
             key: key.to_owned(),
             value: Some(value.into()),
         };
-        let place = topic_name(Topic::Jobs(partition));
+        let topic = topic_name(Topic::Jobs(partition));
         let mut state = self.state();
-        state.topics.entry(place).or_default().push(record);
+        state.topics.entry(topic).or_default().push(record);
     }
 
     /// Records a job's cancellation as a node does, without notifying the owner.
@@ -326,9 +326,9 @@
             key: format!("{}/x", JobId(job)),
             value: Some(vec![1].into()),
         };
-        let place = topic_name(Topic::Jobs(partition));
+        let topic = topic_name(Topic::Jobs(partition));
         let mut state = self.state();
-        state.topics.entry(place).or_default().push(record);
+        state.topics.entry(topic).or_default().push(record);
     }
 
     /// Writes a record as a writer other than the nodes does.
@@ -591,8 +591,8 @@
     fn apply_append(&self, append: Append) -> Result<u64, Error> {
         let mut state = self.state();
         state.appends += 1;
-        let place = topic_name(append.topic);
-        let end = state.topics.entry(place.clone()).or_default().len() as u64;
+        let name = topic_name(append.topic);
+        let end = state.topics.entry(name.clone()).or_default().len() as u64;
         match append.condition {
             Condition::None => {}
             Condition::EndsAt(at) if at == end => {}
@@ -610,7 +610,7 @@
                 state.last_append = Some((epoch.0, sequence, end + append.records.len() as u64));
             }
         }
-        let topic = state.topics.entry(place).or_default();
+        let topic = state.topics.entry(name).or_default();
         topic.extend(append.records);
         Ok(topic.len() as u64)
     }
@@ -662,7 +662,7 @@
 
     async fn read(&self, topic: Topic, from: u64, wait: Duration) -> Result<Page, Error> {
         let until = Instant::now() + wait;
-        self.log_read(topic);
+        self.record_read(topic);
         self.fail_if_blocked(topic).await?;
         if matches!(topic, Topic::Jobs(_)) {
             self.state().job_reads += 1;
@@ -699,7 +699,7 @@
     }
 
     async fn newest(&self, topic: Topic) -> Result<Page, Error> {
-        self.log_read(topic);
+        self.record_read(topic);
         self.fail_if_lost(topic).await?;
         self.fail_if_blocked(topic).await?;
         self.wait_read_delay(topic).await;
@@ -808,6 +808,8 @@
         *self.suspended.lock().unwrap()
     }
 
+    /// Decodes a configuration: `1` is version 1, in which the queue uses pool `p`; `2` is version 2, in which it uses pool
+    /// `elsewhere`; for a text that names workspaces, see [`KEYS_PREFIX`].
     fn configuration(&self, record: &Record) -> Result<Option<Config>, Fault> {
         let (version, pool) = match (record.key.as_str(), record.value.as_deref()) {
             ("config", Some(b"1")) => (1, "p"),
@@ -846,6 +848,7 @@
         }
     }
 
+    /// Decodes a worker's entry: `here` registers the worker in pool `p`, and `elsewhere` in pool `elsewhere`.
     fn registration(
         &self,
         record: &Record,
--- a/crates/node/tests/node/read_progress.rs
+++ b/crates/node/tests/node/read_progress.rs
@@ -4,7 +4,8 @@
 //! nodes the new owner reads the 16 partitions of the jobs concurrently, and lost answers of one call make its takeover
 //! take 3.5 s. Meanwhile another node accepts a job in a partition that the owner has already read, and gives up
 //! notifying the owner before the takeover ends. A caller cancels the job; the owner does not know it, answers `no-job`
-//! and records nothing. 1.2 s later it reads the partition again, and 2 s after that it starts the cancelled job.
+//! and records nothing. 1.2 s later it reads on in the partition and finds the job, and 2 s after that it starts the
+//! cancelled job.
 
 use std::time::Duration;
 
@@ -111,17 +112,17 @@
     assert_eq!(starts, 0);
 }
 
-/// Without an owner no node can tell whether the job exists. The cancellation is recorded, and the caller does not have
-/// to wait for an owner.
+/// Without an owner no node can tell whether the job exists. The cancellation is recorded as that of an unknown job, under
+/// a key that ends in `/u`, and the caller does not have to wait for an owner.
 #[tokio::test(start_paused = true)]
 async fn a_cancellation_is_accepted_while_there_is_no_owner() {
     let platform = Fake::new();
     platform.block_reads(Topic::Jobs(BLOCKED_PARTITION), 2 * SECOND);
     let one = start_node("one", &platform);
     sleep(SECOND).await;
-    let asked = Instant::now();
+    let called = Instant::now();
     assert_eq!(cancel(&one, 1).await, Ok(()));
-    assert!(asked.elapsed() < SECOND / 10, "{:?}", asked.elapsed());
+    assert!(called.elapsed() < SECOND / 10, "{:?}", called.elapsed());
     assert!(platform.has_record(&format!("{}/u", JobId(1))));
 }
 
@@ -204,7 +205,8 @@
     assert_eq!(one.frontend().pending(&queue).await, Ok(1));
 }
 
-/// Guards against callers who exhaust the store by looking up jobs that do not exist: it takes 2,000 reads a second.
+/// Guards against callers who exhaust the store by looking up jobs that do not exist: the store serves 2,000 reads a
+/// second.
 #[tokio::test(start_paused = true)]
 async fn lookups_of_unknown_jobs_make_a_bounded_number_of_store_calls() {
     let platform = Fake::new();
--- a/crates/node/tests/node/record.rs
+++ b/crates/node/tests/node/record.rs
@@ -98,11 +98,11 @@
         sleep(3 * SECOND).await;
         platform.delay_reads(Topic::Jobs(0), Duration::from_millis(delay_ms));
         platform.record_cancellation(partition, id);
-        let acked = Instant::now();
-        while acked.elapsed() < Duration::from_millis(6_500) {
+        let recorded = Instant::now();
+        while recorded.elapsed() < Duration::from_millis(6_500) {
             sleep(SECOND / 20).await;
             if platform.starts(id) > 0 {
-                late.push((id, acked.elapsed()));
+                late.push((id, recorded.elapsed()));
                 break;
             }
         }
@@ -213,7 +213,7 @@
 /// Guards against claims whose epochs decrease. While an owner is stalled, another node claims the cell; then the owner
 /// resumes and tries to hand the cell over. The failed append tells it where the claims end. If it released its own,
 /// older ownership there, the newest claim would have an older epoch than the one before it, and the next owner would
-/// reuse the epoch of another.
+/// reuse the epoch of another owner.
 #[tokio::test]
 async fn a_replaced_owner_that_hands_the_cell_over_appends_no_claim_of_an_older_epoch() {
     let platform = Fake::new();
--- a/crates/node/tests/node/service.rs
+++ b/crates/node/tests/node/service.rs
@@ -291,8 +291,7 @@
 }
 
 /// The former owner's claim says that the cell has more nodes than a small one. The next owner has to read all
-/// partitions: a node that writes to the last one may be unable to notify
-/// the owner.
+/// partitions: a node that writes to the last one may be unable to notify the owner.
 #[tokio::test]
 async fn jobs_run_from_all_partitions_if_the_cell_was_large_before() {
     let platform = Fake::new();
@@ -495,7 +494,7 @@
 }
 
 /// Guards against starts that stay blocked after an outage, however long it took. A start that waits for its record has
-/// to send the record again: the store never answers calls made before its return.
+/// to send the record again: the store never answers calls made before the outage ended.
 #[rstest]
 #[tokio::test(start_paused = true)]
 async fn starts_resume_soon_after_an_outage(
--- a/crates/node/tests/node/suspension.rs
+++ b/crates/node/tests/node/suspension.rs
@@ -1,4 +1,4 @@
-//! Machines that are suspended: the runtime's clock stops while the leases that other nodes observe go on to expire.
+//! Suspended machines: the clock of a node's runtime stops, while other nodes go on to count the time of its leases.
 
 use std::{
     collections::BTreeSet,
@@ -31,7 +31,7 @@
     wait_until_ready(&two).await;
     let first = platform.claims().last().map(|claim| claim.epoch);
     machine.suspend(SUSPENSION);
-    // The next owner has read the store again.
+    // Once there is another claim, the next owner reads all records from the store again.
     wait_until(|| async { platform.claims().last().map(|claim| claim.epoch) > first }).await;
     wait_until_ready(&two).await;
     submit(&two, 1).await.unwrap();
--- a/crates/node/tests/retry_delay.rs
+++ b/crates/node/tests/retry_delay.rs
@@ -7,21 +7,22 @@
 use rstest::rstest;
 
 const SECOND: Duration = Duration::from_secs(1);
-/// The deadline of a caller, and the number of its retries.
+/// How long a caller waits to be served.
 const DEADLINE: Duration = Duration::from_secs(3);
+/// How often a caller retries at most.
 const RETRIES: usize = 4;
-/// The time of a retry without delay, for which the caller opens a new connection.
+/// The time that a retry without delay takes, because the caller opens a new connection for it.
 const RECONNECT: Duration = Duration::from_millis(100);
 
 /// Simulates a caller whose attempts reach the nodes in turn; returns when it is served, or `None` if it isn't.
-fn served_after(refusals: &mut Refusals, job: u64, is_cut: &[bool]) -> Option<Duration> {
+fn served_after(refusals: &mut Refusals, job: u64, is_cut_off: &[bool]) -> Option<Duration> {
     let mut at = Duration::ZERO;
     for attempt in 0..=RETRIES {
-        if !is_cut[attempt % is_cut.len()] {
+        if !is_cut_off[attempt % is_cut_off.len()] {
             return Some(at);
         }
         // If every node is cut off from the store, none of them is isolated on its own.
-        let is_isolated = is_cut.iter().any(|cut| !cut) || is_cut.len() == 1;
+        let is_isolated = is_cut_off.iter().any(|is_cut_off| !is_cut_off) || is_cut_off.len() == 1;
         at += refusals.retry_delay(JobId(job), is_isolated).max(RECONNECT);
         if at >= DEADLINE {
             return None;
@@ -36,12 +37,12 @@
 #[case::of_two_nodes_none_serves(&[true, true], None)]
 #[case::there_is_no_other_node(&[true], None)]
 fn callers_of_an_isolated_node_are_served_elsewhere(
-    #[case] is_cut: &[bool],
+    #[case] is_cut_off: &[bool],
     #[case] expected: Option<Duration>,
 ) {
     let mut refusals = Refusals::default();
     for job in 0..500 {
-        assert_eq!(served_after(&mut refusals, job, is_cut), expected);
+        assert_eq!(served_after(&mut refusals, job, is_cut_off), expected);
     }
 }
 
