--- a/crates/node/tests/assignment.rs
+++ b/crates/node/tests/assignment.rs
@@ -41,8 +41,7 @@
     counts
 }
 
-/// As a fleet and its number of strong nodes grow, no node may get more workers than its file
-/// descriptors suffice for.
+/// As a fleet and its number of strong nodes grow, no node may get more workers than its file descriptors suffice for.
 #[rstest]
 #[case::small(350, 8)]
 #[case::large(6_000, 60)]
@@ -79,7 +78,7 @@
     );
 }
 
-/// Nodes that the owner outranks can't handle the orders.
+/// Nodes that are much weaker than the owner can't handle the orders.
 #[test]
 fn weak_nodes_send_no_orders() {
     let peers = (1..8).map(|port| peer(port, 120, 4_100)).collect();
--- a/crates/node/tests/node/foreign.rs
+++ b/crates/node/tests/node/foreign.rs
@@ -175,7 +175,7 @@
 #[tokio::test]
 async fn a_new_owner_takes_over_the_last_valid_records(#[case] kept: Option<usize>) {
     let platform = Fake::new();
-    // These records are older than the truncated history.
+    // These records are older than those that remain when the history is truncated.
     for _ in 0..KEPT_RECORDS {
         platform.write(Topic::Claims, "another", b"old");
     }
--- a/crates/node/tests/node/platform.rs
+++ b/crates/node/tests/node/platform.rs
@@ -281,7 +281,7 @@
         *self.own_mode.lock().unwrap() = Some(mode);
     }
 
-    fn record_read(&self, topic: Topic) {
+    fn log_read(&self, topic: Topic) {
         let read = (topic_name(topic), Instant::now());
         self.reads.lock().unwrap().push(read);
     }
@@ -662,7 +662,7 @@
 
     async fn read(&self, topic: Topic, from: u64, wait: Duration) -> Result<Page, Error> {
         let until = Instant::now() + wait;
-        self.record_read(topic);
+        self.log_read(topic);
         self.fail_if_blocked(topic).await?;
         if matches!(topic, Topic::Jobs(_)) {
             self.state().job_reads += 1;
@@ -699,7 +699,7 @@
     }
 
     async fn newest(&self, topic: Topic) -> Result<Page, Error> {
-        self.record_read(topic);
+        self.log_read(topic);
         self.fail_if_lost(topic).await?;
         self.fail_if_blocked(topic).await?;
         self.wait_read_delay(topic).await;
@@ -808,8 +808,8 @@
         *self.suspended.lock().unwrap()
     }
 
-    /// Decodes a configuration: `1` is version 1, in which the queue uses pool `p`; `2` is version 2, in which it uses pool
-    /// `elsewhere`; for a text that names workspaces, see [`KEYS_PREFIX`].
+    /// Decodes a configuration: `1` is version 1, in which the queue uses pool `p`; `2` is version 2, in which it uses
+    /// pool `elsewhere`; for a text that names workspaces, see [`KEYS_PREFIX`].
     fn configuration(&self, record: &Record) -> Result<Option<Config>, Fault> {
         let (version, pool) = match (record.key.as_str(), record.value.as_deref()) {
             ("config", Some(b"1")) => (1, "p"),
--- a/crates/node/tests/node/read_progress.rs
+++ b/crates/node/tests/node/read_progress.rs
@@ -44,7 +44,7 @@
 /// The partition whose reads are blocked, so that the takeover waits for it.
 const BLOCKED_PARTITION: u16 = 0;
 
-/// Returns a job of two tasks.
+/// Returns a job of two short tasks.
 fn quick_job() -> Spec {
     job(vec![step()], None)
 }
@@ -112,8 +112,8 @@
     assert_eq!(starts, 0);
 }
 
-/// Without an owner no node can tell whether the job exists. The cancellation is recorded as that of an unknown job, under
-/// a key that ends in `/u`, and the caller does not have to wait for an owner.
+/// Without an owner no node can tell whether the job exists. The cancellation is recorded as that of an unknown job,
+/// under a key that ends in `/u`, and the caller does not have to wait for an owner.
 #[tokio::test(start_paused = true)]
 async fn a_cancellation_is_accepted_while_there_is_no_owner() {
     let platform = Fake::new();
--- a/crates/node/tests/node/service.rs
+++ b/crates/node/tests/node/service.rs
@@ -501,7 +501,7 @@
     #[values(2_000, 2_600, 3_200, 3_800, 4_400)] outage_ms: u64,
 ) {
     let platform = Fake::new();
-    // A single node would give up the cell.
+    // If the owner were the only node, it would give up the cell.
     let (one, two) = (start_node("one", &platform), start_node("two", &platform));
     wait_until_ready(&one).await;
     wait_until_ready(&two).await;
--- a/crates/node/tests/node/suspension.rs
+++ b/crates/node/tests/node/suspension.rs
@@ -1,4 +1,4 @@
-//! Suspended machines: the clock of a node's runtime stops, while other nodes go on to count the time of its leases.
+//! Suspended machines: the clock of a node's runtime stops, while its leases continue to run out for the other nodes.
 
 use std::{
     collections::BTreeSet,
--- a/crates/node/tests/succession.rs
+++ b/crates/node/tests/succession.rs
@@ -1,4 +1,4 @@
-//! The choice of the next owner, and the conditions under which an owner releases the cell.
+//! The choice of the next owner, and the conditions under which an owner hands the cell over.
 
 use std::time::Duration;
 
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn a_weak_owner_releases_the_cell_only_to_a_much_stronger_node() {
+fn a_weak_owner_hands_over_only_to_a_much_stronger_node() {
     let weak = [hello("weak", 50, 9, 0), hello("equal", 50, 1, 0)];
     assert_eq!(chosen(50, 0, Reason::Outranked, &weak), None);
     let mixed = [
