--- a/crates/cell/examples/fleet.rs
+++ b/crates/cell/examples/fleet.rs
@@ -350,7 +350,7 @@
             }
             Effect::Record(_) => self.schedule(RECORD_LATENCY, Event::Recorded),
             // No task is best-effort here.
-            Effect::Throttle(_) | Effect::Remove(_) | Effect::Log(_) | Effect::Deposed => {}
+            Effect::Throttle(_) | Effect::Remove(_) | Effect::Log(_) | Effect::OwnershipLost => {}
         }
     }
 
--- a/crates/cell/src/effect.rs
+++ b/crates/cell/src/effect.rs
@@ -295,5 +295,5 @@
     /// Write a log record.
     Log(LogRecord),
     /// Another node owns the cell, since a worker has seen a higher epoch.
-    Deposed,
+    OwnershipLost,
 }
--- a/crates/cell/src/engine/contact.rs
+++ b/crates/cell/src/engine/contact.rs
@@ -256,7 +256,7 @@
                 worker.retry_call(is_probe, now);
                 self.update_indexes(slot);
             }
-            HeartbeatAnswer::Fenced => self.outbox.push(Effect::Deposed),
+            HeartbeatAnswer::Fenced => self.outbox.push(Effect::OwnershipLost),
             HeartbeatAnswer::Replaced => self.remove_lost_worker(slot, "replaced", now),
             HeartbeatAnswer::NoAnswer
             | HeartbeatAnswer::ConnectionLost
--- a/crates/cell/src/engine/order.rs
+++ b/crates/cell/src/engine/order.rs
@@ -76,7 +76,7 @@
                 self.confirm(slot, task, run, now);
             }
             StartAnswer::Fenced if !self.may_have_stale_orders(slot) => {
-                self.outbox.push(Effect::Deposed)
+                self.outbox.push(Effect::OwnershipLost)
             }
             StartAnswer::Replaced => self.remove_lost_worker(slot, "replaced", now),
             StartAnswer::NoAnswer => self.retry_start(slot, task, run, now),
@@ -401,7 +401,7 @@
                 }
             }
             StopAnswer::Fenced if !self.may_have_stale_orders(slot) => {
-                self.outbox.push(Effect::Deposed);
+                self.outbox.push(Effect::OwnershipLost);
             }
             StopAnswer::NoAnswer | StopAnswer::Fenced => {
                 self.stops
--- a/crates/cell/src/engine/throttling.rs
+++ b/crates/cell/src/engine/throttling.rs
@@ -173,7 +173,7 @@
             }
             StopAnswer::NoAnswer => {}
             StopAnswer::Fenced if self.may_have_stale_orders(slot) => {}
-            StopAnswer::Fenced => self.outbox.push(Effect::Deposed),
+            StopAnswer::Fenced => self.outbox.push(Effect::OwnershipLost),
             StopAnswer::Replaced => self.remove_lost_worker(slot, "replaced", now),
         }
     }
--- a/crates/cell/tests/cell/incarnation.rs
+++ b/crates/cell/tests/cell/incarnation.rs
@@ -162,7 +162,7 @@
                     Effect::Start(start) => self.starts.push(*start),
                     Effect::Stop(stop) => self.stops.push(stop),
                     Effect::Log(record) => self.log_records.push(record),
-                    Effect::Deposed => self.is_deposed = true,
+                    Effect::OwnershipLost => self.is_deposed = true,
                     _ => {}
                 }
             }
--- a/crates/node/src/owner/engine_actor.rs
+++ b/crates/node/src/owner/engine_actor.rs
@@ -287,7 +287,7 @@
                 }
                 Effect::Remove(jobs) => removal::remove_acceptances(&self.shared, jobs),
                 Effect::Log(record) => self.log_record(&record),
-                Effect::Deposed => {
+                Effect::OwnershipLost => {
                     slog::warn!(self.shared.log, "fenced"; "epoch" => %self.engine.epoch());
                     self.is_deposed = true;
                     self.shared.ownership.send_replace(None);
