--- a/crates/cell/src/effect.rs
+++ b/crates/cell/src/effect.rs
@@ -260,7 +260,7 @@
         /// The node that made the call.
         node: NodeName,
         /// The number of workers asked about.
-        named: usize,
+        asked: usize,
         /// The number of them that may run the step; `None` if no answer came.
         allowed: Option<usize>,
         /// The duration of the call.
--- a/crates/cell/src/engine/ask.rs
+++ b/crates/cell/src/engine/ask.rs
@@ -373,7 +373,7 @@
         self.log(LogRecord::Advised {
             step: id,
             node: node.clone(),
-            named: call.asked.len(),
+            asked: call.asked.len(),
             allowed: answer.as_ref().map(Vec::len),
             took: now.since(call.since),
         });
--- a/crates/cell/src/engine/wait.rs
+++ b/crates/cell/src/engine/wait.rs
@@ -100,7 +100,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct WaitSurvey {
     /// Workers that the advice service was asked about.
-    pub named: usize,
+    pub asked: usize,
     /// Workers that have the label, are large enough and may run the step, as far as is known.
     pub allowed: usize,
     /// The allowed workers that accept new tasks.
@@ -260,7 +260,7 @@
         let Some(stage) = job.and_then(|job| job.stage(demand.id)) else {
             return survey;
         };
-        survey.named = stage.advice.asked.len();
+        survey.asked = stage.advice.asked.len();
         let needs_no_ticket = demand.queue.advice.is_none();
         let departure = self.expected_departure(now);
         let has_ticket = |slot, worker| {
--- a/crates/node/src/telemetry.rs
+++ b/crates/node/src/telemetry.rs
@@ -452,18 +452,18 @@
             waited,
         } => slog::info!(log, "waits"; "step" => %step, "why" => why.as_str(),
             "label" => label.as_deref().unwrap_or_default(), "tasks" => tasks,
-            "named" => survey.named, "allowed" => survey.allowed, "open" => survey.open,
+            "named" => survey.asked, "allowed" => survey.allowed, "open" => survey.open,
             "room" => survey.room, "ticketed" => survey.room_with_ticket,
             "heard_ms" => survey.longest_silence.map_or(-1, |age| i64::try_from(age.as_millis()).unwrap_or(-1)),
             "waited_ms" => millis(*waited)),
         LogRecord::Advised {
             step,
             node,
-            named,
+            asked,
             allowed,
             took,
         } => slog::info!(log, "advised"; "step" => %step, "node" => node.as_str(),
-            "named" => named, "allowed" => allowed.map_or(-1, |count| i64::try_from(count).unwrap_or(i64::MAX)),
+            "named" => asked, "allowed" => allowed.map_or(-1, |count| i64::try_from(count).unwrap_or(i64::MAX)),
             "took_ms" => millis(*took)),
     }
 }
