--- a/crates/cell/src/engine/wait.rs
+++ b/crates/cell/src/engine/wait.rs
@@ -104,7 +104,7 @@
     /// Workers that have the label, are large enough and may run the step, as far as is known.
     pub allowed: usize,
     /// The allowed workers that accept new tasks.
-    pub open: usize,
+    pub available: usize,
     /// How many tasks of the step fit on the open workers.
     pub room: usize,
     /// How many of these tasks fit on workers for which there is a usable ticket.
@@ -214,9 +214,11 @@
         let why = match survey {
             _ if !is_asked && stage.advice.calls_in_flight > 0 => WaitReason::Advice,
             _ if !is_asked && self.has_open_worker(&demand, now) => WaitReason::AdviceNode,
-            WaitSurvey { open: 0, .. } if self.is_pool_evacuated(&demand) => WaitReason::Evacuated,
+            WaitSurvey { available: 0, .. } if self.is_pool_evacuated(&demand) => {
+                WaitReason::Evacuated
+            }
             WaitSurvey { allowed: 0, .. } if is_asked => WaitReason::NotAllowed,
-            WaitSurvey { open: 0, .. } => WaitReason::NotAccepting,
+            WaitSurvey { available: 0, .. } => WaitReason::NotAccepting,
             _ if stage.are_all_suspects() => WaitReason::EmptyWorker,
             WaitSurvey { room: 0, .. } => WaitReason::Room,
             WaitSurvey {
@@ -277,7 +279,7 @@
             if !worker.is_available(now) {
                 continue;
             }
-            survey.open += 1;
+            survey.available += 1;
             let room = fit_count(&worker.free, &demand.size);
             survey.room += room;
             survey.room_with_ticket += if has_ticket(slot, worker) { room } else { 0 };
