--- a/crates/cell/src/engine/wait.rs
+++ b/crates/cell/src/engine/wait.rs
@@ -106,7 +106,7 @@
     /// The allowed workers that accept new tasks.
     pub available: usize,
     /// How many tasks of the step fit on the open workers.
-    pub room: usize,
+    pub fitting_tasks: usize,
     /// How many of these tasks fit on workers for which there is a usable ticket.
     pub room_with_ticket: usize,
     /// The longest time since any of the allowed workers last answered.
@@ -220,7 +220,9 @@
             WaitSurvey { allowed: 0, .. } if is_asked => WaitReason::NotAllowed,
             WaitSurvey { available: 0, .. } => WaitReason::NotAccepting,
             _ if stage.are_all_suspects() => WaitReason::EmptyWorker,
-            WaitSurvey { room: 0, .. } => WaitReason::Room,
+            WaitSurvey {
+                fitting_tasks: 0, ..
+            } => WaitReason::Room,
             WaitSurvey {
                 room_with_ticket: 0,
                 ..
@@ -281,7 +283,7 @@
             }
             survey.available += 1;
             let room = fit_count(&worker.free, &demand.size);
-            survey.room += room;
+            survey.fitting_tasks += room;
             survey.room_with_ticket += if has_ticket(slot, worker) { room } else { 0 };
         }
         survey
