--- a/crates/cell/src/engine/wait.rs
+++ b/crates/cell/src/engine/wait.rs
@@ -108,7 +108,7 @@
     /// How many tasks of the step fit on the open workers.
     pub fitting_tasks: usize,
     /// How many of these tasks fit on workers for which there is a usable ticket.
-    pub room_with_ticket: usize,
+    pub fitting_tasks_with_ticket: usize,
     /// The longest time since any of the allowed workers last answered.
     pub longest_silence: Option<Duration>,
 }
@@ -224,7 +224,7 @@
                 fitting_tasks: 0, ..
             } => WaitReason::Room,
             WaitSurvey {
-                room_with_ticket: 0,
+                fitting_tasks_with_ticket: 0,
                 ..
             } => WaitReason::Ticket,
             _ => WaitReason::Reserved,
@@ -284,7 +284,7 @@
             survey.available += 1;
             let room = fit_count(&worker.free, &demand.size);
             survey.fitting_tasks += room;
-            survey.room_with_ticket += if has_ticket(slot, worker) { room } else { 0 };
+            survey.fitting_tasks_with_ticket += if has_ticket(slot, worker) { room } else { 0 };
         }
         survey
     }
--- a/crates/node/src/telemetry.rs
+++ b/crates/node/src/telemetry.rs
@@ -453,7 +453,7 @@
         } => slog::info!(log, "waits"; "step" => %step, "why" => why.as_str(),
             "label" => label.as_deref().unwrap_or_default(), "tasks" => tasks,
             "named" => survey.asked, "allowed" => survey.allowed, "open" => survey.available,
-            "room" => survey.fitting_tasks, "ticketed" => survey.room_with_ticket,
+            "room" => survey.fitting_tasks, "ticketed" => survey.fitting_tasks_with_ticket,
             "heard_ms" => survey.longest_silence.map_or(-1, |age| i64::try_from(age.as_millis()).unwrap_or(-1)),
             "waited_ms" => millis(*waited)),
         LogRecord::Advised {
