--- a/crates/cell/src/engine/wait.rs
+++ b/crates/cell/src/engine/wait.rs
@@ -53,7 +53,7 @@
     /// The advice service allows none of the workers that it was asked about.
     NotAllowed,
     /// The workers that may run the step have no free capacity for its tasks.
-    Room,
+    FreeCapacity,
     /// There is free capacity, but the tickets for those workers have expired.
     Ticket,
     /// Workers have crashed while running the step's tasks, which must run alone, and no worker is empty.
@@ -76,7 +76,7 @@
             Self::AdviceNode => "desk",
             Self::Advice => "advice",
             Self::NotAllowed => "barred",
-            Self::Room => "room",
+            Self::FreeCapacity => "room",
             Self::Ticket => "ticket",
             Self::EmptyWorker => "alone",
             Self::Reserved => "kept",
@@ -222,7 +222,7 @@
             _ if stage.are_all_suspects() => WaitReason::EmptyWorker,
             WaitSurvey {
                 fitting_tasks: 0, ..
-            } => WaitReason::Room,
+            } => WaitReason::FreeCapacity,
             WaitSurvey {
                 fitting_tasks_with_ticket: 0,
                 ..
--- a/crates/cell/tests/cell/wait.rs
+++ b/crates/cell/tests/cell/wait.rs
@@ -145,7 +145,7 @@
     world.run(Duration::from_millis(100));
     let job = world.submit("batch", vec![quick_step()]);
     world.run(Duration::from_secs(3));
-    assert_eq!(reported_waits(&world, job), [WaitReason::Room]);
+    assert_eq!(reported_waits(&world, job), [WaitReason::FreeCapacity]);
 }
 
 #[test]
