--- a/crates/cell/src/engine/view.rs
+++ b/crates/cell/src/engine/view.rs
@@ -58,7 +58,7 @@
     /// Jobs, ended ones included.
     pub jobs: usize,
     /// Pending jobs, of which no task has started.
-    pub waiting: usize,
+    pub pending_jobs: usize,
     /// Open steps with tasks that wait to be started.
     pub open_steps: usize,
     /// Open steps that no known worker could run.
@@ -181,7 +181,7 @@
         let evacuated = self.workers.values().filter(|worker| worker.is_evacuated);
         Counts {
             jobs: self.jobs.len() + self.ended.len(),
-            waiting: self.pending_jobs().count(),
+            pending_jobs: self.pending_jobs().count(),
             open_steps: self.open_steps.len() + self.unschedulable.len(),
             unschedulable_steps: self.unschedulable.len(),
             claims: self
--- a/crates/node/src/owner/engine_actor.rs
+++ b/crates/node/src/owner/engine_actor.rs
@@ -427,7 +427,7 @@
         self.shared.meter.workspaces(self.engine.usage());
         if self.shared.meter.may_log("believed") {
             slog::info!(self.shared.log, "believed"; "epoch" => epoch, "jobs" => counts.jobs,
-                "waiting" => counts.waiting,
+                "waiting" => counts.pending_jobs,
                 "open_steps" => counts.open_steps, "claims" => counts.claims,
                 "listed" => counts.listed_runs,
                 "lag_ms" => millis(self.shared.lag.take_longest_wait()),
--- a/crates/node/src/telemetry.rs
+++ b/crates/node/src/telemetry.rs
@@ -257,7 +257,7 @@
     pub(crate) fn engine_counts(&self, counts: &Counts, epoch: u64, staleness: Duration) {
         let gauges: [(&'static str, usize); 10] = [
             ("jobs", counts.jobs),
-            ("waiting", counts.waiting),
+            ("waiting", counts.pending_jobs),
             ("open_steps", counts.open_steps),
             ("steps_aside", counts.unschedulable_steps),
             ("claims", counts.claims),
