--- a/crates/cell/src/engine/view.rs
+++ b/crates/cell/src/engine/view.rs
@@ -64,7 +64,7 @@
     /// Open steps that no known worker could run.
     pub unschedulable_steps: usize,
     /// Runs that may use resources of a worker.
-    pub claims: usize,
+    pub allocations: usize,
     /// Runs that workers have listed in their last inventories.
     pub listed_runs: usize,
     /// Listed workers that answer.
@@ -184,7 +184,7 @@
             pending_jobs: self.pending_jobs().count(),
             open_steps: self.open_steps.len() + self.unschedulable.len(),
             unschedulable_steps: self.unschedulable.len(),
-            claims: self
+            allocations: self
                 .workers
                 .values()
                 .map(|worker| worker.allocations.len())
--- a/crates/cell/tests/cell/announce.rs
+++ b/crates/cell/tests/cell/announce.rs
@@ -51,7 +51,7 @@
     world.engine.announce(accepted, world.now);
     world.run(Duration::from_millis(300));
     assert_eq!(
-        world.engine.counts().claims,
+        world.engine.counts().allocations,
         2,
         "capacity is reserved for it"
     );
@@ -59,7 +59,7 @@
     assert_eq!(world.engine.pending(&queue), 0);
     world.engine.withdraw(job, world.now);
     world.run(Duration::from_secs(5));
-    assert_eq!(world.engine.counts().claims, 0);
+    assert_eq!(world.engine.counts().allocations, 0);
     assert_eq!((world.starts, world.engine.state(job)), (0, None));
 }
 
@@ -72,7 +72,7 @@
     world.engine.announce(accepted.clone(), world.now);
     world.run(Duration::from_secs(4));
     assert_eq!(
-        world.engine.counts().claims,
+        world.engine.counts().allocations,
         0,
         "the announcement has expired"
     );
--- a/crates/cell/tests/cell/crash.rs
+++ b/crates/cell/tests/cell/crash.rs
@@ -192,7 +192,7 @@
         }],
     );
     world.run(Duration::from_millis(200));
-    assert_eq!(world.engine.counts().claims, 32);
+    assert_eq!(world.engine.counts().allocations, 32);
     world.run(Duration::from_secs(10));
     assert_eq!(world.engine.state(others), Some(State::Completed));
     assert_eq!(world.engine.state(job), Some(State::Running));
--- a/crates/cell/tests/cell/foreign.rs
+++ b/crates/cell/tests/cell/foreign.rs
@@ -44,7 +44,7 @@
     world.run(SECOND);
     let job = world.submit("batch", vec![step(32)]);
     world.run(SECOND / 10);
-    assert_eq!(world.engine.counts().claims, 32);
+    assert_eq!(world.engine.counts().allocations, 32);
     (world, job)
 }
 
--- a/crates/cell/tests/cell/incarnation.rs
+++ b/crates/cell/tests/cell/incarnation.rs
@@ -317,7 +317,7 @@
     harness.started(tasks[1], Run(1), StartAnswer::Started);
     harness.restart(&[(tasks[0], Run(1))]);
     assert_eq!(harness.crash_count(), 1);
-    assert_eq!(harness.engine.counts().claims, 1);
+    assert_eq!(harness.engine.counts().allocations, 1);
 }
 
 #[test]
@@ -367,7 +367,7 @@
     harness.restart(&[]);
     assert_eq!(harness.stops.len(), 2);
     // One of the unanswered orders may still arrive late, and is refused from then on.
-    assert_eq!(harness.engine.counts().claims, 1);
+    assert_eq!(harness.engine.counts().allocations, 1);
 }
 
 #[test]
--- a/crates/cell/tests/cell/overtaking.rs
+++ b/crates/cell/tests/cell/overtaking.rs
@@ -177,5 +177,5 @@
         .filter(|effect| matches!(effect, Effect::Stop(_)));
     assert_eq!(stops.count(), 0, "no run is left to stop");
     // Only the unanswered start still has an allocation, until the run is certainly gone.
-    assert_eq!(engine.counts().claims, 1);
+    assert_eq!(engine.counts().allocations, 1);
 }
--- a/crates/cell/tests/cell/restart.rs
+++ b/crates/cell/tests/cell/restart.rs
@@ -59,7 +59,7 @@
     world.run(Duration::from_secs(60));
     assert_eq!(world.violations, Vec::<String>::new());
     assert_eq!(world.starts - starts, 8);
-    assert_eq!(world.engine.counts().claims, 0);
+    assert_eq!(world.engine.counts().allocations, 0);
 }
 
 /// What else goes wrong in the cell meanwhile, at intervals of some seconds.
@@ -121,7 +121,7 @@
     let (world, jobs) = run_restarts(restart, disturbance);
     assert_eq!(world.violations, Vec::<String>::new());
     assert_eq!(world.completed(&jobs), jobs.len());
-    assert_eq!(world.engine.counts().claims, 0);
+    assert_eq!(world.engine.counts().allocations, 0);
 }
 
 /// A restart after which the worker registers itself late.
--- a/crates/cell/tests/cell/world/check.rs
+++ b/crates/cell/tests/cell/world/check.rs
@@ -193,9 +193,9 @@
             }
         }
         let counts = self.engine.counts();
-        if counts.claims > 0 {
+        if counts.allocations > 0 {
             self.violations
-                .push(format!("{} allocations are left", counts.claims));
+                .push(format!("{} allocations are left", counts.allocations));
         }
     }
 }
--- a/crates/node/src/owner/engine_actor.rs
+++ b/crates/node/src/owner/engine_actor.rs
@@ -428,7 +428,7 @@
         if self.shared.meter.may_log("believed") {
             slog::info!(self.shared.log, "believed"; "epoch" => epoch, "jobs" => counts.jobs,
                 "waiting" => counts.pending_jobs,
-                "open_steps" => counts.open_steps, "claims" => counts.claims,
+                "open_steps" => counts.open_steps, "claims" => counts.allocations,
                 "listed" => counts.listed_runs,
                 "lag_ms" => millis(self.shared.lag.take_longest_wait()),
                 "owned_ms" => millis(self.started_at.elapsed()),
--- a/crates/node/src/telemetry.rs
+++ b/crates/node/src/telemetry.rs
@@ -260,7 +260,7 @@
             ("waiting", counts.pending_jobs),
             ("open_steps", counts.open_steps),
             ("steps_aside", counts.unschedulable_steps),
-            ("claims", counts.claims),
+            ("claims", counts.allocations),
             ("listed", counts.listed_runs),
             ("workers_heard", counts.workers_heard),
             ("workers_silent", counts.workers_silent),
