--- a/crates/cell/examples/fleet.rs
+++ b/crates/cell/examples/fleet.rs
@@ -310,7 +310,7 @@
                 }
                 self.schedule(delay, Event::End(worker.clone(), task, run));
                 self.call_engine(|engine, now| {
-                    engine.started(&worker, task, run, StartAnswer::Started, now);
+                    engine.handle_start_answer(&worker, task, run, StartAnswer::Started, now);
                 });
             }
             Effect::Stop(order) => {
--- a/crates/cell/src/engine/order.rs
+++ b/crates/cell/src/engine/order.rs
@@ -51,7 +51,7 @@
 
 impl Engine {
     /// Handles the answer to a start order.
-    pub fn started(
+    pub fn handle_start_answer(
         &mut self,
         worker: &WorkerId,
         task: TaskId,
--- a/crates/cell/tests/cell/incarnation.rs
+++ b/crates/cell/tests/cell/incarnation.rs
@@ -204,7 +204,7 @@
 
     fn started(&mut self, task: TaskId, run: Run, answer: StartAnswer) {
         self.engine
-            .started(&self.worker, task, run, answer, self.now);
+            .handle_start_answer(&self.worker, task, run, answer, self.now);
         self.advance(MILLISECOND);
     }
 
--- a/crates/cell/tests/cell/overtaking.rs
+++ b/crates/cell/tests/cell/overtaking.rs
@@ -129,10 +129,10 @@
         step: 0,
     };
     let (task, unanswered) = (step.task(0), step.task(1));
-    engine.started(&worker, task, Run(1), StartAnswer::Started, now);
+    engine.handle_start_answer(&worker, task, Run(1), StartAnswer::Started, now);
     // A start that stays unanswered after several attempts causes a second heartbeat, whose answer overtakes the first.
     for _ in 0..3 {
-        engine.started(&worker, unanswered, Run(1), StartAnswer::NoAnswer, now);
+        engine.handle_start_answer(&worker, unanswered, Run(1), StartAnswer::NoAnswer, now);
         drain_effects(&mut engine, now);
     }
     engine.stopped(&worker, unanswered, Run(1), StopAnswer::Confirmed, now);
--- a/crates/cell/tests/cell/pending.rs
+++ b/crates/cell/tests/cell/pending.rs
@@ -224,7 +224,7 @@
     let now = world.now;
     world
         .engine
-        .started(&worker, task, run, StartAnswer::Stale, now);
+        .handle_start_answer(&worker, task, run, StartAnswer::Stale, now);
     assert_eq!(world.engine.pending(&QueueName::from("batch")), 1);
     assert_eq!(world.engine.state(job), Some(State::Queued));
 }
--- a/crates/cell/tests/cell/throttling.rs
+++ b/crates/cell/tests/cell/throttling.rs
@@ -156,7 +156,7 @@
                 let worker = start.to.worker;
                 let (task, run) = (start.task, start.run);
                 self.engine
-                    .started(&worker, task, run, StartAnswer::Started, now);
+                    .handle_start_answer(&worker, task, run, StartAnswer::Started, now);
                 self.running.push((worker, task, run));
             }
             Effect::Throttle(order) => {
--- a/crates/cell/tests/cell/world/mod.rs
+++ b/crates/cell/tests/cell/world/mod.rs
@@ -894,7 +894,8 @@
             Event::OperatorRead => self.read_operator_records(),
             _ if !is_current => {}
             Event::Started(worker, task, run, answer) => {
-                self.engine.started(&worker, task, run, answer, self.now);
+                self.engine
+                    .handle_start_answer(&worker, task, run, answer, self.now);
             }
             Event::Stopped(worker, task, run, answer) => {
                 self.engine.stopped(&worker, task, run, answer, self.now);
--- a/crates/node/src/owner/orders.rs
+++ b/crates/node/src/owner/orders.rs
@@ -163,7 +163,7 @@
         let engine = &mut self.engine;
         match report {
             Report::Started(worker, task, run, answer) => {
-                engine.started(&worker, task, run, answer, now);
+                engine.handle_start_answer(&worker, task, run, answer, now);
             }
             Report::Stopped(worker, task, run, answer) => {
                 engine.stopped(&worker, task, run, answer, now);
