--- a/crates/cell/examples/fleet.rs
+++ b/crates/cell/examples/fleet.rs
@@ -316,7 +316,7 @@
             Effect::Stop(order) => {
                 let (worker, task, run) = (order.to.worker.clone(), order.task, order.run);
                 self.call_engine(|engine, now| {
-                    engine.stopped(&worker, task, run, StopAnswer::Confirmed, now);
+                    engine.handle_stop_answer(&worker, task, run, StopAnswer::Confirmed, now);
                 });
                 self.end(&worker, task, run, ExitReason::Stopped);
             }
--- a/crates/cell/src/engine/order.rs
+++ b/crates/cell/src/engine/order.rs
@@ -369,7 +369,7 @@
     }
 
     /// Handles the answer to a stop order.
-    pub fn stopped(
+    pub fn handle_stop_answer(
         &mut self,
         worker: &WorkerId,
         task: TaskId,
--- a/crates/cell/tests/cell/incarnation.rs
+++ b/crates/cell/tests/cell/incarnation.rs
@@ -357,7 +357,7 @@
         harness.started(tasks[0], Run(1), StartAnswer::NoAnswer);
     }
     assert_eq!(harness.stops.len(), 1);
-    harness.engine.stopped(
+    harness.engine.handle_stop_answer(
         &harness.worker,
         tasks[0],
         Run(1),
--- a/crates/cell/tests/cell/overtaking.rs
+++ b/crates/cell/tests/cell/overtaking.rs
@@ -135,7 +135,7 @@
         engine.handle_start_answer(&worker, unanswered, Run(1), StartAnswer::NoAnswer, now);
         drain_effects(&mut engine, now);
     }
-    engine.stopped(&worker, unanswered, Run(1), StopAnswer::Confirmed, now);
+    engine.handle_stop_answer(&worker, unanswered, Run(1), StopAnswer::Confirmed, now);
     now = now + 5 * MILLISECOND;
     let probe = find_heartbeat(&drain_effects(&mut engine, now), true);
     let end = Ended {
--- a/crates/cell/tests/cell/world/mod.rs
+++ b/crates/cell/tests/cell/world/mod.rs
@@ -898,7 +898,8 @@
                     .handle_start_answer(&worker, task, run, answer, self.now);
             }
             Event::Stopped(worker, task, run, answer) => {
-                self.engine.stopped(&worker, task, run, answer, self.now);
+                self.engine
+                    .handle_stop_answer(&worker, task, run, answer, self.now);
             }
             Event::HeartbeatAnswered(worker, asked, answer) => {
                 self.end_heartbeat(&worker, asked, answer)
--- a/crates/node/src/owner/orders.rs
+++ b/crates/node/src/owner/orders.rs
@@ -166,7 +166,7 @@
                 engine.handle_start_answer(&worker, task, run, answer, now);
             }
             Report::Stopped(worker, task, run, answer) => {
-                engine.stopped(&worker, task, run, answer, now);
+                engine.handle_stop_answer(&worker, task, run, answer, now);
             }
             Report::Throttled(worker, task, run, percent, answer) => {
                 engine.throttled(&worker, task, run, percent, answer, now);
