--- a/crates/cell/src/engine/throttling.rs
+++ b/crates/cell/src/engine/throttling.rs
@@ -150,7 +150,7 @@
     }
 
     /// Handles the answer to an order that sets a share. An unanswered order is sent again with the next inventory.
-    pub fn throttled(
+    pub fn handle_throttle_answer(
         &mut self,
         worker: &WorkerId,
         task: TaskId,
--- a/crates/cell/tests/cell/throttling.rs
+++ b/crates/cell/tests/cell/throttling.rs
@@ -172,7 +172,7 @@
                     }
                 };
                 self.engine
-                    .throttled(&worker, task, run, order.percent, answer, now);
+                    .handle_throttle_answer(&worker, task, run, order.percent, answer, now);
             }
             _ => {}
         }
--- a/crates/node/src/owner/orders.rs
+++ b/crates/node/src/owner/orders.rs
@@ -169,7 +169,7 @@
                 engine.handle_stop_answer(&worker, task, run, answer, now);
             }
             Report::Throttled(worker, task, run, percent, answer) => {
-                engine.throttled(&worker, task, run, percent, answer, now);
+                engine.handle_throttle_answer(&worker, task, run, percent, answer, now);
             }
             Report::Inventory(worker, asked, answer) => {
                 engine.handle_heartbeat_answer(&worker, asked, answer, now)
