--- a/crates/cell/examples/fleet.rs
+++ b/crates/cell/examples/fleet.rs
@@ -329,12 +329,12 @@
                     .ended
                     .retain(|ended| ended.serial > order.acknowledged);
                 if simulated_worker.ended.is_empty() && !order.wait.is_zero() {
-                    simulated_worker.waiting = Some(order.asked);
+                    simulated_worker.waiting = Some(order.sent_at);
                     return;
                 }
                 let answer = simulated_worker.inventory(now);
                 self.call_engine(|engine, now| {
-                    engine.handle_heartbeat_answer(&worker, order.asked, answer, now)
+                    engine.handle_heartbeat_answer(&worker, order.sent_at, answer, now)
                 });
             }
             Effect::Advise {
--- a/crates/cell/src/effect.rs
+++ b/crates/cell/src/effect.rs
@@ -114,7 +114,7 @@
     /// How long the worker may wait for an end before it answers.
     pub wait: Duration,
     /// When the call was made; distinguishes its answer from those of other calls to the same worker.
-    pub asked: Timestamp,
+    pub sent_at: Timestamp,
 }
 
 /// A decision or a change in the engine's view, for the log.
--- a/crates/cell/src/engine/contact.rs
+++ b/crates/cell/src/engine/contact.rs
@@ -510,6 +510,6 @@
         deadline,
         acknowledged: worker.acknowledged(),
         wait,
-        asked,
+        sent_at: asked,
     })
 }
--- a/crates/cell/tests/cell/incarnation.rs
+++ b/crates/cell/tests/cell/incarnation.rs
@@ -198,7 +198,7 @@
 
     fn answer_heartbeat(&mut self, heartbeat: &Heartbeat, answer: HeartbeatAnswer) {
         self.engine
-            .handle_heartbeat_answer(&self.worker, heartbeat.asked, answer, self.now);
+            .handle_heartbeat_answer(&self.worker, heartbeat.sent_at, answer, self.now);
         self.advance(MILLISECOND);
     }
 
--- a/crates/cell/tests/cell/overtaking.rs
+++ b/crates/cell/tests/cell/overtaking.rs
@@ -117,7 +117,7 @@
     );
     let first = find_heartbeat(&drain_effects(&mut engine, now), true);
     let empty = HeartbeatAnswer::Listed(Inventory::default());
-    engine.handle_heartbeat_answer(&worker, first.asked, empty, now);
+    engine.handle_heartbeat_answer(&worker, first.sent_at, empty, now);
     let heartbeat = find_heartbeat(&drain_effects(&mut engine, now), false);
     let job = JobId(1);
     engine.submit(accepted(job), now);
@@ -151,7 +151,7 @@
         running: Vec::new(),
         ended: vec![end],
     };
-    engine.handle_heartbeat_answer(&worker, probe.asked, HeartbeatAnswer::Listed(newer), now);
+    engine.handle_heartbeat_answer(&worker, probe.sent_at, HeartbeatAnswer::Listed(newer), now);
     drain_effects(&mut engine, now);
     let running = Running {
         task,
@@ -167,7 +167,7 @@
     };
     engine.handle_heartbeat_answer(
         &worker,
-        heartbeat.asked,
+        heartbeat.sent_at,
         HeartbeatAnswer::Listed(older),
         now,
     );
--- a/crates/cell/tests/cell/pending.rs
+++ b/crates/cell/tests/cell/pending.rs
@@ -131,7 +131,7 @@
     );
     let effects = engine.advance(now);
     let asked = effects.iter().find_map(|effect| match effect {
-        Effect::Heartbeat(heartbeat) => Some(heartbeat.asked),
+        Effect::Heartbeat(heartbeat) => Some(heartbeat.sent_at),
         _ => None,
     });
     let asked = asked.expect("a new owner sends a heartbeat to every worker");
--- a/crates/cell/tests/cell/takeover.rs
+++ b/crates/cell/tests/cell/takeover.rs
@@ -129,14 +129,14 @@
                 Effect::Heartbeat(heartbeat) if heartbeat.to.worker == silent => {
                     engine.handle_heartbeat_answer(
                         &silent,
-                        heartbeat.asked,
+                        heartbeat.sent_at,
                         HeartbeatAnswer::NoAnswer,
                         now,
                     );
                 }
                 Effect::Heartbeat(heartbeat) => {
                     let empty = HeartbeatAnswer::Listed(Inventory::default());
-                    engine.handle_heartbeat_answer(&healthy, heartbeat.asked, empty, now);
+                    engine.handle_heartbeat_answer(&healthy, heartbeat.sent_at, empty, now);
                 }
                 Effect::Record(_) => engine.handle_recorded(now),
                 _ => {}
@@ -179,7 +179,7 @@
     engine.set_evacuation(Evacuation::default(), now, now);
     let effects = engine.advance(now);
     let asked = effects.iter().find_map(|effect| match effect {
-        Effect::Heartbeat(heartbeat) => Some(heartbeat.asked),
+        Effect::Heartbeat(heartbeat) => Some(heartbeat.sent_at),
         _ => None,
     });
     let running = Running {
--- a/crates/cell/tests/cell/throttling.rs
+++ b/crates/cell/tests/cell/throttling.rs
@@ -124,7 +124,7 @@
 
     fn answer_heartbeats(&mut self) {
         let now = self.now;
-        let due = |heartbeat: &mut Heartbeat| heartbeat.asked + heartbeat.wait <= now;
+        let due = |heartbeat: &mut Heartbeat| heartbeat.sent_at + heartbeat.wait <= now;
         let due: Vec<Heartbeat> = self.heartbeats.extract_if(.., due).collect();
         for heartbeat in due {
             let tasks = self.running.iter();
@@ -142,8 +142,12 @@
                 ended: Vec::new(),
             };
             let answer = HeartbeatAnswer::Listed(inventory);
-            self.engine
-                .handle_heartbeat_answer(&heartbeat.to.worker, heartbeat.asked, answer, now);
+            self.engine.handle_heartbeat_answer(
+                &heartbeat.to.worker,
+                heartbeat.sent_at,
+                answer,
+                now,
+            );
         }
     }
 
--- a/crates/cell/tests/cell/world/deliver.rs
+++ b/crates/cell/tests/cell/world/deliver.rs
@@ -113,7 +113,7 @@
     ) {
         let (now, id) = (self.now, order.to.worker.clone());
         let is_lost = self.chance(self.faults.lost_heartbeats);
-        let asked = order.asked;
+        let asked = order.sent_at;
         if !is_current || !self.heartbeats.contains(&(id.clone(), asked)) {
             return;
         }
--- a/crates/cell/tests/cell/world/mod.rs
+++ b/crates/cell/tests/cell/world/mod.rs
@@ -815,7 +815,7 @@
                 }
             }
             Effect::Heartbeat(order) => {
-                let (worker, asked) = (order.to.worker.clone(), order.asked);
+                let (worker, asked) = (order.to.worker.clone(), order.sent_at);
                 let timeout = order.wait + Duration::from_millis(800);
                 self.schedule(timeout, Event::HeartbeatTimeout(worker.clone(), asked));
                 self.heartbeats.insert((worker, asked));
--- a/crates/cell/tests/cell/world/worker.rs
+++ b/crates/cell/tests/cell/world/worker.rs
@@ -297,7 +297,7 @@
         if !order.wait.is_zero() {
             // A lost heartbeat replaces the one that waits.
             self.waiting_heartbeat =
-                (is_waiting && !is_lost).then_some((now + order.wait, order.asked));
+                (is_waiting && !is_lost).then_some((now + order.wait, order.sent_at));
         }
         let acknowledged: Vec<Ended> = acknowledged;
         let counted = acknowledged.into_iter().filter(|end| {
--- a/crates/node/src/order.rs
+++ b/crates/node/src/order.rs
@@ -97,7 +97,7 @@
                 Report::Throttled(worker, task, run, percent, StopAnswer::NoAnswer)
             }
             Self::Heartbeat(order) => {
-                Report::Inventory(worker, order.asked, HeartbeatAnswer::NoAnswer)
+                Report::Inventory(worker, order.sent_at, HeartbeatAnswer::NoAnswer)
             }
         }
     }
@@ -137,7 +137,7 @@
                 ("pace", report, answer.as_str())
             }
             Self::Heartbeat(order) => {
-                let (worker, asked) = (order.to.worker.clone(), order.asked);
+                let (worker, asked) = (order.to.worker.clone(), order.sent_at);
                 let answer = platform.hold(order).await;
                 let outcome = answer.as_str();
                 ("hold", Report::Inventory(worker, asked, answer), outcome)
