--- a/crates/cell/examples/fleet.rs
+++ b/crates/cell/examples/fleet.rs
@@ -209,7 +209,7 @@
             checkpoint: None,
             load: 0,
         });
-        HeartbeatAnswer::Listed(Inventory {
+        HeartbeatAnswer::Inventory(Inventory {
             incarnation: None,
             clock: u64::try_from(now.since(Timestamp::ZERO).as_millis()).unwrap_or(0),
             running: running.collect(),
--- a/crates/cell/src/engine/contact.rs
+++ b/crates/cell/src/engine/contact.rs
@@ -248,7 +248,7 @@
             return;
         }
         match answer {
-            HeartbeatAnswer::Listed(inventory) => {
+            HeartbeatAnswer::Inventory(inventory) => {
                 self.handle_inventory(slot, inventory, asked, now)
             }
             // The call predates the current fence, so the refusal doesn't mean that another node owns the cell.
--- a/crates/cell/src/event.rs
+++ b/crates/cell/src/event.rs
@@ -119,7 +119,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum HeartbeatAnswer {
     /// The worker answered with its inventory.
-    Listed(Inventory),
+    Inventory(Inventory),
     /// The worker has seen a higher epoch.
     Fenced,
     /// Another incarnation answers at the address: this one is gone, together with all of its runs.
@@ -163,7 +163,7 @@
     /// Returns the value that is written to logs.
     pub const fn as_str(&self) -> &'static str {
         match self {
-            Self::Listed(_) => "listed",
+            Self::Inventory(_) => "listed",
             Self::Fenced => "fenced",
             Self::Replaced => "gone",
             Self::NoAnswer => "silent",
--- a/crates/cell/tests/cell/incarnation.rs
+++ b/crates/cell/tests/cell/incarnation.rs
@@ -193,7 +193,7 @@
             running: running.collect(),
             ended: Vec::new(),
         };
-        self.answer_heartbeat(heartbeat, HeartbeatAnswer::Listed(inventory));
+        self.answer_heartbeat(heartbeat, HeartbeatAnswer::Inventory(inventory));
     }
 
     fn answer_heartbeat(&mut self, heartbeat: &Heartbeat, answer: HeartbeatAnswer) {
--- a/crates/cell/tests/cell/overtaking.rs
+++ b/crates/cell/tests/cell/overtaking.rs
@@ -116,7 +116,7 @@
         now,
     );
     let first = find_heartbeat(&drain_effects(&mut engine, now), true);
-    let empty = HeartbeatAnswer::Listed(Inventory::default());
+    let empty = HeartbeatAnswer::Inventory(Inventory::default());
     engine.handle_heartbeat_answer(&worker, first.sent_at, empty, now);
     let heartbeat = find_heartbeat(&drain_effects(&mut engine, now), false);
     let job = JobId(1);
@@ -151,7 +151,12 @@
         running: Vec::new(),
         ended: vec![end],
     };
-    engine.handle_heartbeat_answer(&worker, probe.sent_at, HeartbeatAnswer::Listed(newer), now);
+    engine.handle_heartbeat_answer(
+        &worker,
+        probe.sent_at,
+        HeartbeatAnswer::Inventory(newer),
+        now,
+    );
     drain_effects(&mut engine, now);
     let running = Running {
         task,
@@ -168,7 +173,7 @@
     engine.handle_heartbeat_answer(
         &worker,
         heartbeat.sent_at,
-        HeartbeatAnswer::Listed(older),
+        HeartbeatAnswer::Inventory(older),
         now,
     );
     let stops = drain_effects(&mut engine, now);
--- a/crates/cell/tests/cell/pending.rs
+++ b/crates/cell/tests/cell/pending.rs
@@ -135,7 +135,7 @@
         _ => None,
     });
     let asked = asked.expect("a new owner sends a heartbeat to every worker");
-    engine.handle_heartbeat_answer(&worker, asked, HeartbeatAnswer::Listed(inventory), now);
+    engine.handle_heartbeat_answer(&worker, asked, HeartbeatAnswer::Inventory(inventory), now);
     engine
 }
 
--- a/crates/cell/tests/cell/takeover.rs
+++ b/crates/cell/tests/cell/takeover.rs
@@ -135,7 +135,7 @@
                     );
                 }
                 Effect::Heartbeat(heartbeat) => {
-                    let empty = HeartbeatAnswer::Listed(Inventory::default());
+                    let empty = HeartbeatAnswer::Inventory(Inventory::default());
                     engine.handle_heartbeat_answer(&healthy, heartbeat.sent_at, empty, now);
                 }
                 Effect::Record(_) => engine.handle_recorded(now),
@@ -195,7 +195,7 @@
         ended: Vec::new(),
     };
     let asked = asked.expect("the worker is sent a heartbeat");
-    engine.handle_heartbeat_answer(&worker, asked, HeartbeatAnswer::Listed(inventory), now);
+    engine.handle_heartbeat_answer(&worker, asked, HeartbeatAnswer::Inventory(inventory), now);
     let effects = [effects, engine.advance(now)].concat();
     let stops = effects
         .iter()
--- a/crates/cell/tests/cell/throttling.rs
+++ b/crates/cell/tests/cell/throttling.rs
@@ -141,7 +141,7 @@
                 running: running.collect(),
                 ended: Vec::new(),
             };
-            let answer = HeartbeatAnswer::Listed(inventory);
+            let answer = HeartbeatAnswer::Inventory(inventory);
             self.engine.handle_heartbeat_answer(
                 &heartbeat.to.worker,
                 heartbeat.sent_at,
--- a/crates/cell/tests/cell/world/deliver.rs
+++ b/crates/cell/tests/cell/world/deliver.rs
@@ -182,7 +182,7 @@
         let Some(worker) = self.reachable_worker(id) else {
             return;
         };
-        let answer = HeartbeatAnswer::Listed(worker.inventory(now));
+        let answer = HeartbeatAnswer::Inventory(worker.inventory(now));
         self.schedule(
             NETWORK_DELAY,
             Event::HeartbeatAnswered(id.clone(), asked, answer),
--- a/crates/node/tests/node/platform.rs
+++ b/crates/node/tests/node/platform.rs
@@ -790,7 +790,7 @@
                     checkpoint: None,
                     load: 0,
                 });
-                return HeartbeatAnswer::Listed(Inventory {
+                return HeartbeatAnswer::Inventory(Inventory {
                     incarnation: None,
                     clock: 1,
                     running: running.collect(),
