--- a/crates/cell/src/engine/end.rs
+++ b/crates/cell/src/engine/end.rs
@@ -55,7 +55,7 @@
                 self.clear_crashes(task);
                 self.handle_failure(slot, task, run, now);
             }
-            ExitReason::Lapsed | ExitReason::GangTimeout => self.clear_crashes(task),
+            ExitReason::LeaseExpired | ExitReason::GangTimeout => self.clear_crashes(task),
             ExitReason::Stopped | ExitReason::GangBroken => {}
         }
         self.release(slot, task, run, now);
--- a/crates/cell/src/event.rs
+++ b/crates/cell/src/event.rs
@@ -52,7 +52,7 @@
     /// It was stopped by an order.
     Stopped,
     /// Its lease expired.
-    Lapsed,
+    LeaseExpired,
     /// Another member of its gang ended.
     GangBroken,
     /// The other members of its gang did not arrive in time.
@@ -66,7 +66,7 @@
             Self::Done => "done",
             Self::Failed => "failed",
             Self::Stopped => "stopped",
-            Self::Lapsed => "lapsed",
+            Self::LeaseExpired => "lapsed",
             Self::GangBroken => "broken",
             Self::GangTimeout => "alone",
         }
--- a/crates/cell/tests/cell/world/worker.rs
+++ b/crates/cell/tests/cell/world/worker.rs
@@ -318,7 +318,7 @@
         let mut ended = Vec::new();
         self.tasks.retain(|id, task| {
             let exit_reason = match (is_expired, task.ends_at <= now) {
-                (true, _) => ExitReason::Lapsed,
+                (true, _) => ExitReason::LeaseExpired,
                 (false, true) => task.exit_reason,
                 (false, false) => return true,
             };
