--- a/crates/node/src/order.rs
+++ b/crates/node/src/order.rs
@@ -132,7 +132,7 @@
             Self::Throttle(order) => {
                 let worker = order.to.worker.clone();
                 let (task, run, percent) = (order.task, order.run, order.percent);
-                let answer = platform.pace(order).await;
+                let answer = platform.throttle(order).await;
                 let report = Report::Throttled(worker, task, run, percent, answer);
                 ("pace", report, answer.as_str())
             }
--- a/crates/node/src/platform.rs
+++ b/crates/node/src/platform.rs
@@ -277,7 +277,7 @@
     fn stop(&self, order: Stop) -> impl Future<Output = StopAnswer> + Send;
 
     /// Orders a worker to run a best-effort task at a share of its processor.
-    fn pace(&self, order: Throttle) -> impl Future<Output = StopAnswer> + Send;
+    fn throttle(&self, order: Throttle) -> impl Future<Output = StopAnswer> + Send;
 
     /// Extends a worker's lease and asks for its inventory.
     fn hold(&self, order: Heartbeat) -> impl Future<Output = HeartbeatAnswer> + Send;
--- a/crates/node/tests/node/platform.rs
+++ b/crates/node/tests/node/platform.rs
@@ -756,7 +756,7 @@
         StopAnswer::Confirmed
     }
 
-    async fn pace(&self, _: Throttle) -> StopAnswer {
+    async fn throttle(&self, _: Throttle) -> StopAnswer {
         StopAnswer::Confirmed
     }
 
