--- a/crates/node/src/order.rs
+++ b/crates/node/src/order.rs
@@ -138,7 +138,7 @@
             }
             Self::Heartbeat(order) => {
                 let (worker, asked) = (order.to.worker.clone(), order.sent_at);
-                let answer = platform.hold(order).await;
+                let answer = platform.heartbeat(order).await;
                 let outcome = answer.as_str();
                 ("hold", Report::Inventory(worker, asked, answer), outcome)
             }
--- a/crates/node/src/platform.rs
+++ b/crates/node/src/platform.rs
@@ -280,7 +280,7 @@
     fn throttle(&self, order: Throttle) -> impl Future<Output = StopAnswer> + Send;
 
     /// Extends a worker's lease and asks for its inventory.
-    fn hold(&self, order: Heartbeat) -> impl Future<Output = HeartbeatAnswer> + Send;
+    fn heartbeat(&self, order: Heartbeat) -> impl Future<Output = HeartbeatAnswer> + Send;
 
     /// Asks the advice service which of the given workers may run a step; `None` if there was no answer.
     fn advise(
--- a/crates/node/tests/node/platform.rs
+++ b/crates/node/tests/node/platform.rs
@@ -760,7 +760,7 @@
         StopAnswer::Confirmed
     }
 
-    async fn hold(&self, order: Heartbeat) -> HeartbeatAnswer {
+    async fn heartbeat(&self, order: Heartbeat) -> HeartbeatAnswer {
         let until = Instant::now() + order.wait;
         loop {
             sleep(CALL_LATENCY).await;
