--- a/crates/node/src/assignment.rs
+++ b/crates/node/src/assignment.rs
@@ -54,7 +54,7 @@
     /// The address at which it answers other nodes.
     pub address: SocketAddr,
     /// The processor capacity that it may use, or the part of it that its link can keep busy.
-    pub processor: Millicores,
+    pub strength: Millicores,
     /// The number of files and connections that it may have open.
     pub descriptors: u32,
 }
@@ -71,7 +71,7 @@
         Self {
             node: hello.node.clone(),
             address: hello.address,
-            processor: hello.strength,
+            strength: hello.strength,
             descriptors: hello.descriptors,
         }
     }
@@ -105,10 +105,10 @@
         let active: Vec<Peer> = self.candidates.drain(..).take(self.active_count).collect();
         let candidates = peers
             .into_iter()
-            .filter(|peer| !outranks(owner.processor, peer.processor));
+            .filter(|peer| !outranks(owner.strength, peer.strength));
         self.candidates = candidates.collect();
         self.candidates
-            .sort_by_key(|peer| (std::cmp::Reverse(peer.processor), !active.contains(peer)));
+            .sort_by_key(|peer| (std::cmp::Reverse(peer.strength), !active.contains(peer)));
         self.owner = Some(owner);
         self.active_count = 0;
         self.assigned.clear();
@@ -184,7 +184,7 @@
         } else {
             1
         };
-        let weight = f64::from(peer.processor.get() / divisor).max(1.0);
+        let weight = f64::from(peer.strength.get() / divisor).max(1.0);
         uniform.max(f64::MIN_POSITIVE).ln() / weight
     }
 }
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -273,7 +273,7 @@
         Peer {
             node: self.name.clone(),
             address: self.address,
-            processor: self.strength,
+            strength: self.strength,
             descriptors: self.descriptors,
         }
     }
--- a/crates/node/tests/assignment.rs
+++ b/crates/node/tests/assignment.rs
@@ -20,7 +20,7 @@
     Peer {
         node: NodeName::from(format!("n{port}")),
         address: ([127, 0, 0, 1], port).into(),
-        processor: Millicores(processor),
+        strength: Millicores(processor),
         descriptors,
     }
 }
