--- a/crates/node/src/frontend/mod.rs
+++ b/crates/node/src/frontend/mod.rs
@@ -64,7 +64,7 @@
         Platform,
         Record, //
     },
-    retry_delay::Refusals,
+    retry_delay::RefusedJobs,
     shared::Shared,
     telemetry::millis,
 };
@@ -124,7 +124,7 @@
 pub struct Frontend<P: Platform> {
     shared: Arc<Shared<P>>,
     intake: Intake,
-    refusals: Arc<Mutex<Refusals>>,
+    refusals: Arc<Mutex<RefusedJobs>>,
     /// The workspace of the served callers, if they have one.
     workspace: Option<Arc<Workspace>>,
 }
--- a/crates/node/src/retry_delay.rs
+++ b/crates/node/src/retry_delay.rs
@@ -21,12 +21,12 @@
 
 /// The jobs that a node has refused recently.
 #[derive(Debug, Default)]
-pub struct Refusals {
+pub struct RefusedJobs {
     jobs: HashSet<JobId>,
     order: VecDeque<JobId>,
 }
 
-impl Refusals {
+impl RefusedJobs {
     /// Records that a job was refused or that its outcome is unknown; returns how long its caller should wait before it
     /// retries.
     ///
--- a/crates/node/tests/retry_delay.rs
+++ b/crates/node/tests/retry_delay.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use fulmarpier_cell::id::JobId;
-use fulmarpier_node::retry_delay::Refusals;
+use fulmarpier_node::retry_delay::RefusedJobs;
 use rstest::rstest;
 
 const SECOND: Duration = Duration::from_secs(1);
@@ -15,7 +15,7 @@
 const RECONNECT: Duration = Duration::from_millis(100);
 
 /// Simulates a caller whose attempts reach the nodes in turn; returns when it is served, or `None` if it isn't.
-fn served_after(refusals: &mut Refusals, job: u64, is_cut_off: &[bool]) -> Option<Duration> {
+fn served_after(refusals: &mut RefusedJobs, job: u64, is_cut_off: &[bool]) -> Option<Duration> {
     let mut at = Duration::ZERO;
     for attempt in 0..=RETRIES {
         if !is_cut_off[attempt % is_cut_off.len()] {
@@ -40,7 +40,7 @@
     #[case] is_cut_off: &[bool],
     #[case] expected: Option<Duration>,
 ) {
-    let mut refusals = Refusals::default();
+    let mut refusals = RefusedJobs::default();
     for job in 0..500 {
         assert_eq!(served_after(&mut refusals, job, is_cut_off), expected);
     }
@@ -48,14 +48,14 @@
 
 #[test]
 fn in_an_outage_for_all_nodes_retries_are_spread_over_the_deadline() {
-    let mut refusals = Refusals::default();
+    let mut refusals = RefusedJobs::default();
     let delays = [(); RETRIES].map(|()| refusals.retry_delay(JobId(1), false));
     assert_eq!(delays, [SECOND; RETRIES]);
 }
 
 #[test]
 fn a_caller_that_retries_at_the_same_node_is_delayed() {
-    let mut refusals = Refusals::default();
+    let mut refusals = RefusedJobs::default();
     assert_eq!(refusals.retry_delay(JobId(1), true), Duration::ZERO);
     assert_eq!(refusals.retry_delay(JobId(1), true), SECOND);
     assert_eq!(refusals.retry_delay(JobId(1), true), SECOND);
@@ -63,7 +63,7 @@
 
 #[test]
 fn the_number_of_remembered_jobs_is_bounded() {
-    let mut refusals = Refusals::default();
+    let mut refusals = RefusedJobs::default();
     for job in 0..5_000 {
         refusals.retry_delay(JobId(job), true);
     }
