--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -65,7 +65,7 @@
         Event, //
     },
     platform::Platform,
-    revocation::Revocation,
+    revocation::RevocationLimit,
     shared::Shared,
     succession::{
         self,
@@ -128,7 +128,7 @@
     /// The bounds that the platform guarantees for its workers.
     pub bounds: Bounds,
     /// How long nodes may accept keys while they can't read the configuration.
-    pub revocation: Revocation,
+    pub revocation: RevocationLimit,
     /// The platform interface.
     pub platform: P,
     /// The logger.
--- a/crates/node/src/revocation.rs
+++ b/crates/node/src/revocation.rs
@@ -9,12 +9,12 @@
 
 /// The limit that the platform sets for nodes that can't read the configuration.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Revocation {
+pub struct RevocationLimit {
     /// The age of the configuration from which on its keys are refused; `None` sets no limit.
     pub max_config_age: Option<Duration>,
 }
 
-impl Revocation {
+impl RevocationLimit {
     /// Returns whether the keys of a configuration must be refused, given the time since it was last confirmed.
     pub fn is_exceeded_by(&self, age: Duration) -> bool {
         self.max_config_age
--- a/crates/node/tests/node/support.rs
+++ b/crates/node/tests/node/support.rs
@@ -28,7 +28,7 @@
     Node,
     Parts,
     frontend::Refusal,
-    revocation::Revocation, //
+    revocation::RevocationLimit, //
 };
 use fulmarpier_state::{
     clock::Timestamp,
@@ -92,7 +92,7 @@
             descriptors: 4_096,
         },
         bounds: Bounds::default(),
-        revocation: Revocation::default(),
+        revocation: RevocationLimit::default(),
         platform: platform.clone(),
         log: slog::Logger::root(slog::Discard, slog::o!()),
         meter,
--- a/crates/node/tests/node/workspace.rs
+++ b/crates/node/tests/node/workspace.rs
@@ -18,7 +18,7 @@
         Refusal, //
     },
     platform::Topic,
-    revocation::Revocation, //
+    revocation::RevocationLimit, //
 };
 use rstest::rstest;
 use tokio::time::{
@@ -274,7 +274,7 @@
     #[case] age_ms: u64,
     #[case] expected: bool,
 ) {
-    let revocation = Revocation {
+    let revocation = RevocationLimit {
         max_config_age: within_ms.map(Duration::from_millis),
     };
     assert_eq!(
