--- a/crates/cell/examples/fleet.rs
+++ b/crates/cell/examples/fleet.rs
@@ -360,11 +360,13 @@
             return;
         };
         simulated_worker.end(task, run, reason);
-        let Some(asked) = simulated_worker.waiting.take() else {
+        let Some(sent_at) = simulated_worker.waiting.take() else {
             return;
         };
         let answer = simulated_worker.inventory(now);
-        self.call_engine(|engine, now| engine.handle_heartbeat_answer(worker, asked, answer, now));
+        self.call_engine(|engine, now| {
+            engine.handle_heartbeat_answer(worker, sent_at, answer, now)
+        });
     }
 
     fn handle(&mut self, event: Event) {
--- a/crates/cell/src/engine/contact.rs
+++ b/crates/cell/src/engine/contact.rs
@@ -227,11 +227,11 @@
 
     /// Handles the answer to a heartbeat or probe.
     ///
-    /// `asked` is when the call was made.
+    /// `sent_at` is when the call was made.
     pub fn handle_heartbeat_answer(
         &mut self,
         id: &WorkerId,
-        asked: Timestamp,
+        sent_at: Timestamp,
         answer: HeartbeatAnswer,
         now: Timestamp,
     ) {
@@ -241,18 +241,20 @@
         let Some(worker) = self.workers.get_mut(&slot) else {
             return;
         };
-        let is_probe = worker.probe == Some(CallState::InFlight(asked));
+        let is_probe = worker.probe == Some(CallState::InFlight(sent_at));
         if is_probe {
             worker.probe = None;
-        } else if worker.heartbeat != CallState::InFlight(asked) {
+        } else if worker.heartbeat != CallState::InFlight(sent_at) {
             return;
         }
         match answer {
             HeartbeatAnswer::Inventory(inventory) => {
-                self.handle_inventory(slot, inventory, asked, now)
+                self.handle_inventory(slot, inventory, sent_at, now)
             }
             // The call predates the current fence, so the refusal doesn't mean that another node owns the cell.
-            HeartbeatAnswer::Fenced if worker.fence_raised.is_some_and(|raised| asked < raised) => {
+            HeartbeatAnswer::Fenced
+                if worker.fence_raised.is_some_and(|raised| sent_at < raised) =>
+            {
                 worker.retry_call(is_probe, now);
                 self.update_indexes(slot);
             }
@@ -289,21 +291,21 @@
         &mut self,
         slot: Slot,
         inventory: Inventory,
-        asked: Timestamp,
+        sent_at: Timestamp,
         now: Timestamp,
     ) {
         let Some(worker) = self.workers.get_mut(&slot) else {
             return;
         };
-        match worker.identify(inventory.incarnation, asked) {
+        match worker.identify(inventory.incarnation, sent_at) {
             Sender::Current => {}
             Sender::Former => {
                 worker.retry_call(false, now);
                 return self.update_indexes(slot);
             }
-            Sender::Later => self.begin_incarnation(slot, &inventory, asked, now),
+            Sender::Later => self.begin_incarnation(slot, &inventory, sent_at, now),
         }
-        self.apply_inventory(slot, inventory, asked, now);
+        self.apply_inventory(slot, inventory, sent_at, now);
     }
 
     /// Applies an inventory of the current incarnation: its runs, its ends and what is absent from it.
@@ -311,7 +313,7 @@
         &mut self,
         slot: Slot,
         inventory: Inventory,
-        asked: Timestamp,
+        sent_at: Timestamp,
         now: Timestamp,
     ) {
         let Some(worker) = self.workers.get_mut(&slot) else {
@@ -335,7 +337,7 @@
         for running in &inventory.running {
             self.mark_begun(running.task.step.job);
             listed.push((running.task, running.run));
-            self.apply_running(slot, running, asked, now);
+            self.apply_running(slot, running, sent_at, now);
         }
         for ended in inventory.ended {
             listed.push((ended.task, ended.run));
@@ -346,7 +348,7 @@
                 self.handle_end(slot, ended, now);
             }
         }
-        self.release_absent(slot, &listed, asked, now);
+        self.release_absent(slot, &listed, sent_at, now);
         if !was_heard {
             self.send_deferred_starts(slot, now);
         }
@@ -354,7 +356,7 @@
         let Some(worker) = self.workers.get_mut(&slot) else {
             return;
         };
-        if worker.heartbeat == CallState::InFlight(asked) {
+        if worker.heartbeat == CallState::InFlight(sent_at) {
             worker.heartbeat = match worker.last_processed_end > worker.last_recorded_end {
                 // Once the ends are recorded, the next call is made at once.
                 true => CallState::Due(now + UNRECORDED_END_RENEWAL_INTERVAL),
@@ -367,7 +369,7 @@
     }
 
     /// Applies a run that a worker lists as running.
-    fn apply_running(&mut self, slot: Slot, running: &Running, asked: Timestamp, now: Timestamp) {
+    fn apply_running(&mut self, slot: Slot, running: &Running, sent_at: Timestamp, now: Timestamp) {
         let task = running.task;
         let Some(worker) = self.workers.get_mut(&slot) else {
             return;
@@ -382,7 +384,7 @@
         };
         allocation.confirm(now);
         allocation.fence = worker.fence;
-        allocation.update_outlived_crash_window(asked);
+        allocation.update_outlived_crash_window(sent_at);
         if allocation.is_exclusive && allocation.outlived_crash_window {
             self.end_isolation(slot, task, running.run);
         }
@@ -453,7 +455,7 @@
         &mut self,
         slot: Slot,
         listed: &[(TaskId, Run)],
-        asked: Timestamp,
+        sent_at: Timestamp,
         now: Timestamp,
     ) {
         let Some(worker) = self.workers.get(&slot) else {
@@ -463,14 +465,14 @@
             .allocations
             .iter()
             .filter(|(key, allocation)| {
-                let is_obsolete = worker.are_orders_obsolete(allocation, asked);
+                let is_obsolete = worker.are_orders_obsolete(allocation, sent_at);
                 let is_settled = match allocation.phase {
                     Phase::Recording => false,
                     Phase::Starting => is_obsolete,
-                    Phase::Running { since } => is_obsolete || since <= asked,
+                    Phase::Running { since } => is_obsolete || since <= sent_at,
                     // During a stop, a run may be listed neither as running nor as ended.
                     Phase::Stopping { confirmed } => {
-                        confirmed.is_some_and(|at| at + self.bounds.stop_settle_time() <= asked)
+                        confirmed.is_some_and(|at| at + self.bounds.stop_settle_time() <= sent_at)
                     }
                 };
                 is_settled && !listed.contains(key)
@@ -503,13 +505,13 @@
     worker: &Worker,
     deadline: Option<u64>,
     wait: Duration,
-    asked: Timestamp,
+    sent_at: Timestamp,
 ) -> Effect {
     Effect::Heartbeat(Heartbeat {
         to: worker.destination(),
         deadline,
         acknowledged: worker.acknowledged(),
         wait,
-        sent_at: asked,
+        sent_at,
     })
 }
--- a/crates/cell/src/engine/crash.rs
+++ b/crates/cell/src/engine/crash.rs
@@ -80,13 +80,13 @@
 
 impl Allocation {
     /// Notes whether the run has outlived the crash window, given that its worker lists it in answer to a call made at
-    /// `asked`.
+    /// `sent_at`.
     ///
     /// The arrival time of the answer proves nothing: a slow owner may process an answer of a worker that is gone by
     /// then.
-    pub(super) fn update_outlived_crash_window(&mut self, asked: Timestamp) {
+    pub(super) fn update_outlived_crash_window(&mut self, sent_at: Timestamp) {
         if let Some(begun) = self.first_confirmed {
-            self.outlived_crash_window |= asked.since(begun) > START_CRASH_WINDOW;
+            self.outlived_crash_window |= sent_at.since(begun) > START_CRASH_WINDOW;
         }
     }
 
--- a/crates/cell/src/engine/restart.rs
+++ b/crates/cell/src/engine/restart.rs
@@ -61,11 +61,11 @@
         &mut self,
         slot: Slot,
         inventory: &Inventory,
-        asked: Timestamp,
+        sent_at: Timestamp,
         now: Timestamp,
     ) {
         self.revoke_unsent(slot, "reborn", now);
-        self.exclude_restarted_runs(slot, inventory, asked);
+        self.exclude_restarted_runs(slot, inventory, sent_at);
         self.log_losses(slot, "reborn", now);
         self.count_crashes(slot, now);
         self.fence = self.fence.next();
@@ -80,7 +80,7 @@
     }
 
     /// Excludes runs that the new incarnation has started, or may have, from those that were lost with the former one.
-    fn exclude_restarted_runs(&mut self, slot: Slot, inventory: &Inventory, asked: Timestamp) {
+    fn exclude_restarted_runs(&mut self, slot: Slot, inventory: &Inventory, sent_at: Timestamp) {
         let Some(worker) = self.workers.get_mut(&slot) else {
             return;
         };
@@ -90,7 +90,7 @@
         for (key, allocation) in &mut worker.allocations {
             let is_later = allocation
                 .first_confirmed
-                .is_some_and(|begun| begun > asked);
+                .is_some_and(|begun| begun > sent_at);
             if is_later || reported.contains(key) {
                 allocation.first_confirmed = None;
                 allocation.outlived_crash_window = false;
--- a/crates/cell/src/engine/wait.rs
+++ b/crates/cell/src/engine/wait.rs
@@ -105,7 +105,7 @@
     pub allowed: usize,
     /// The allowed workers that accept new tasks.
     pub available: usize,
-    /// How many tasks of the step fit on the open workers.
+    /// How many tasks of the step fit on the available workers.
     pub fitting_tasks: usize,
     /// How many of these tasks fit on workers for which there is a usable ticket.
     pub fitting_tasks_with_ticket: usize,
@@ -282,9 +282,9 @@
                 continue;
             }
             survey.available += 1;
-            let room = fit_count(&worker.free, &demand.size);
-            survey.fitting_tasks += room;
-            survey.fitting_tasks_with_ticket += if has_ticket(slot, worker) { room } else { 0 };
+            let count = fit_count(&worker.free, &demand.size);
+            survey.fitting_tasks += count;
+            survey.fitting_tasks_with_ticket += if has_ticket(slot, worker) { count } else { 0 };
         }
         survey
     }
--- a/crates/cell/src/worker.rs
+++ b/crates/cell/src/worker.rs
@@ -284,15 +284,15 @@
             .is_none_or(|(registered, heard)| registered == heard)
     }
 
-    /// Returns which incarnation sent an answer to a call made at `asked`.
+    /// Returns which incarnation sent an answer to a call made at `sent_at`.
     ///
     /// The clocks that number incarnations may jump back. A call that was made after an incarnation had answered, to
     /// this owner or a former one, can't have reached an earlier incarnation.
-    pub fn identify(&self, reported: Option<Incarnation>, asked: Timestamp) -> Sender {
+    pub fn identify(&self, reported: Option<Incarnation>, sent_at: Timestamp) -> Sender {
         let Some((reported, known)) = reported.zip(self.incarnation) else {
             return Sender::Current;
         };
-        let is_after = self.heard.is_none_or(|heard| heard <= asked);
+        let is_after = self.heard.is_none_or(|heard| heard <= sent_at);
         match reported.cmp(&known) {
             Ordering::Equal => Sender::Current,
             Ordering::Less if !is_after => Sender::Former,
@@ -319,10 +319,10 @@
         self.throttling = Throttling::default();
     }
 
-    /// Returns whether an inventory requested at `asked` proves that no order to start a run can be carried out any
+    /// Returns whether an inventory requested at `sent_at` proves that no order to start a run can be carried out any
     /// more, because all of these orders were for a former incarnation.
-    pub fn are_orders_obsolete(&self, allocation: &Allocation, asked: Timestamp) -> bool {
-        allocation.fence < self.fence && self.fence_raised.is_some_and(|raised| raised <= asked)
+    pub fn are_orders_obsolete(&self, allocation: &Allocation, sent_at: Timestamp) -> bool {
+        allocation.fence < self.fence && self.fence_raised.is_some_and(|raised| raised <= sent_at)
     }
 
     /// Returns the serial number of the last end that it may forget. It is zero while the next answer may come from
--- a/crates/cell/tests/cell/pending.rs
+++ b/crates/cell/tests/cell/pending.rs
@@ -130,12 +130,12 @@
         now,
     );
     let effects = engine.advance(now);
-    let asked = effects.iter().find_map(|effect| match effect {
+    let sent_at = effects.iter().find_map(|effect| match effect {
         Effect::Heartbeat(heartbeat) => Some(heartbeat.sent_at),
         _ => None,
     });
-    let asked = asked.expect("a new owner sends a heartbeat to every worker");
-    engine.handle_heartbeat_answer(&worker, asked, HeartbeatAnswer::Inventory(inventory), now);
+    let sent_at = sent_at.expect("a new owner sends a heartbeat to every worker");
+    engine.handle_heartbeat_answer(&worker, sent_at, HeartbeatAnswer::Inventory(inventory), now);
     engine
 }
 
--- a/crates/cell/tests/cell/takeover.rs
+++ b/crates/cell/tests/cell/takeover.rs
@@ -178,7 +178,7 @@
     let mut engine = Engine::new(Epoch(2), Bounds::default(), stored, now);
     engine.set_evacuation(Evacuation::default(), now, now);
     let effects = engine.advance(now);
-    let asked = effects.iter().find_map(|effect| match effect {
+    let sent_at = effects.iter().find_map(|effect| match effect {
         Effect::Heartbeat(heartbeat) => Some(heartbeat.sent_at),
         _ => None,
     });
@@ -194,8 +194,8 @@
         running: vec![running],
         ended: Vec::new(),
     };
-    let asked = asked.expect("the worker is sent a heartbeat");
-    engine.handle_heartbeat_answer(&worker, asked, HeartbeatAnswer::Inventory(inventory), now);
+    let sent_at = sent_at.expect("the worker is sent a heartbeat");
+    engine.handle_heartbeat_answer(&worker, sent_at, HeartbeatAnswer::Inventory(inventory), now);
     let effects = [effects, engine.advance(now)].concat();
     let stops = effects
         .iter()
--- a/crates/cell/tests/cell/world/deliver.rs
+++ b/crates/cell/tests/cell/world/deliver.rs
@@ -113,20 +113,20 @@
     ) {
         let (now, id) = (self.now, order.to.worker.clone());
         let is_lost = self.chance(self.faults.lost_heartbeats);
-        let asked = order.sent_at;
-        if !is_current || !self.heartbeats.contains(&(id.clone(), asked)) {
+        let sent_at = order.sent_at;
+        if !is_current || !self.heartbeats.contains(&(id.clone(), sent_at)) {
             return;
         }
         if self.is_down(&id) {
             return self.schedule(
                 NETWORK_DELAY,
-                Event::HeartbeatAnswered(id, asked, HeartbeatAnswer::ConnectionLost),
+                Event::HeartbeatAnswered(id, sent_at, HeartbeatAnswer::ConnectionLost),
             );
         }
         if !self.workers.contains_key(&id) {
             return self.schedule(
                 NETWORK_DELAY,
-                Event::HeartbeatAnswered(id, asked, HeartbeatAnswer::Replaced),
+                Event::HeartbeatAnswered(id, sent_at, HeartbeatAnswer::Replaced),
             );
         }
         let Some(worker) = self.reachable_worker(&id) else {
@@ -135,13 +135,13 @@
         if worker.rejects_fence(&order.to) {
             return self.schedule(
                 NETWORK_DELAY,
-                Event::HeartbeatAnswered(id, asked, HeartbeatAnswer::Fenced),
+                Event::HeartbeatAnswered(id, sent_at, HeartbeatAnswer::Fenced),
             );
         }
         let acknowledged = worker.heartbeat(&order, is_lost, now);
         let is_waiting = worker
             .waiting_heartbeat
-            .is_some_and(|(_, waiting)| waiting == asked);
+            .is_some_and(|(_, waiting)| waiting == sent_at);
         for (task, run, is_done) in acknowledged {
             if is_done {
                 self.done.insert(task);
@@ -150,7 +150,7 @@
             }
         }
         if !is_lost && !is_waiting {
-            self.answer_heartbeat(&id, asked);
+            self.answer_heartbeat(&id, sent_at);
         }
     }
 
@@ -158,12 +158,12 @@
     pub(super) fn end_heartbeat(
         &mut self,
         id: &WorkerId,
-        asked: Timestamp,
+        sent_at: Timestamp,
         answer: HeartbeatAnswer,
     ) {
-        if self.heartbeats.remove(&(id.clone(), asked)) {
+        if self.heartbeats.remove(&(id.clone(), sent_at)) {
             self.engine
-                .handle_heartbeat_answer(id, asked, answer, self.now);
+                .handle_heartbeat_answer(id, sent_at, answer, self.now);
         }
     }
 
@@ -172,12 +172,12 @@
         let Some(worker) = self.workers.get_mut(id) else {
             return;
         };
-        if let Some((_, asked)) = worker.waiting_heartbeat.take() {
-            self.answer_heartbeat(id, asked);
+        if let Some((_, sent_at)) = worker.waiting_heartbeat.take() {
+            self.answer_heartbeat(id, sent_at);
         }
     }
 
-    fn answer_heartbeat(&mut self, id: &WorkerId, asked: Timestamp) {
+    fn answer_heartbeat(&mut self, id: &WorkerId, sent_at: Timestamp) {
         let now = self.now;
         let Some(worker) = self.reachable_worker(id) else {
             return;
@@ -185,7 +185,7 @@
         let answer = HeartbeatAnswer::Inventory(worker.inventory(now));
         self.schedule(
             NETWORK_DELAY,
-            Event::HeartbeatAnswered(id.clone(), asked, answer),
+            Event::HeartbeatAnswered(id.clone(), sent_at, answer),
         );
     }
 }
--- a/crates/cell/tests/cell/world/fault.rs
+++ b/crates/cell/tests/cell/world/fault.rs
@@ -102,10 +102,10 @@
     /// Breaks the connections to a worker, which fails its heartbeats.
     pub(super) fn break_connections(&mut self, id: &WorkerId) {
         let in_flight = self.heartbeats.iter().filter(|(worker, _)| worker == id);
-        for (id, asked) in in_flight.cloned().collect::<Vec<_>>() {
+        for (id, sent_at) in in_flight.cloned().collect::<Vec<_>>() {
             self.schedule(
                 NETWORK_DELAY,
-                Event::HeartbeatAnswered(id, asked, HeartbeatAnswer::ConnectionLost),
+                Event::HeartbeatAnswered(id, sent_at, HeartbeatAnswer::ConnectionLost),
             );
         }
     }
--- a/crates/cell/tests/cell/world/mod.rs
+++ b/crates/cell/tests/cell/world/mod.rs
@@ -815,10 +815,10 @@
                 }
             }
             Effect::Heartbeat(order) => {
-                let (worker, asked) = (order.to.worker.clone(), order.sent_at);
+                let (worker, sent_at) = (order.to.worker.clone(), order.sent_at);
                 let timeout = order.wait + Duration::from_millis(800);
-                self.schedule(timeout, Event::HeartbeatTimeout(worker.clone(), asked));
-                self.heartbeats.insert((worker, asked));
+                self.schedule(timeout, Event::HeartbeatTimeout(worker.clone(), sent_at));
+                self.heartbeats.insert((worker, sent_at));
                 self.schedule(NETWORK_DELAY, Event::Heartbeat(Box::new(order)));
             }
             Effect::Advise {
@@ -901,11 +901,11 @@
                 self.engine
                     .handle_stop_answer(&worker, task, run, answer, self.now);
             }
-            Event::HeartbeatAnswered(worker, asked, answer) => {
-                self.end_heartbeat(&worker, asked, answer)
+            Event::HeartbeatAnswered(worker, sent_at, answer) => {
+                self.end_heartbeat(&worker, sent_at, answer)
             }
-            Event::HeartbeatTimeout(worker, asked) => {
-                self.end_heartbeat(&worker, asked, HeartbeatAnswer::NoAnswer)
+            Event::HeartbeatTimeout(worker, sent_at) => {
+                self.end_heartbeat(&worker, sent_at, HeartbeatAnswer::NoAnswer)
             }
             Event::Withdrawn(job) => self.engine.withdraw(job, self.now),
             Event::AdviceFailed(node, step) => {
--- a/crates/node/src/assignment.rs
+++ b/crates/node/src/assignment.rs
@@ -39,7 +39,7 @@
 /// The number of descriptors that a node needs for each worker that it sends orders to: up to four concurrent
 /// connections, and as many again for its callers, its peers and the workers of nodes that are gone.
 const DESCRIPTORS_PER_WORKER: u32 = 8;
-/// The divisor of the owner's processor as a weight. The owner also makes the decisions, so it gets fewer workers.
+/// The divisor of the owner's strength as a weight. The owner also makes the decisions, so it gets fewer workers.
 const OWNER_WEIGHT_DIVISOR: u32 = 4;
 
 /// The time for which the owner itself sends the orders of a node that did not accept them. It suffices for the next
@@ -116,7 +116,7 @@
 
     /// Returns the node that sends the orders to a worker; `None` if that is the owner.
     ///
-    /// Each node gets workers in proportion to its processor and keeps them when another node comes or goes.
+    /// Each node gets workers in proportion to its strength and keeps them when another node comes or goes.
     pub fn node_of(&mut self, worker: &WorkerId, workers: usize) -> Option<SocketAddr> {
         if workers <= MAX_OWNER_ONLY_WORKERS || self.candidates.is_empty() {
             return None;
--- a/crates/node/src/frontend/mod.rs
+++ b/crates/node/src/frontend/mod.rs
@@ -303,8 +303,8 @@
     /// Returns how long the caller of a refused job should wait before it retries.
     pub fn retry_after(&self, job: JobId) -> Duration {
         let is_isolated = self.shared.is_isolated.load(Ordering::Relaxed);
-        let mut refusals = self.refusals.lock().unwrap_or_else(PoisonError::into_inner);
-        refusals.retry_delay(job, is_isolated)
+        let mut refused_jobs = self.refusals.lock().unwrap_or_else(PoisonError::into_inner);
+        refused_jobs.retry_delay(job, is_isolated)
     }
 
     /// Returns the state of a job.
--- a/crates/node/src/order.rs
+++ b/crates/node/src/order.rs
@@ -137,10 +137,10 @@
                 ("pace", report, answer.as_str())
             }
             Self::Heartbeat(order) => {
-                let (worker, asked) = (order.to.worker.clone(), order.sent_at);
+                let (worker, sent_at) = (order.to.worker.clone(), order.sent_at);
                 let answer = platform.heartbeat(order).await;
                 let outcome = answer.as_str();
-                ("hold", Report::Inventory(worker, asked, answer), outcome)
+                ("hold", Report::Inventory(worker, sent_at, answer), outcome)
             }
         };
         meter.worker_call(kind, started_at.elapsed(), outcome);
--- a/crates/node/src/owner/orders.rs
+++ b/crates/node/src/owner/orders.rs
@@ -171,8 +171,8 @@
             Report::Throttled(worker, task, run, percent, answer) => {
                 engine.handle_throttle_answer(&worker, task, run, percent, answer, now);
             }
-            Report::Inventory(worker, asked, answer) => {
-                engine.handle_heartbeat_answer(&worker, asked, answer, now)
+            Report::Inventory(worker, sent_at, answer) => {
+                engine.handle_heartbeat_answer(&worker, sent_at, answer, now)
             }
         }
     }
--- a/crates/node/tests/assignment.rs
+++ b/crates/node/tests/assignment.rs
@@ -16,11 +16,11 @@
 /// The maximum number of concurrent connections of a node to one worker.
 const CONNECTIONS: usize = 4;
 
-fn peer(port: u16, processor: u32, descriptors: u32) -> Peer {
+fn peer(port: u16, strength: u32, descriptors: u32) -> Peer {
     Peer {
         node: NodeName::from(format!("n{port}")),
         address: ([127, 0, 0, 1], port).into(),
-        strength: Millicores(processor),
+        strength: Millicores(strength),
         descriptors,
     }
 }
--- a/crates/node/tests/node/workspace.rs
+++ b/crates/node/tests/node/workspace.rs
@@ -274,11 +274,11 @@
     #[case] age_ms: u64,
     #[case] expected: bool,
 ) {
-    let revocation = RevocationLimit {
+    let limit = RevocationLimit {
         max_config_age: within_ms.map(Duration::from_millis),
     };
     assert_eq!(
-        revocation.is_exceeded_by(Duration::from_millis(age_ms)),
+        limit.is_exceeded_by(Duration::from_millis(age_ms)),
         expected
     );
 }
--- a/crates/node/tests/retry_delay.rs
+++ b/crates/node/tests/retry_delay.rs
@@ -15,7 +15,7 @@
 const RECONNECT: Duration = Duration::from_millis(100);
 
 /// Simulates a caller whose attempts reach the nodes in turn; returns when it is served, or `None` if it isn't.
-fn served_after(refusals: &mut RefusedJobs, job: u64, is_cut_off: &[bool]) -> Option<Duration> {
+fn served_after(refused_jobs: &mut RefusedJobs, job: u64, is_cut_off: &[bool]) -> Option<Duration> {
     let mut at = Duration::ZERO;
     for attempt in 0..=RETRIES {
         if !is_cut_off[attempt % is_cut_off.len()] {
@@ -23,7 +23,9 @@
         }
         // If every node is cut off from the store, none of them is isolated on its own.
         let is_isolated = is_cut_off.iter().any(|is_cut_off| !is_cut_off) || is_cut_off.len() == 1;
-        at += refusals.retry_delay(JobId(job), is_isolated).max(RECONNECT);
+        at += refused_jobs
+            .retry_delay(JobId(job), is_isolated)
+            .max(RECONNECT);
         if at >= DEADLINE {
             return None;
         }
@@ -40,33 +42,33 @@
     #[case] is_cut_off: &[bool],
     #[case] expected: Option<Duration>,
 ) {
-    let mut refusals = RefusedJobs::default();
+    let mut refused_jobs = RefusedJobs::default();
     for job in 0..500 {
-        assert_eq!(served_after(&mut refusals, job, is_cut_off), expected);
+        assert_eq!(served_after(&mut refused_jobs, job, is_cut_off), expected);
     }
 }
 
 #[test]
 fn in_an_outage_for_all_nodes_retries_are_spread_over_the_deadline() {
-    let mut refusals = RefusedJobs::default();
-    let delays = [(); RETRIES].map(|()| refusals.retry_delay(JobId(1), false));
+    let mut refused_jobs = RefusedJobs::default();
+    let delays = [(); RETRIES].map(|()| refused_jobs.retry_delay(JobId(1), false));
     assert_eq!(delays, [SECOND; RETRIES]);
 }
 
 #[test]
 fn a_caller_that_retries_at_the_same_node_is_delayed() {
-    let mut refusals = RefusedJobs::default();
-    assert_eq!(refusals.retry_delay(JobId(1), true), Duration::ZERO);
-    assert_eq!(refusals.retry_delay(JobId(1), true), SECOND);
-    assert_eq!(refusals.retry_delay(JobId(1), true), SECOND);
+    let mut refused_jobs = RefusedJobs::default();
+    assert_eq!(refused_jobs.retry_delay(JobId(1), true), Duration::ZERO);
+    assert_eq!(refused_jobs.retry_delay(JobId(1), true), SECOND);
+    assert_eq!(refused_jobs.retry_delay(JobId(1), true), SECOND);
 }
 
 #[test]
 fn the_number_of_remembered_jobs_is_bounded() {
-    let mut refusals = RefusedJobs::default();
+    let mut refused_jobs = RefusedJobs::default();
     for job in 0..5_000 {
-        refusals.retry_delay(JobId(job), true);
+        refused_jobs.retry_delay(JobId(job), true);
     }
-    assert_eq!(refusals.retry_delay(JobId(4_999), true), SECOND);
-    assert_eq!(refusals.retry_delay(JobId(0), true), Duration::ZERO);
+    assert_eq!(refused_jobs.retry_delay(JobId(4_999), true), SECOND);
+    assert_eq!(refused_jobs.retry_delay(JobId(0), true), Duration::ZERO);
 }
