--- a/crates/node/src/succession.rs
+++ b/crates/node/src/succession.rs
@@ -1,4 +1,4 @@
-//! Decides which node should own the cell next and when an owner should give it up. Pure functions.
+//! Decides which node should own the cell next and when an owner should hand it over. Pure functions.
 //!
 //! The decisions cover four situations: a fleet in which small nodes would own a cell that only large ones can handle,
 //! a machine that becomes slow while its node is the owner, a rolling restart of the machines, and a backlog that makes
