--- a/crates/cell/src/engine/mod.rs
+++ b/crates/cell/src/engine/mod.rs
@@ -24,7 +24,7 @@
 //! | `restart` | handles new incarnations of known workers |
 //! | `loss` | handles lost workers and their runs |
 //! | `end` | handles ends of runs, attempts, and ends of jobs |
-//! | `forget` | removes jobs that are over, except for their outcomes |
+//! | `removal` | removes jobs that are over, except for their outcomes |
 //! | `recording` | writes records, and continues what waited for them |
 //! | `view` | provides what callers and operators see |
 
@@ -34,7 +34,6 @@
 mod crash;
 mod end;
 mod evacuate;
-mod forget;
 mod free_capacity;
 mod job;
 mod limit;
@@ -43,6 +42,7 @@
 mod order;
 mod place;
 mod recording;
+mod removal;
 mod reserve;
 mod restart;
 mod schedule;
