--- a/crates/cell/examples/fleet.rs
+++ b/crates/cell/examples/fleet.rs
@@ -209,7 +209,7 @@
             checkpoint: None,
             load: 0,
         });
-        HeartbeatAnswer::Listed(Inventory {
+        HeartbeatAnswer::Inventory(Inventory {
             incarnation: None,
             clock: u64::try_from(now.since(Timestamp::ZERO).as_millis()).unwrap_or(0),
             running: running.collect(),
@@ -310,13 +310,13 @@
                 }
                 self.schedule(delay, Event::End(worker.clone(), task, run));
                 self.call_engine(|engine, now| {
-                    engine.started(&worker, task, run, StartAnswer::Started, now);
+                    engine.handle_start_answer(&worker, task, run, StartAnswer::Started, now);
                 });
             }
             Effect::Stop(order) => {
                 let (worker, task, run) = (order.to.worker.clone(), order.task, order.run);
                 self.call_engine(|engine, now| {
-                    engine.stopped(&worker, task, run, StopAnswer::Confirmed, now);
+                    engine.handle_stop_answer(&worker, task, run, StopAnswer::Confirmed, now);
                 });
                 self.end(&worker, task, run, ExitReason::Stopped);
             }
@@ -329,12 +329,12 @@
                     .ended
                     .retain(|ended| ended.serial > order.acknowledged);
                 if simulated_worker.ended.is_empty() && !order.wait.is_zero() {
-                    simulated_worker.waiting = Some(order.asked);
+                    simulated_worker.waiting = Some(order.sent_at);
                     return;
                 }
                 let answer = simulated_worker.inventory(now);
                 self.call_engine(|engine, now| {
-                    engine.handle_heartbeat_answer(&worker, order.asked, answer, now)
+                    engine.handle_heartbeat_answer(&worker, order.sent_at, answer, now)
                 });
             }
             Effect::Advise {
@@ -350,7 +350,7 @@
             }
             Effect::Record(_) => self.schedule(RECORD_LATENCY, Event::Recorded),
             // No task is best-effort here.
-            Effect::Throttle(_) | Effect::Remove(_) | Effect::Log(_) | Effect::Deposed => {}
+            Effect::Throttle(_) | Effect::Remove(_) | Effect::Log(_) | Effect::OwnershipLost => {}
         }
     }
 
@@ -360,11 +360,13 @@
             return;
         };
         simulated_worker.end(task, run, reason);
-        let Some(asked) = simulated_worker.waiting.take() else {
+        let Some(sent_at) = simulated_worker.waiting.take() else {
             return;
         };
         let answer = simulated_worker.inventory(now);
-        self.call_engine(|engine, now| engine.handle_heartbeat_answer(worker, asked, answer, now));
+        self.call_engine(|engine, now| {
+            engine.handle_heartbeat_answer(worker, sent_at, answer, now)
+        });
     }
 
     fn handle(&mut self, event: Event) {
--- a/crates/cell/src/effect.rs
+++ b/crates/cell/src/effect.rs
@@ -114,7 +114,7 @@
     /// How long the worker may wait for an end before it answers.
     pub wait: Duration,
     /// When the call was made; distinguishes its answer from those of other calls to the same worker.
-    pub asked: Timestamp,
+    pub sent_at: Timestamp,
 }
 
 /// A decision or a change in the engine's view, for the log.
@@ -260,7 +260,7 @@
         /// The node that made the call.
         node: NodeName,
         /// The number of workers asked about.
-        named: usize,
+        asked: usize,
         /// The number of them that may run the step; `None` if no answer came.
         allowed: Option<usize>,
         /// The duration of the call.
@@ -295,5 +295,5 @@
     /// Write a log record.
     Log(LogRecord),
     /// Another node owns the cell, since a worker has seen a higher epoch.
-    Deposed,
+    OwnershipLost,
 }
--- a/crates/cell/src/engine/order.rs
+++ b/crates/cell/src/engine/order.rs
@@ -51,7 +51,7 @@
 
 impl Engine {
     /// Handles the answer to a start order.
-    pub fn started(
+    pub fn handle_start_answer(
         &mut self,
         worker: &WorkerId,
         task: TaskId,
@@ -76,7 +76,7 @@
                 self.confirm(slot, task, run, now);
             }
             StartAnswer::Fenced if !self.may_have_stale_orders(slot) => {
-                self.outbox.push(Effect::Deposed)
+                self.outbox.push(Effect::OwnershipLost)
             }
             StartAnswer::Replaced => self.remove_lost_worker(slot, "replaced", now),
             StartAnswer::NoAnswer => self.retry_start(slot, task, run, now),
@@ -369,7 +369,7 @@
     }
 
     /// Handles the answer to a stop order.
-    pub fn stopped(
+    pub fn handle_stop_answer(
         &mut self,
         worker: &WorkerId,
         task: TaskId,
@@ -401,7 +401,7 @@
                 }
             }
             StopAnswer::Fenced if !self.may_have_stale_orders(slot) => {
-                self.outbox.push(Effect::Deposed);
+                self.outbox.push(Effect::OwnershipLost);
             }
             StopAnswer::NoAnswer | StopAnswer::Fenced => {
                 self.stops
--- a/crates/cell/src/engine/throttling.rs
+++ b/crates/cell/src/engine/throttling.rs
@@ -150,7 +150,7 @@
     }
 
     /// Handles the answer to an order that sets a share. An unanswered order is sent again with the next inventory.
-    pub fn throttled(
+    pub fn handle_throttle_answer(
         &mut self,
         worker: &WorkerId,
         task: TaskId,
@@ -173,7 +173,7 @@
             }
             StopAnswer::NoAnswer => {}
             StopAnswer::Fenced if self.may_have_stale_orders(slot) => {}
-            StopAnswer::Fenced => self.outbox.push(Effect::Deposed),
+            StopAnswer::Fenced => self.outbox.push(Effect::OwnershipLost),
             StopAnswer::Replaced => self.remove_lost_worker(slot, "replaced", now),
         }
     }
--- a/crates/cell/src/engine/view.rs
+++ b/crates/cell/src/engine/view.rs
@@ -58,13 +58,13 @@
     /// Jobs, ended ones included.
     pub jobs: usize,
     /// Pending jobs, of which no task has started.
-    pub waiting: usize,
+    pub pending_jobs: usize,
     /// Open steps with tasks that wait to be started.
     pub open_steps: usize,
     /// Open steps that no known worker could run.
     pub unschedulable_steps: usize,
     /// Runs that may use resources of a worker.
-    pub claims: usize,
+    pub allocations: usize,
     /// Runs that workers have listed in their last inventories.
     pub listed_runs: usize,
     /// Listed workers that answer.
@@ -181,10 +181,10 @@
         let evacuated = self.workers.values().filter(|worker| worker.is_evacuated);
         Counts {
             jobs: self.jobs.len() + self.ended.len(),
-            waiting: self.pending_jobs().count(),
+            pending_jobs: self.pending_jobs().count(),
             open_steps: self.open_steps.len() + self.unschedulable.len(),
             unschedulable_steps: self.unschedulable.len(),
-            claims: self
+            allocations: self
                 .workers
                 .values()
                 .map(|worker| worker.allocations.len())
--- a/crates/cell/src/engine/wait.rs
+++ b/crates/cell/src/engine/wait.rs
@@ -53,7 +53,7 @@
     /// The advice service allows none of the workers that it was asked about.
     NotAllowed,
     /// The workers that may run the step have no free capacity for its tasks.
-    Room,
+    FreeCapacity,
     /// There is free capacity, but the tickets for those workers have expired.
     Ticket,
     /// Workers have crashed while running the step's tasks, which must run alone, and no worker is empty.
@@ -76,7 +76,7 @@
             Self::AdviceNode => "desk",
             Self::Advice => "advice",
             Self::NotAllowed => "barred",
-            Self::Room => "room",
+            Self::FreeCapacity => "room",
             Self::Ticket => "ticket",
             Self::EmptyWorker => "alone",
             Self::Reserved => "kept",
@@ -100,15 +100,15 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct WaitSurvey {
     /// Workers that the advice service was asked about.
-    pub named: usize,
+    pub asked: usize,
     /// Workers that have the label, are large enough and may run the step, as far as is known.
     pub allowed: usize,
     /// The allowed workers that accept new tasks.
-    pub open: usize,
-    /// How many tasks of the step fit on the open workers.
-    pub room: usize,
+    pub available: usize,
+    /// How many tasks of the step fit on the available workers.
+    pub fitting_tasks: usize,
     /// How many of these tasks fit on workers for which there is a usable ticket.
-    pub room_with_ticket: usize,
+    pub fitting_tasks_with_ticket: usize,
     /// The longest time since any of the allowed workers last answered.
     pub longest_silence: Option<Duration>,
 }
@@ -214,13 +214,17 @@
         let why = match survey {
             _ if !is_asked && stage.advice.calls_in_flight > 0 => WaitReason::Advice,
             _ if !is_asked && self.has_open_worker(&demand, now) => WaitReason::AdviceNode,
-            WaitSurvey { open: 0, .. } if self.is_pool_evacuated(&demand) => WaitReason::Evacuated,
+            WaitSurvey { available: 0, .. } if self.is_pool_evacuated(&demand) => {
+                WaitReason::Evacuated
+            }
             WaitSurvey { allowed: 0, .. } if is_asked => WaitReason::NotAllowed,
-            WaitSurvey { open: 0, .. } => WaitReason::NotAccepting,
+            WaitSurvey { available: 0, .. } => WaitReason::NotAccepting,
             _ if stage.are_all_suspects() => WaitReason::EmptyWorker,
-            WaitSurvey { room: 0, .. } => WaitReason::Room,
             WaitSurvey {
-                room_with_ticket: 0,
+                fitting_tasks: 0, ..
+            } => WaitReason::FreeCapacity,
+            WaitSurvey {
+                fitting_tasks_with_ticket: 0,
                 ..
             } => WaitReason::Ticket,
             _ => WaitReason::Reserved,
@@ -260,7 +264,7 @@
         let Some(stage) = job.and_then(|job| job.stage(demand.id)) else {
             return survey;
         };
-        survey.named = stage.advice.asked.len();
+        survey.asked = stage.advice.asked.len();
         let needs_no_ticket = demand.queue.advice.is_none();
         let departure = self.expected_departure(now);
         let has_ticket = |slot, worker| {
@@ -277,10 +281,10 @@
             if !worker.is_available(now) {
                 continue;
             }
-            survey.open += 1;
-            let room = fit_count(&worker.free, &demand.size);
-            survey.room += room;
-            survey.room_with_ticket += if has_ticket(slot, worker) { room } else { 0 };
+            survey.available += 1;
+            let count = fit_count(&worker.free, &demand.size);
+            survey.fitting_tasks += count;
+            survey.fitting_tasks_with_ticket += if has_ticket(slot, worker) { count } else { 0 };
         }
         survey
     }
--- a/crates/cell/tests/cell/overtaking.rs
+++ b/crates/cell/tests/cell/overtaking.rs
@@ -116,8 +116,8 @@
         now,
     );
     let first = find_heartbeat(&drain_effects(&mut engine, now), true);
-    let empty = HeartbeatAnswer::Listed(Inventory::default());
-    engine.handle_heartbeat_answer(&worker, first.asked, empty, now);
+    let empty = HeartbeatAnswer::Inventory(Inventory::default());
+    engine.handle_heartbeat_answer(&worker, first.sent_at, empty, now);
     let heartbeat = find_heartbeat(&drain_effects(&mut engine, now), false);
     let job = JobId(1);
     engine.submit(accepted(job), now);
@@ -129,13 +129,13 @@
         step: 0,
     };
     let (task, unanswered) = (step.task(0), step.task(1));
-    engine.started(&worker, task, Run(1), StartAnswer::Started, now);
+    engine.handle_start_answer(&worker, task, Run(1), StartAnswer::Started, now);
     // A start that stays unanswered after several attempts causes a second heartbeat, whose answer overtakes the first.
     for _ in 0..3 {
-        engine.started(&worker, unanswered, Run(1), StartAnswer::NoAnswer, now);
+        engine.handle_start_answer(&worker, unanswered, Run(1), StartAnswer::NoAnswer, now);
         drain_effects(&mut engine, now);
     }
-    engine.stopped(&worker, unanswered, Run(1), StopAnswer::Confirmed, now);
+    engine.handle_stop_answer(&worker, unanswered, Run(1), StopAnswer::Confirmed, now);
     now = now + 5 * MILLISECOND;
     let probe = find_heartbeat(&drain_effects(&mut engine, now), true);
     let end = Ended {
@@ -151,7 +151,12 @@
         running: Vec::new(),
         ended: vec![end],
     };
-    engine.handle_heartbeat_answer(&worker, probe.asked, HeartbeatAnswer::Listed(newer), now);
+    engine.handle_heartbeat_answer(
+        &worker,
+        probe.sent_at,
+        HeartbeatAnswer::Inventory(newer),
+        now,
+    );
     drain_effects(&mut engine, now);
     let running = Running {
         task,
@@ -167,8 +172,8 @@
     };
     engine.handle_heartbeat_answer(
         &worker,
-        heartbeat.asked,
-        HeartbeatAnswer::Listed(older),
+        heartbeat.sent_at,
+        HeartbeatAnswer::Inventory(older),
         now,
     );
     let stops = drain_effects(&mut engine, now);
@@ -177,5 +182,5 @@
         .filter(|effect| matches!(effect, Effect::Stop(_)));
     assert_eq!(stops.count(), 0, "no run is left to stop");
     // Only the unanswered start still has an allocation, until the run is certainly gone.
-    assert_eq!(engine.counts().claims, 1);
+    assert_eq!(engine.counts().allocations, 1);
 }
--- a/crates/cell/tests/cell/throttling.rs
+++ b/crates/cell/tests/cell/throttling.rs
@@ -124,7 +124,7 @@
 
     fn answer_heartbeats(&mut self) {
         let now = self.now;
-        let due = |heartbeat: &mut Heartbeat| heartbeat.asked + heartbeat.wait <= now;
+        let due = |heartbeat: &mut Heartbeat| heartbeat.sent_at + heartbeat.wait <= now;
         let due: Vec<Heartbeat> = self.heartbeats.extract_if(.., due).collect();
         for heartbeat in due {
             let tasks = self.running.iter();
@@ -141,9 +141,13 @@
                 running: running.collect(),
                 ended: Vec::new(),
             };
-            let answer = HeartbeatAnswer::Listed(inventory);
-            self.engine
-                .handle_heartbeat_answer(&heartbeat.to.worker, heartbeat.asked, answer, now);
+            let answer = HeartbeatAnswer::Inventory(inventory);
+            self.engine.handle_heartbeat_answer(
+                &heartbeat.to.worker,
+                heartbeat.sent_at,
+                answer,
+                now,
+            );
         }
     }
 
@@ -156,7 +160,7 @@
                 let worker = start.to.worker;
                 let (task, run) = (start.task, start.run);
                 self.engine
-                    .started(&worker, task, run, StartAnswer::Started, now);
+                    .handle_start_answer(&worker, task, run, StartAnswer::Started, now);
                 self.running.push((worker, task, run));
             }
             Effect::Throttle(order) => {
@@ -172,7 +176,7 @@
                     }
                 };
                 self.engine
-                    .throttled(&worker, task, run, order.percent, answer, now);
+                    .handle_throttle_answer(&worker, task, run, order.percent, answer, now);
             }
             _ => {}
         }
--- a/crates/node/src/owner/engine_actor.rs
+++ b/crates/node/src/owner/engine_actor.rs
@@ -287,7 +287,7 @@
                 }
                 Effect::Remove(jobs) => removal::remove_acceptances(&self.shared, jobs),
                 Effect::Log(record) => self.log_record(&record),
-                Effect::Deposed => {
+                Effect::OwnershipLost => {
                     slog::warn!(self.shared.log, "fenced"; "epoch" => %self.engine.epoch());
                     self.is_deposed = true;
                     self.shared.ownership.send_replace(None);
@@ -427,8 +427,8 @@
         self.shared.meter.workspaces(self.engine.usage());
         if self.shared.meter.may_log("believed") {
             slog::info!(self.shared.log, "believed"; "epoch" => epoch, "jobs" => counts.jobs,
-                "waiting" => counts.waiting,
-                "open_steps" => counts.open_steps, "claims" => counts.claims,
+                "waiting" => counts.pending_jobs,
+                "open_steps" => counts.open_steps, "claims" => counts.allocations,
                 "listed" => counts.listed_runs,
                 "lag_ms" => millis(self.shared.lag.take_longest_wait()),
                 "owned_ms" => millis(self.started_at.elapsed()),
--- a/crates/node/src/owner/orders.rs
+++ b/crates/node/src/owner/orders.rs
@@ -163,16 +163,16 @@
         let engine = &mut self.engine;
         match report {
             Report::Started(worker, task, run, answer) => {
-                engine.started(&worker, task, run, answer, now);
+                engine.handle_start_answer(&worker, task, run, answer, now);
             }
             Report::Stopped(worker, task, run, answer) => {
-                engine.stopped(&worker, task, run, answer, now);
+                engine.handle_stop_answer(&worker, task, run, answer, now);
             }
             Report::Throttled(worker, task, run, percent, answer) => {
-                engine.throttled(&worker, task, run, percent, answer, now);
+                engine.handle_throttle_answer(&worker, task, run, percent, answer, now);
             }
-            Report::Inventory(worker, asked, answer) => {
-                engine.handle_heartbeat_answer(&worker, asked, answer, now)
+            Report::Inventory(worker, sent_at, answer) => {
+                engine.handle_heartbeat_answer(&worker, sent_at, answer, now)
             }
         }
     }
--- a/crates/node/tests/node/platform.rs
+++ b/crates/node/tests/node/platform.rs
@@ -756,11 +756,11 @@
         StopAnswer::Confirmed
     }
 
-    async fn pace(&self, _: Throttle) -> StopAnswer {
+    async fn throttle(&self, _: Throttle) -> StopAnswer {
         StopAnswer::Confirmed
     }
 
-    async fn hold(&self, order: Heartbeat) -> HeartbeatAnswer {
+    async fn heartbeat(&self, order: Heartbeat) -> HeartbeatAnswer {
         let until = Instant::now() + order.wait;
         loop {
             sleep(CALL_LATENCY).await;
@@ -790,7 +790,7 @@
                     checkpoint: None,
                     load: 0,
                 });
-                return HeartbeatAnswer::Listed(Inventory {
+                return HeartbeatAnswer::Inventory(Inventory {
                     incarnation: None,
                     clock: 1,
                     running: running.collect(),
