--- a/crates/cell/src/engine/job.rs
+++ b/crates/cell/src/engine/job.rs
@@ -56,8 +56,8 @@
     pub(super) crashes: Vec<Crash>,
     /// When the task began to wait for an empty worker.
     pub(super) waits_for_empty_since: Option<Timestamp>,
-    /// Runs on workers that were given up, each with the time until which its worker may still return and report that
-    /// the run failed.
+    /// Runs on workers that were declared lost, each with the time until which its worker may still return and report
+    /// that the run failed.
     pub(super) lost_runs: Vec<(Run, Timestamp)>,
     /// The last run that was started.
     pub(super) last_run: Run,
@@ -73,7 +73,7 @@
     /// Tasks that are neither done nor under way.
     pub(super) waiting: BTreeSet<u16>,
     pub(super) done: u16,
-    /// How many tasks are done according to the store; later steps start by this number.
+    /// How many tasks are done according to the store; later steps open once this is all of them.
     pub(super) recorded_done: u16,
     /// When the step was opened: its predecessors are done, so that it may start.
     pub(super) opened_at: Option<Timestamp>,
--- a/crates/cell/src/engine/order.rs
+++ b/crates/cell/src/engine/order.rs
@@ -40,8 +40,8 @@
 
 /// How long a worker gets no new tasks after it rejected a start order.
 const REJECTION_BACKOFF: Duration = Duration::from_millis(500);
-/// After this many unanswered start orders a run is stopped. On bad days a twentieth of all orders goes unanswered; a
-/// worker that answers none of several doesn't answer heartbeats either.
+/// After this many unanswered start orders a run is stopped. On days with many faults a twentieth of all orders
+/// goes unanswered; a worker that answers none of several doesn't answer heartbeats either.
 const MAX_UNANSWERED_STARTS: u8 = 3;
 /// How long to wait before a stop order is sent again.
 const STOP_RETRY_DELAY: Duration = Duration::from_millis(100);
@@ -51,7 +51,7 @@
 
 impl Engine {
     /// Handles the answer to a start order.
-    pub fn started(
+    pub fn handle_start_answer(
         &mut self,
         worker: &WorkerId,
         task: TaskId,
@@ -76,7 +76,7 @@
                 self.confirm(slot, task, run, now);
             }
             StartAnswer::Fenced if !self.may_have_stale_orders(slot) => {
-                self.outbox.push(Effect::Deposed)
+                self.outbox.push(Effect::OwnershipLost)
             }
             StartAnswer::Replaced => self.remove_lost_worker(slot, "replaced", now),
             StartAnswer::NoAnswer => self.retry_start(slot, task, run, now),
@@ -99,7 +99,7 @@
                 if let Some(worker) = self.workers.get_mut(&slot) {
                     worker.backoff_until = worker.backoff_until.max(now + REJECTION_BACKOFF);
                 }
-                match self.unanswered(slot, task, run) {
+                match self.unanswered_starts(slot, task, run) {
                     0 => self.release(slot, task, run, now),
                     // An earlier copy of the order may still be carried out.
                     _ => self.stop(slot, task, run, "unanswered", now),
@@ -122,8 +122,8 @@
     fn is_unfinished(&self, task: TaskId) -> bool {
         let job = self.jobs.get(&task.step.job).filter(|job| !job.is_over());
         let stage = job.and_then(|job| job.stage(task.step));
-        let own = stage.and_then(|stage| stage.task(task.index));
-        own.is_some_and(|own| !own.is_done)
+        let state = stage.and_then(|stage| stage.task(task.index));
+        state.is_some_and(|state| !state.is_done)
     }
 
     /// Returns whether unanswered start orders are sent to a worker again. They are not sent to a worker that has
@@ -136,7 +136,7 @@
     }
 
     /// Returns how many start orders of a run are unanswered.
-    fn unanswered(&self, slot: Slot, task: TaskId, run: Run) -> u8 {
+    fn unanswered_starts(&self, slot: Slot, task: TaskId, run: Run) -> u8 {
         let worker = self.workers.get(&slot);
         let allocation = worker.and_then(|worker| worker.allocations.get(&(task, run)));
         allocation.map_or(0, |allocation| allocation.unanswered_starts)
@@ -369,7 +369,7 @@
     }
 
     /// Handles the answer to a stop order.
-    pub fn stopped(
+    pub fn handle_stop_answer(
         &mut self,
         worker: &WorkerId,
         task: TaskId,
@@ -401,7 +401,7 @@
                 }
             }
             StopAnswer::Fenced if !self.may_have_stale_orders(slot) => {
-                self.outbox.push(Effect::Deposed);
+                self.outbox.push(Effect::OwnershipLost);
             }
             StopAnswer::NoAnswer | StopAnswer::Fenced => {
                 self.stops
--- a/crates/cell/src/worker.rs
+++ b/crates/cell/src/worker.rs
@@ -90,7 +90,7 @@
 }
 
 impl Allocation {
-    /// Records that the worker has the run.
+    /// Notes that the worker has the run.
     pub fn confirm(&mut self, now: Timestamp) {
         self.first_confirmed.get_or_insert(now);
         self.resend_when_heard = false;
@@ -251,12 +251,12 @@
         }
     }
 
-    /// Records the worker's clock at the time of its answer.
+    /// Notes the worker's clock at the time of its answer.
     pub fn read_clock(&mut self, millis: u64, now: Timestamp) {
         self.clock_reading = Some(ClockReading { millis, at: now });
     }
 
-    /// Returns the end of the longest possible lease on the worker's clock, and records that it is granted.
+    /// Returns the end of the longest possible lease on the worker's clock, and notes that it is granted.
     pub fn extend_lease(&mut self, bounds: &Bounds, now: Timestamp) -> Option<u64> {
         let reading = self.clock_reading?;
         let elapsed = now.since(reading.at) + bounds.lease;
@@ -284,15 +284,15 @@
             .is_none_or(|(registered, heard)| registered == heard)
     }
 
-    /// Returns which incarnation sent an answer to a call made at `asked`.
+    /// Returns which incarnation sent an answer to a call made at `sent_at`.
     ///
     /// The clocks that number incarnations may jump back. A call that was made after an incarnation had answered, to
     /// this owner or a former one, can't have reached an earlier incarnation.
-    pub fn identify(&self, reported: Option<Incarnation>, asked: Timestamp) -> Sender {
+    pub fn identify(&self, reported: Option<Incarnation>, sent_at: Timestamp) -> Sender {
         let Some((reported, known)) = reported.zip(self.incarnation) else {
             return Sender::Current;
         };
-        let is_after = self.heard.is_none_or(|heard| heard <= asked);
+        let is_after = self.heard.is_none_or(|heard| heard <= sent_at);
         match reported.cmp(&known) {
             Ordering::Equal => Sender::Current,
             Ordering::Less if !is_after => Sender::Former,
@@ -319,10 +319,10 @@
         self.throttling = Throttling::default();
     }
 
-    /// Returns whether an inventory requested at `asked` proves that no order to start a run can be carried out any
+    /// Returns whether an inventory requested at `sent_at` proves that no order to start a run can be carried out any
     /// more, because all of these orders were for a former incarnation.
-    pub fn is_obsolete(&self, allocation: &Allocation, asked: Timestamp) -> bool {
-        allocation.fence < self.fence && self.fence_raised.is_some_and(|raised| raised <= asked)
+    pub fn are_orders_obsolete(&self, allocation: &Allocation, sent_at: Timestamp) -> bool {
+        allocation.fence < self.fence && self.fence_raised.is_some_and(|raised| raised <= sent_at)
     }
 
     /// Returns the serial number of the last end that it may forget. It is zero while the next answer may come from
@@ -435,8 +435,8 @@
         sizes.try_fold(Resources::ZERO, |sum, size| sum.checked_add(size))
     }
 
-    /// Records that a run is over.
-    pub fn end(&mut self, task: TaskId, run: Run, now: Timestamp) {
+    /// Notes that a run is over.
+    pub fn note_end(&mut self, task: TaskId, run: Run, now: Timestamp) {
         while let Some((at, ..)) = self.ended_runs.front()
             && now.since(*at) > MAX_INVENTORY_DELAY
         {
@@ -457,7 +457,7 @@
     }
 
     /// Returns whether a newer registration changes which steps can run on the worker.
-    pub fn offer_differs(&self, newer: &Registration) -> bool {
+    pub fn capabilities_differ(&self, newer: &Registration) -> bool {
         let own = &self.registration;
         (&own.pool, own.capacity, &own.labels) != (&newer.pool, newer.capacity, &newer.labels)
     }
--- a/crates/cell/tests/cell/incarnation.rs
+++ b/crates/cell/tests/cell/incarnation.rs
@@ -162,7 +162,7 @@
                     Effect::Start(start) => self.starts.push(*start),
                     Effect::Stop(stop) => self.stops.push(stop),
                     Effect::Log(record) => self.log_records.push(record),
-                    Effect::Deposed => self.is_deposed = true,
+                    Effect::OwnershipLost => self.is_deposed = true,
                     _ => {}
                 }
             }
@@ -193,18 +193,18 @@
             running: running.collect(),
             ended: Vec::new(),
         };
-        self.answer_heartbeat(heartbeat, HeartbeatAnswer::Listed(inventory));
+        self.answer_heartbeat(heartbeat, HeartbeatAnswer::Inventory(inventory));
     }
 
     fn answer_heartbeat(&mut self, heartbeat: &Heartbeat, answer: HeartbeatAnswer) {
         self.engine
-            .handle_heartbeat_answer(&self.worker, heartbeat.asked, answer, self.now);
+            .handle_heartbeat_answer(&self.worker, heartbeat.sent_at, answer, self.now);
         self.advance(MILLISECOND);
     }
 
     fn started(&mut self, task: TaskId, run: Run, answer: StartAnswer) {
         self.engine
-            .started(&self.worker, task, run, answer, self.now);
+            .handle_start_answer(&self.worker, task, run, answer, self.now);
         self.advance(MILLISECOND);
     }
 
@@ -317,7 +317,7 @@
     harness.started(tasks[1], Run(1), StartAnswer::Started);
     harness.restart(&[(tasks[0], Run(1))]);
     assert_eq!(harness.crash_count(), 1);
-    assert_eq!(harness.engine.counts().claims, 1);
+    assert_eq!(harness.engine.counts().allocations, 1);
 }
 
 #[test]
@@ -357,7 +357,7 @@
         harness.started(tasks[0], Run(1), StartAnswer::NoAnswer);
     }
     assert_eq!(harness.stops.len(), 1);
-    harness.engine.stopped(
+    harness.engine.handle_stop_answer(
         &harness.worker,
         tasks[0],
         Run(1),
@@ -367,7 +367,7 @@
     harness.restart(&[]);
     assert_eq!(harness.stops.len(), 2);
     // One of the unanswered orders may still arrive late, and is refused from then on.
-    assert_eq!(harness.engine.counts().claims, 1);
+    assert_eq!(harness.engine.counts().allocations, 1);
 }
 
 #[test]
--- a/crates/cell/tests/cell/pending.rs
+++ b/crates/cell/tests/cell/pending.rs
@@ -130,12 +130,12 @@
         now,
     );
     let effects = engine.advance(now);
-    let asked = effects.iter().find_map(|effect| match effect {
-        Effect::Heartbeat(heartbeat) => Some(heartbeat.asked),
+    let sent_at = effects.iter().find_map(|effect| match effect {
+        Effect::Heartbeat(heartbeat) => Some(heartbeat.sent_at),
         _ => None,
     });
-    let asked = asked.expect("a new owner sends a heartbeat to every worker");
-    engine.handle_heartbeat_answer(&worker, asked, HeartbeatAnswer::Listed(inventory), now);
+    let sent_at = sent_at.expect("a new owner sends a heartbeat to every worker");
+    engine.handle_heartbeat_answer(&worker, sent_at, HeartbeatAnswer::Inventory(inventory), now);
     engine
 }
 
@@ -224,7 +224,7 @@
     let now = world.now;
     world
         .engine
-        .started(&worker, task, run, StartAnswer::Stale, now);
+        .handle_start_answer(&worker, task, run, StartAnswer::Stale, now);
     assert_eq!(world.engine.pending(&QueueName::from("batch")), 1);
     assert_eq!(world.engine.state(job), Some(State::Queued));
 }
--- a/crates/cell/tests/cell/takeover.rs
+++ b/crates/cell/tests/cell/takeover.rs
@@ -129,14 +129,14 @@
                 Effect::Heartbeat(heartbeat) if heartbeat.to.worker == silent => {
                     engine.handle_heartbeat_answer(
                         &silent,
-                        heartbeat.asked,
+                        heartbeat.sent_at,
                         HeartbeatAnswer::NoAnswer,
                         now,
                     );
                 }
                 Effect::Heartbeat(heartbeat) => {
-                    let empty = HeartbeatAnswer::Listed(Inventory::default());
-                    engine.handle_heartbeat_answer(&healthy, heartbeat.asked, empty, now);
+                    let empty = HeartbeatAnswer::Inventory(Inventory::default());
+                    engine.handle_heartbeat_answer(&healthy, heartbeat.sent_at, empty, now);
                 }
                 Effect::Record(_) => engine.handle_recorded(now),
                 _ => {}
@@ -178,8 +178,8 @@
     let mut engine = Engine::new(Epoch(2), Bounds::default(), stored, now);
     engine.set_evacuation(Evacuation::default(), now, now);
     let effects = engine.advance(now);
-    let asked = effects.iter().find_map(|effect| match effect {
-        Effect::Heartbeat(heartbeat) => Some(heartbeat.asked),
+    let sent_at = effects.iter().find_map(|effect| match effect {
+        Effect::Heartbeat(heartbeat) => Some(heartbeat.sent_at),
         _ => None,
     });
     let running = Running {
@@ -194,8 +194,8 @@
         running: vec![running],
         ended: Vec::new(),
     };
-    let asked = asked.expect("the worker is sent a heartbeat");
-    engine.handle_heartbeat_answer(&worker, asked, HeartbeatAnswer::Listed(inventory), now);
+    let sent_at = sent_at.expect("the worker is sent a heartbeat");
+    engine.handle_heartbeat_answer(&worker, sent_at, HeartbeatAnswer::Inventory(inventory), now);
     let effects = [effects, engine.advance(now)].concat();
     let stops = effects
         .iter()
--- a/crates/node/src/frontend/mod.rs
+++ b/crates/node/src/frontend/mod.rs
@@ -64,7 +64,7 @@
         Platform,
         Record, //
     },
-    retry_delay::Refusals,
+    retry_delay::RefusedJobs,
     shared::Shared,
     telemetry::millis,
 };
@@ -124,7 +124,7 @@
 pub struct Frontend<P: Platform> {
     shared: Arc<Shared<P>>,
     intake: Intake,
-    refusals: Arc<Mutex<Refusals>>,
+    refusals: Arc<Mutex<RefusedJobs>>,
     /// The workspace of the served callers, if they have one.
     workspace: Option<Arc<Workspace>>,
 }
@@ -186,7 +186,7 @@
     /// Returns whether this node's configuration may be older than the one in force on other nodes.
     ///
     /// This is the case if the store has been unreachable for this node alone for some time. While the store is
-    /// unavailable for all nodes, there is no newer configuration, and only the revocation bound applies.
+    /// unavailable for all nodes, there is no newer configuration, and only the revocation limit applies.
     fn is_config_outdated(&self) -> bool {
         let is_isolated = self.shared.is_isolated.load(Ordering::Relaxed);
         let age = self.shared.config_confirmed_at.borrow().elapsed();
@@ -303,8 +303,8 @@
     /// Returns how long the caller of a refused job should wait before it retries.
     pub fn retry_after(&self, job: JobId) -> Duration {
         let is_isolated = self.shared.is_isolated.load(Ordering::Relaxed);
-        let mut refusals = self.refusals.lock().unwrap_or_else(PoisonError::into_inner);
-        refusals.retry_delay(job, is_isolated)
+        let mut refused_jobs = self.refusals.lock().unwrap_or_else(PoisonError::into_inner);
+        refused_jobs.retry_delay(job, is_isolated)
     }
 
     /// Returns the state of a job.
--- a/crates/node/src/order.rs
+++ b/crates/node/src/order.rs
@@ -97,7 +97,7 @@
                 Report::Throttled(worker, task, run, percent, StopAnswer::NoAnswer)
             }
             Self::Heartbeat(order) => {
-                Report::Inventory(worker, order.asked, HeartbeatAnswer::NoAnswer)
+                Report::Inventory(worker, order.sent_at, HeartbeatAnswer::NoAnswer)
             }
         }
     }
@@ -132,15 +132,15 @@
             Self::Throttle(order) => {
                 let worker = order.to.worker.clone();
                 let (task, run, percent) = (order.task, order.run, order.percent);
-                let answer = platform.pace(order).await;
+                let answer = platform.throttle(order).await;
                 let report = Report::Throttled(worker, task, run, percent, answer);
                 ("pace", report, answer.as_str())
             }
             Self::Heartbeat(order) => {
-                let (worker, asked) = (order.to.worker.clone(), order.asked);
-                let answer = platform.hold(order).await;
+                let (worker, sent_at) = (order.to.worker.clone(), order.sent_at);
+                let answer = platform.heartbeat(order).await;
                 let outcome = answer.as_str();
-                ("hold", Report::Inventory(worker, asked, answer), outcome)
+                ("hold", Report::Inventory(worker, sent_at, answer), outcome)
             }
         };
         meter.worker_call(kind, started_at.elapsed(), outcome);
--- a/crates/node/src/platform.rs
+++ b/crates/node/src/platform.rs
@@ -48,7 +48,7 @@
 /// The topics of the store. Each topic keeps at least the newest record of every key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Topic {
-    /// Accepted and cancelled jobs, partitioned by job.
+    /// Accepted and cancelled jobs; carries the number of the partition.
     Jobs(u16),
     /// The progress of jobs and the workers that were used; written only by the owner.
     Progress,
@@ -159,7 +159,7 @@
     /// The value doesn't have the expected structure.
     #[error("its value is not of the expected form")]
     Structure,
-    /// The id differs from that in the key, or can't be put into an order.
+    /// The id differs from that in the key, or can't be used in an order to a worker.
     #[error("its id is not that of its key, or can't be used")]
     Id,
     /// The record has no usable address.
@@ -277,10 +277,10 @@
     fn stop(&self, order: Stop) -> impl Future<Output = StopAnswer> + Send;
 
     /// Orders a worker to run a best-effort task at a share of its processor.
-    fn pace(&self, order: Throttle) -> impl Future<Output = StopAnswer> + Send;
+    fn throttle(&self, order: Throttle) -> impl Future<Output = StopAnswer> + Send;
 
     /// Extends a worker's lease and asks for its inventory.
-    fn hold(&self, order: Heartbeat) -> impl Future<Output = HeartbeatAnswer> + Send;
+    fn heartbeat(&self, order: Heartbeat) -> impl Future<Output = HeartbeatAnswer> + Send;
 
     /// Asks the advice service which of the given workers may run a step; `None` if there was no answer.
     fn advise(
--- a/crates/node/src/telemetry.rs
+++ b/crates/node/src/telemetry.rs
@@ -56,7 +56,7 @@
 struct RateLimit {
     since: Instant,
     written: u32,
-    left_out: u64,
+    suppressed: u64,
 }
 
 struct Inner {
@@ -69,9 +69,9 @@
     wait: Histogram<f64>,
     finish: Histogram<f64>,
     advice: Histogram<f64>,
-    believed: Gauge<u64>,
+    engine_state: Gauge<u64>,
     workspaces: Gauge<u64>,
-    left_out: Counter<u64>,
+    suppressed_lines: Counter<u64>,
     lost_reports: Counter<u64>,
     rejected: Counter<u64>,
     peer_calls: Counter<u64>,
@@ -123,12 +123,13 @@
                 "From a job's arrival to the record of its end.",
             ),
             advice: registry.histogram("fulmarpier_advice_seconds", "Calls for advice."),
-            believed: registry.gauge("fulmarpier_believed", "What the owner believes, by kind."),
+            engine_state: registry
+                .gauge("fulmarpier_believed", "What the owner believes, by kind."),
             workspaces: registry.gauge(
                 "fulmarpier_workspace",
                 "What workspaces have running and may have, by workspace, resource and kind.",
             ),
-            left_out: registry.counter(
+            suppressed_lines: registry.counter(
                 "fulmarpier_log_lines_left_out",
                 "Lines left out of the log by kind.",
             ),
@@ -165,7 +166,7 @@
         let limit = rate_limits.entry(kind).or_insert(RateLimit {
             since: now,
             written: 0,
-            left_out: 0,
+            suppressed: 0,
         });
         if now.duration_since(limit.since) >= SECOND {
             limit.since = now;
@@ -175,25 +176,27 @@
             limit.written += 1;
             return true;
         }
-        limit.left_out += 1;
-        self.0.left_out.add(1, &[KeyValue::new("kind", kind)]);
+        limit.suppressed += 1;
+        self.0
+            .suppressed_lines
+            .add(1, &[KeyValue::new("kind", kind)]);
         false
     }
 
-    /// Returns the number of lines of each kind that were left out since the last call.
-    pub(crate) fn take_omitted_lines(&self) -> Vec<(&'static str, u64)> {
+    /// Returns the number of lines of each kind that were suppressed since the last call.
+    pub(crate) fn take_suppressed_lines(&self) -> Vec<(&'static str, u64)> {
         let Ok(mut rate_limits) = self.0.rate_limits.lock() else {
             return Vec::new();
         };
-        let left = rate_limits
+        let counts = rate_limits
             .iter_mut()
-            .map(|(kind, limit)| (*kind, std::mem::take(&mut limit.left_out)));
-        left.filter(|(_, count)| *count > 0).collect()
+            .map(|(kind, limit)| (*kind, std::mem::take(&mut limit.suppressed)));
+        counts.filter(|(_, count)| *count > 0).collect()
     }
 
-    pub(crate) fn request(&self, what: &'static str, outcome: &'static str) {
+    pub(crate) fn request(&self, call: &'static str, outcome: &'static str) {
         let labels = [
-            KeyValue::new("call", what),
+            KeyValue::new("call", call),
             KeyValue::new("outcome", outcome),
         ];
         self.0.requests.add(1, &labels);
@@ -254,10 +257,10 @@
     pub(crate) fn engine_counts(&self, counts: &Counts, epoch: u64, staleness: Duration) {
         let gauges: [(&'static str, usize); 10] = [
             ("jobs", counts.jobs),
-            ("waiting", counts.waiting),
+            ("waiting", counts.pending_jobs),
             ("open_steps", counts.open_steps),
             ("steps_aside", counts.unschedulable_steps),
-            ("claims", counts.claims),
+            ("claims", counts.allocations),
             ("listed", counts.listed_runs),
             ("workers_heard", counts.workers_heard),
             ("workers_silent", counts.workers_silent),
@@ -267,12 +270,12 @@
         for (kind, value) in gauges {
             let value = u64::try_from(value).unwrap_or(u64::MAX);
             self.0
-                .believed
+                .engine_state
                 .record(value, &[KeyValue::new("kind", kind)]);
         }
         for (kind, value) in [("epoch", epoch), ("view_ms", millis(staleness))] {
             let labels = [KeyValue::new("kind", kind)];
-            self.0.believed.record(value, &labels);
+            self.0.engine_state.record(value, &labels);
         }
     }
 
@@ -449,18 +452,18 @@
             waited,
         } => slog::info!(log, "waits"; "step" => %step, "why" => why.as_str(),
             "label" => label.as_deref().unwrap_or_default(), "tasks" => tasks,
-            "named" => survey.named, "allowed" => survey.allowed, "open" => survey.open,
-            "room" => survey.room, "ticketed" => survey.room_with_ticket,
+            "named" => survey.asked, "allowed" => survey.allowed, "open" => survey.available,
+            "room" => survey.fitting_tasks, "ticketed" => survey.fitting_tasks_with_ticket,
             "heard_ms" => survey.longest_silence.map_or(-1, |age| i64::try_from(age.as_millis()).unwrap_or(-1)),
             "waited_ms" => millis(*waited)),
         LogRecord::Advised {
             step,
             node,
-            named,
+            asked,
             allowed,
             took,
         } => slog::info!(log, "advised"; "step" => %step, "node" => node.as_str(),
-            "named" => named, "allowed" => allowed.map_or(-1, |count| i64::try_from(count).unwrap_or(i64::MAX)),
+            "named" => asked, "allowed" => allowed.map_or(-1, |count| i64::try_from(count).unwrap_or(i64::MAX)),
             "took_ms" => millis(*took)),
     }
 }
--- a/crates/node/tests/assignment.rs
+++ b/crates/node/tests/assignment.rs
@@ -16,11 +16,11 @@
 /// The maximum number of concurrent connections of a node to one worker.
 const CONNECTIONS: usize = 4;
 
-fn peer(port: u16, processor: u32, descriptors: u32) -> Peer {
+fn peer(port: u16, strength: u32, descriptors: u32) -> Peer {
     Peer {
         node: NodeName::from(format!("n{port}")),
         address: ([127, 0, 0, 1], port).into(),
-        processor: Millicores(processor),
+        strength: Millicores(strength),
         descriptors,
     }
 }
@@ -41,7 +41,7 @@
     counts
 }
 
-/// As a fleet and its number of strong nodes grow, no node may get more workers than its descriptors suffice for.
+/// As a fleet and its number of strong nodes grow, no node may get more workers than its file descriptors suffice for.
 #[rstest]
 #[case::small(350, 8)]
 #[case::large(6_000, 60)]
@@ -78,7 +78,7 @@
     );
 }
 
-/// Nodes that the owner outranks can't handle the orders.
+/// Nodes that are much weaker than the owner can't handle the orders.
 #[test]
 fn weak_nodes_send_no_orders() {
     let peers = (1..8).map(|port| peer(port, 120, 4_100)).collect();
--- a/crates/node/tests/node/platform.rs
+++ b/crates/node/tests/node/platform.rs
@@ -304,9 +304,9 @@
             key: accepted.job.to_string(),
             value: Some(record::encode(accepted).unwrap().into()),
         };
-        let place = topic_name(Topic::Jobs(partition));
+        let topic = topic_name(Topic::Jobs(partition));
         let mut state = self.state();
-        state.topics.entry(place).or_default().push(record);
+        state.topics.entry(topic).or_default().push(record);
     }
 
     /// Writes a record with any value into a partition of the jobs.
@@ -315,9 +315,9 @@
             key: key.to_owned(),
             value: Some(value.into()),
         };
-        let place = topic_name(Topic::Jobs(partition));
+        let topic = topic_name(Topic::Jobs(partition));
         let mut state = self.state();
-        state.topics.entry(place).or_default().push(record);
+        state.topics.entry(topic).or_default().push(record);
     }
 
     /// Records a job's cancellation as a node does, without notifying the owner.
@@ -326,9 +326,9 @@
             key: format!("{}/x", JobId(job)),
             value: Some(vec![1].into()),
         };
-        let place = topic_name(Topic::Jobs(partition));
+        let topic = topic_name(Topic::Jobs(partition));
         let mut state = self.state();
-        state.topics.entry(place).or_default().push(record);
+        state.topics.entry(topic).or_default().push(record);
     }
 
     /// Writes a record as a writer other than the nodes does.
@@ -591,8 +591,8 @@
     fn apply_append(&self, append: Append) -> Result<u64, Error> {
         let mut state = self.state();
         state.appends += 1;
-        let place = topic_name(append.topic);
-        let end = state.topics.entry(place.clone()).or_default().len() as u64;
+        let name = topic_name(append.topic);
+        let end = state.topics.entry(name.clone()).or_default().len() as u64;
         match append.condition {
             Condition::None => {}
             Condition::EndsAt(at) if at == end => {}
@@ -610,7 +610,7 @@
                 state.last_append = Some((epoch.0, sequence, end + append.records.len() as u64));
             }
         }
-        let topic = state.topics.entry(place).or_default();
+        let topic = state.topics.entry(name).or_default();
         topic.extend(append.records);
         Ok(topic.len() as u64)
     }
@@ -756,11 +756,11 @@
         StopAnswer::Confirmed
     }
 
-    async fn pace(&self, _: Throttle) -> StopAnswer {
+    async fn throttle(&self, _: Throttle) -> StopAnswer {
         StopAnswer::Confirmed
     }
 
-    async fn hold(&self, order: Heartbeat) -> HeartbeatAnswer {
+    async fn heartbeat(&self, order: Heartbeat) -> HeartbeatAnswer {
         let until = Instant::now() + order.wait;
         loop {
             sleep(CALL_LATENCY).await;
@@ -790,7 +790,7 @@
                     checkpoint: None,
                     load: 0,
                 });
-                return HeartbeatAnswer::Listed(Inventory {
+                return HeartbeatAnswer::Inventory(Inventory {
                     incarnation: None,
                     clock: 1,
                     running: running.collect(),
@@ -808,6 +808,8 @@
         *self.suspended.lock().unwrap()
     }
 
+    /// Decodes a configuration: `1` is version 1, in which the queue uses pool `p`; `2` is version 2, in which it uses
+    /// pool `elsewhere`; for a text that names workspaces, see [`KEYS_PREFIX`].
     fn configuration(&self, record: &Record) -> Result<Option<Config>, Fault> {
         let (version, pool) = match (record.key.as_str(), record.value.as_deref()) {
             ("config", Some(b"1")) => (1, "p"),
@@ -846,6 +848,7 @@
         }
     }
 
+    /// Decodes a worker's entry: `here` registers the worker in pool `p`, and `elsewhere` in pool `elsewhere`.
     fn registration(
         &self,
         record: &Record,
