--- a/crates/cell/src/engine/crash.rs
+++ b/crates/cell/src/engine/crash.rs
@@ -47,17 +47,17 @@
     },
 };
 
-/// How long after the start of a run a crash of its worker may be due to it.
+/// How long after the start of a run a crash of its worker may be attributed to the run.
 ///
 /// Crashes at the start of a task occur 34 to 52 ms after the decision to start it; the rest allows for nodes that
 /// process the answers of workers late.
 const START_CRASH_WINDOW: Duration = Duration::from_millis(500);
-/// The number of crashes from which on a task runs alone: callers tolerate two crashes of a task that shares its
-/// worker.
+/// The number of crashes after which a task runs alone: callers tolerate two crashes of a task that shares its worker.
 const MIN_SUSPECT_CRASHES: usize = 2;
 /// The number of crashes that prove a task to be at fault, if it ran alone at the last one.
 const MAX_CRASHES_ALONE: usize = 3;
-/// How many of these crashes have to be certain, that is, the task is known to have been on the worker.
+/// How many of the crashes that prove a task to be at fault have to be certain, that is, the task is known to have been
+/// on the worker.
 ///
 /// Callers accept that a task is given up after it was present at two crashes, but not if it was present at none.
 const MIN_CERTAIN_CRASHES: usize = 2;
@@ -71,7 +71,8 @@
 /// Then it shares a worker with other tasks, so that a fleet that is full or runs only long-running tasks doesn't block
 /// it for ever.
 const MAX_WAIT_FOR_EMPTY_WORKER: Duration = Duration::from_millis(2_500);
-/// How long a suspect waits if a worker is being emptied for it: longer than most of the tasks there still run.
+/// How long a suspect waits if a worker is being emptied for it: longer than the remaining run time of most tasks
+/// there.
 const MAX_WAIT_FOR_EMPTYING_WORKER: Duration = Duration::from_millis(6_000);
 /// At most one in this many workers of a pool is emptied at a time for tasks that run alone.
 ///
@@ -79,8 +80,8 @@
 const WORKERS_PER_EMPTIED_WORKER: usize = 8;
 
 impl Allocation {
-    /// Notes whether the run has outlived the crash window, given that its worker lists it in answer to a call made at
-    /// `sent_at`.
+    /// Records whether the run has outlived [`START_CRASH_WINDOW`], given that its worker lists it in answer to a call
+    /// made at `sent_at`.
     ///
     /// The arrival time of the answer proves nothing: a slow owner may process an answer of a worker that is gone by
     /// then.
--- a/crates/cell/tests/cell/world/evacuate.rs
+++ b/crates/cell/tests/cell/world/evacuate.rs
@@ -23,7 +23,7 @@
 
 /// How long after the evacuation of a data centre a task may still be started there.
 const EVACUATION_DEADLINE: Duration = Duration::from_secs(3);
-/// Maximum time until the nodes have read a change, while the store is available.
+/// Maximum time until the nodes have read which data centres are evacuated, while the store is available.
 const MAX_READ_DELAY: Duration = Duration::from_millis(300);
 
 /// Returns the engine's bounds for a history with the given faults.
--- a/crates/node/src/config_exchange.rs
+++ b/crates/node/src/config_exchange.rs
@@ -47,7 +47,8 @@
     }
 }
 
-/// Asks the owner for the configuration whenever the store is silent, for as long as the process runs.
+/// Asks the owner for the configuration whenever this node's configuration has not been confirmed for
+/// [`MAX_STORE_SILENCE`]; runs until the process ends.
 pub(crate) async fn poll_owner<P: Platform>(shared: Arc<Shared<P>>) {
     loop {
         sleep(POLL_INTERVAL).await;
@@ -58,17 +59,17 @@
         let Some(owner) = owner.filter(|address| *address != shared.address) else {
             continue;
         };
-        let asked = Instant::now();
+        let requested_at = Instant::now();
         let request = Request::Configuration(version(&shared));
         let answer = message::send(&shared.rpc, owner, &request, CALL_TIMEOUT).await;
         if let Ok(Reply::Configuration(state)) = answer {
-            apply(&shared, state, asked);
+            apply(&shared, state, requested_at);
         }
     }
 }
 
-/// Applies the owner's configuration, which was requested at `asked`.
-fn apply<P: Platform>(shared: &Shared<P>, state: ConfigState, asked: Instant) {
+/// Applies the owner's configuration, which was requested at `requested_at`.
+fn apply<P: Platform>(shared: &Shared<P>, state: ConfigState, requested_at: Instant) {
     if let Some((key, value)) = state.record {
         let record = Record {
             key,
@@ -84,12 +85,12 @@
     if version(shared) != state.version || state.version == 0 {
         return;
     }
-    let Some(confirmed) = asked.checked_sub(state.age) else {
+    let Some(confirmed_at) = requested_at.checked_sub(state.age) else {
         return;
     };
     shared.config_confirmed_at.send_if_modified(|read| {
-        let is_newer = confirmed > *read;
-        *read = confirmed.max(*read);
+        let is_newer = confirmed_at > *read;
+        *read = confirmed_at.max(*read);
         is_newer
     });
 }
--- a/crates/node/src/owner/engine_actor.rs
+++ b/crates/node/src/owner/engine_actor.rs
@@ -299,7 +299,8 @@
         }
     }
 
-    /// Schedules an [`Event::Pass`] for when the next pass is due, if that is before the next tick.
+    /// Schedules an [`Event::Pass`] for when the engine next has a scheduling pass or a record to make, unless one is
+    /// already scheduled.
     fn schedule_pass(&mut self, actor_ref: &ActorRef<Self>) {
         let Some(at) = self.engine.next_pass().filter(|_| !self.is_pass_scheduled) else {
             return;
--- a/crates/node/tests/node/platform.rs
+++ b/crates/node/tests/node/platform.rs
@@ -309,7 +309,7 @@
         state.topics.entry(topic).or_default().push(record);
     }
 
-    /// Writes a record with any value into a partition of the jobs.
+    /// Writes a record with the given raw value, valid or not, into a partition of the jobs.
     pub(crate) fn put_in_partition(&self, partition: u16, key: &str, value: Vec<u8>) {
         let record = Record {
             key: key.to_owned(),
@@ -359,7 +359,7 @@
             .push(record);
     }
 
-    /// Removes all records under a key without leaving a removal record, and truncates the topic's history.
+    /// Removes all records under a key without a removal record that readers see, and truncates the topic's history.
     pub(crate) fn drop_key(&self, topic: Topic, key: &str) {
         let mut state = self.state();
         let records = state.topics.entry(topic_name(topic)).or_default();
@@ -602,10 +602,10 @@
                     return Err(Error::Fenced);
                 }
                 state.fence = epoch.0;
-                if let Some((writer, last, at)) = state.last_append
-                    && (writer, last) == (epoch.0, sequence)
+                if let Some((last_epoch, last_sequence, last_end)) = state.last_append
+                    && (last_epoch, last_sequence) == (epoch.0, sequence)
                 {
-                    return Ok(at);
+                    return Ok(last_end);
                 }
                 state.last_append = Some((epoch.0, sequence, end + append.records.len() as u64));
             }
--- a/crates/node/tests/node/workspace.rs
+++ b/crates/node/tests/node/workspace.rs
@@ -114,8 +114,8 @@
             .authenticate(&config, &ingress(is_public), key.as_ref())
             .map(drop)
     };
-    let frontend = one.frontend().authenticate(&config, &ingress(false), None);
-    assert!(frontend.is_ok(), "without workspaces no key is needed");
+    let result = one.frontend().authenticate(&config, &ingress(false), None);
+    assert!(result.is_ok(), "without workspaces no key is needed");
     configure(&platform, "a=ka,kb b=kc");
     wait_until_admitted(&one, "ka").await;
     assert_eq!(try_key(false, Some("kb")), Ok(()));
@@ -123,7 +123,8 @@
     assert_eq!(try_key(false, Some("")), Err(Refusal::Unauthorized));
     assert_eq!(try_key(false, None), Err(Refusal::Unauthorized));
     assert_eq!(try_key(true, None), Ok(()));
-    // The last key is removed: no caller is admitted.
+    // The last key is removed: no caller is admitted. The blanks make the configuration longer, so its version is higher
+    // than the previous one.
     configure(&platform, "                        ");
     wait_until(|| async { try_key(false, Some("ka")) == Err(Refusal::Unauthorized) }).await;
 }
