--- a/crates/node/tests/node/workspace.rs
+++ b/crates/node/tests/node/workspace.rs
@@ -123,8 +123,8 @@
     assert_eq!(try_key(false, Some("")), Err(Refusal::Unauthorized));
     assert_eq!(try_key(false, None), Err(Refusal::Unauthorized));
     assert_eq!(try_key(true, None), Ok(()));
-    // The last key is removed: no caller is admitted. The blanks make the configuration longer, so its version is higher
-    // than the previous one.
+    // The last key is removed: no caller is admitted. The blanks make the configuration longer, so its version is
+    // higher than the previous one.
     configure(&platform, "                        ");
     wait_until(|| async { try_key(false, Some("ka")) == Err(Refusal::Unauthorized) }).await;
 }
