--- a/crates/cell/tests/cell/incarnation.rs
+++ b/crates/cell/tests/cell/incarnation.rs
@@ -91,7 +91,7 @@
     stops: Vec<Stop>,
     log_records: Vec<LogRecord>,
     records: Vec<Entry>,
-    is_deposed: bool,
+    has_lost_ownership: bool,
     /// Whether the store answers writes.
     is_store_available: bool,
 }
@@ -119,7 +119,7 @@
             stops: Vec::new(),
             log_records: Vec::new(),
             records: Vec::new(),
-            is_deposed: false,
+            has_lost_ownership: false,
             is_store_available: true,
         }
     }
@@ -162,7 +162,7 @@
                     Effect::Start(start) => self.starts.push(*start),
                     Effect::Stop(stop) => self.stops.push(stop),
                     Effect::Log(record) => self.log_records.push(record),
-                    Effect::OwnershipLost => self.is_deposed = true,
+                    Effect::OwnershipLost => self.has_lost_ownership = true,
                     _ => {}
                 }
             }
@@ -271,11 +271,11 @@
     let tasks = harness.submit(JobId(1), 1);
     harness.restart(&[]);
     harness.started(tasks[0], Run(1), StartAnswer::Fenced);
-    assert!(!harness.is_deposed);
+    assert!(!harness.has_lost_ownership);
     // The fence of a later owner shows in the answer to the next heartbeat.
     let heartbeat = harness.heartbeats.pop().unwrap();
     harness.answer_heartbeat(&heartbeat, HeartbeatAnswer::Fenced);
-    assert!(harness.is_deposed);
+    assert!(harness.has_lost_ownership);
 }
 
 #[test]
@@ -289,7 +289,7 @@
     harness.send_inventory(SECOND_INCARNATION, &[]);
     let heartbeats = harness.heartbeats.len();
     harness.answer_heartbeat(&first, HeartbeatAnswer::Fenced);
-    assert!(!harness.is_deposed);
+    assert!(!harness.has_lost_ownership);
     assert_eq!(harness.heartbeats.len(), heartbeats + 1);
 }
 
--- a/crates/node/src/member/own.rs
+++ b/crates/node/src/member/own.rs
@@ -116,13 +116,13 @@
     // This node goes on scheduling while the successor's claim is being written, unless the
     // scheduling itself delays the write.
     if matches!(ending, Ending::HandOver(Reason::Slow)) {
-        depose(shared, &takeover).await;
+        report_ownership_lost(shared, &takeover).await;
     }
     let successor = match ending {
         Ending::HandOver(reason) => hand_over(shared, &claim, &mut end, reason).await,
         Ending::Released(_) | Ending::Lost(_) => None,
     };
-    depose(shared, &takeover).await;
+    report_ownership_lost(shared, &takeover).await;
     shared.ownership.send_replace(None);
     if let Some(successor) = successor {
         announce_successor(shared, successor, &peers).await;
@@ -144,11 +144,11 @@
 }
 
 /// Stops the owner's actor, or the takeover that would start it.
-async fn depose<P: Platform>(shared: &Shared<P>, takeover: &JoinHandle<bool>) {
+async fn report_ownership_lost<P: Platform>(shared: &Shared<P>, takeover: &JoinHandle<bool>) {
     takeover.abort();
     if let Some(actor) = shared.engine_actor() {
         // The actor may have ended already.
-        let _ = actor.tell(Event::Deposed).await;
+        let _ = actor.tell(Event::OwnershipLost).await;
     }
 }
 
--- a/crates/node/src/owner/engine_actor.rs
+++ b/crates/node/src/owner/engine_actor.rs
@@ -102,7 +102,7 @@
     /// Whether a timer is already set for the engine's next pass.
     is_pass_scheduled: bool,
     /// Set once another node may own the cell; from then on no orders are sent.
-    is_deposed: bool,
+    has_lost_ownership: bool,
     /// When the last event was handled. `suspended_total` is the time that the machine had spent
     /// suspended by then.
     last_event_at: Instant,
@@ -151,7 +151,7 @@
     /// A pass over the open steps is due.
     Pass,
     /// Another node owns the cell, or may own it.
-    Deposed,
+    OwnershipLost,
 }
 
 /// Queries the state of a job, as callers of a workspace see it.
@@ -190,7 +190,7 @@
             read_progress,
             started_at: Instant::now(),
             is_pass_scheduled: false,
-            is_deposed: false,
+            has_lost_ownership: false,
             last_event_at: Instant::now(),
             suspended_total: suspended,
             assignment: Assignment::default(),
@@ -208,12 +208,12 @@
     fn check_stall(&mut self) {
         let idle = std::mem::replace(&mut self.last_event_at, Instant::now()).elapsed();
         let suspended = lag::take_suspension(&self.shared.platform, &mut self.suspended_total);
-        if (idle < STALL_THRESHOLD && suspended.is_none()) || self.is_deposed {
+        if (idle < STALL_THRESHOLD && suspended.is_none()) || self.has_lost_ownership {
             return;
         }
         slog::warn!(self.shared.log, "stalled"; "epoch" => %self.engine.epoch(),
             "stood_ms" => millis(idle), "slept_ms" => millis(suspended.unwrap_or_default()));
-        self.is_deposed = true;
+        self.has_lost_ownership = true;
         self.shared.stalled.notify_one();
     }
 
@@ -261,14 +261,14 @@
             // `handle` sends the batches once the orders that result from this event are in them.
             Event::BatchDue => {}
             Event::Pass => self.is_pass_scheduled = false,
-            Event::Deposed => self.is_deposed = true,
+            Event::OwnershipLost => self.has_lost_ownership = true,
         }
     }
 
     fn apply_effects(&mut self, effects: Vec<Effect>, actor_ref: &ActorRef<Self>) {
         let mut orders = Vec::new();
         for effect in effects {
-            if self.is_deposed {
+            if self.has_lost_ownership {
                 return;
             }
             match effect {
@@ -289,12 +289,12 @@
                 Effect::Log(record) => self.log_record(&record),
                 Effect::OwnershipLost => {
                     slog::warn!(self.shared.log, "fenced"; "epoch" => %self.engine.epoch());
-                    self.is_deposed = true;
+                    self.has_lost_ownership = true;
                     self.shared.ownership.send_replace(None);
                 }
             }
         }
-        if !self.is_deposed {
+        if !self.has_lost_ownership {
             self.dispatch(orders, actor_ref);
         }
     }
@@ -379,7 +379,7 @@
         let is_batch_due = matches!(event, Event::BatchDue);
         self.check_stall();
         self.handle_event(event);
-        if self.is_deposed {
+        if self.has_lost_ownership {
             context.actor_ref().kill();
             return;
         }
--- a/crates/node/src/owner/recorder.rs
+++ b/crates/node/src/owner/recorder.rs
@@ -60,7 +60,7 @@
         };
         let event = match is_stored {
             true => Event::Recorded,
-            false => Event::Deposed,
+            false => Event::OwnershipLost,
         };
         // The actor may be stopping.
         let _ = actor.tell(event).await;
