--- a/crates/cell/src/engine/wait.rs
+++ b/crates/cell/src/engine/wait.rs
@@ -213,7 +213,7 @@
         let is_asked = demand.queue.advice.is_none() || stage.advice.is_answered;
         let why = match survey {
             _ if !is_asked && stage.advice.calls_in_flight > 0 => WaitReason::Advice,
-            _ if !is_asked && self.has_open_worker(&demand, now) => WaitReason::AdviceNode,
+            _ if !is_asked && self.has_available_worker(&demand, now) => WaitReason::AdviceNode,
             WaitSurvey { available: 0, .. } if self.is_pool_evacuated(&demand) => {
                 WaitReason::Evacuated
             }
@@ -249,7 +249,7 @@
     }
 
     /// Returns whether any worker accepts tasks of a step, regardless of free capacity and advice.
-    fn has_open_worker(&self, demand: &Demand<'_>, now: Timestamp) -> bool {
+    fn has_available_worker(&self, demand: &Demand<'_>, now: Timestamp) -> bool {
         let slots = self
             .free_capacity
             .with_free_cpu(&demand.queue.pool, Millicores(0));
