--- a/crates/node/src/frontend/mod.rs
+++ b/crates/node/src/frontend/mod.rs
@@ -124,7 +124,7 @@
 pub struct Frontend<P: Platform> {
     shared: Arc<Shared<P>>,
     intake: Intake,
-    refusals: Arc<Mutex<RefusedJobs>>,
+    refused_jobs: Arc<Mutex<RefusedJobs>>,
     /// The workspace of the served callers, if they have one.
     workspace: Option<Arc<Workspace>>,
 }
@@ -134,7 +134,7 @@
         Self {
             shared: self.shared.clone(),
             intake: self.intake.clone(),
-            refusals: self.refusals.clone(),
+            refused_jobs: self.refused_jobs.clone(),
             workspace: self.workspace.clone(),
         }
     }
@@ -145,7 +145,7 @@
         Self {
             shared,
             intake,
-            refusals: Arc::default(),
+            refused_jobs: Arc::default(),
             workspace: None,
         }
     }
@@ -303,7 +303,10 @@
     /// Returns how long the caller of a refused job should wait before it retries.
     pub fn retry_after(&self, job: JobId) -> Duration {
         let is_isolated = self.shared.is_isolated.load(Ordering::Relaxed);
-        let mut refused_jobs = self.refusals.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut refused_jobs = self
+            .refused_jobs
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
         refused_jobs.retry_delay(job, is_isolated)
     }
 
