--- a/crates/node/src/frontend/mod.rs
+++ b/crates/node/src/frontend/mod.rs
@@ -190,7 +190,8 @@
     fn is_config_outdated(&self) -> bool {
         let is_isolated = self.shared.is_isolated.load(Ordering::Relaxed);
         let age = self.shared.config_confirmed_at.borrow().elapsed();
-        (is_isolated && age >= MAX_FRESH_CONFIG_AGE) || self.shared.revocation.is_exceeded_by(age)
+        (is_isolated && age >= MAX_FRESH_CONFIG_AGE)
+            || self.shared.revocation_limit.is_exceeded_by(age)
     }
 
     fn log_authentication(&self, outcome: &'static str, config: &Config, key: Option<&KeyDigest>) {
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -128,7 +128,7 @@
     /// The bounds that the platform guarantees for its workers.
     pub bounds: Bounds,
     /// How long nodes may accept keys while they can't read the configuration.
-    pub revocation: RevocationLimit,
+    pub revocation_limit: RevocationLimit,
     /// The platform interface.
     pub platform: P,
     /// The logger.
@@ -171,7 +171,7 @@
             descriptors,
             started_at: Instant::now(),
             bounds: parts.bounds,
-            revocation: parts.revocation,
+            revocation_limit: parts.revocation_limit,
             platform: parts.platform,
             rpc: client,
             clock: Clock::start(),
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -123,7 +123,7 @@
     /// When this incarnation of the node started.
     pub(crate) started_at: Instant,
     pub(crate) bounds: Bounds,
-    pub(crate) revocation: RevocationLimit,
+    pub(crate) revocation_limit: RevocationLimit,
     pub(crate) platform: P,
     pub(crate) rpc: rpc::Client,
     pub(crate) clock: Clock,
--- a/crates/node/tests/node/support.rs
+++ b/crates/node/tests/node/support.rs
@@ -92,7 +92,7 @@
             descriptors: 4_096,
         },
         bounds: Bounds::default(),
-        revocation: RevocationLimit::default(),
+        revocation_limit: RevocationLimit::default(),
         platform: platform.clone(),
         log: slog::Logger::root(slog::Discard, slog::o!()),
         meter,
