--- a/crates/cell/tests/cell/incarnation.rs
+++ b/crates/cell/tests/cell/incarnation.rs
@@ -202,7 +202,7 @@
         self.advance(MILLISECOND);
     }
 
-    fn started(&mut self, task: TaskId, run: Run, answer: StartAnswer) {
+    fn answer_start(&mut self, task: TaskId, run: Run, answer: StartAnswer) {
         self.engine
             .handle_start_answer(&self.worker, task, run, answer, self.now);
         self.advance(MILLISECOND);
@@ -270,7 +270,7 @@
     let mut harness = Harness::new();
     let tasks = harness.submit(JobId(1), 1);
     harness.restart(&[]);
-    harness.started(tasks[0], Run(1), StartAnswer::Fenced);
+    harness.answer_start(tasks[0], Run(1), StartAnswer::Fenced);
     assert!(!harness.has_lost_ownership);
     // The fence of a later owner shows in the answer to the next heartbeat.
     let heartbeat = harness.heartbeats.pop().unwrap();
@@ -313,8 +313,8 @@
 fn a_run_that_the_next_incarnation_lists_did_not_crash_the_former_one() {
     let mut harness = Harness::new();
     let tasks = harness.submit(JobId(1), 2);
-    harness.started(tasks[0], Run(1), StartAnswer::Started);
-    harness.started(tasks[1], Run(1), StartAnswer::Started);
+    harness.answer_start(tasks[0], Run(1), StartAnswer::Started);
+    harness.answer_start(tasks[1], Run(1), StartAnswer::Started);
     harness.restart(&[(tasks[0], Run(1))]);
     assert_eq!(harness.crash_count(), 1);
     assert_eq!(harness.engine.counts().allocations, 1);
@@ -329,7 +329,7 @@
             _ => vec![harness.starts.last().unwrap().task],
         };
         let run = harness.starts.last().unwrap().run;
-        harness.started(tasks[0], run, StartAnswer::Started);
+        harness.answer_start(tasks[0], run, StartAnswer::Started);
         let heartbeat = harness.heartbeats.pop().unwrap();
         harness.answer_heartbeat(&heartbeat, HeartbeatAnswer::ConnectionLost);
         harness.advance(300 * MILLISECOND);
@@ -354,7 +354,7 @@
     let mut harness = Harness::new();
     let tasks = harness.submit(JobId(1), 1);
     for _ in 0..3 {
-        harness.started(tasks[0], Run(1), StartAnswer::NoAnswer);
+        harness.answer_start(tasks[0], Run(1), StartAnswer::NoAnswer);
     }
     assert_eq!(harness.stops.len(), 1);
     harness.engine.handle_stop_answer(
@@ -418,7 +418,7 @@
     let mut harness = Harness::new();
     let tasks = harness.submit(JobId(1), 1);
     harness.register_leaving(FIRST_INCARNATION, Some(Duration::from_secs(2)));
-    harness.started(tasks[0], Run(1), StartAnswer::NoAnswer);
+    harness.answer_start(tasks[0], Run(1), StartAnswer::NoAnswer);
     assert_eq!((harness.starts.len(), harness.stops.len()), (1, 1));
 }
 
@@ -429,7 +429,7 @@
     let mut harness = Harness::new();
     let tasks = harness.submit(JobId(1), 1);
     harness.register_leaving(FIRST_INCARNATION, Some(Duration::from_secs(2)));
-    harness.started(tasks[0], Run(1), StartAnswer::Started);
+    harness.answer_start(tasks[0], Run(1), StartAnswer::Started);
     let heartbeat = harness.heartbeats.pop().unwrap();
     harness.answer_heartbeat(&heartbeat, HeartbeatAnswer::ConnectionLost);
     harness.advance(300 * MILLISECOND);
@@ -445,7 +445,7 @@
     let tasks = harness.submit(JobId(1), 1);
     let heartbeat = harness.heartbeats.pop().unwrap();
     harness.answer_heartbeat(&heartbeat, HeartbeatAnswer::ConnectionLost);
-    harness.started(tasks[0], Run(1), StartAnswer::NoAnswer);
+    harness.answer_start(tasks[0], Run(1), StartAnswer::NoAnswer);
     assert_eq!(harness.starts.len(), 1);
     harness.advance(200 * MILLISECOND);
     harness.send_inventory(FIRST_INCARNATION, &[]);
