--- a/crates/node/tests/node/main.rs
+++ b/crates/node/tests/node/main.rs
@@ -1,8 +1,8 @@
 //! Tests of whole nodes that talk to each other over loopback and use an in-memory platform.
 
 mod evacuation;
-mod foreign;
 mod history;
+mod invalid_records;
 mod platform;
 mod read_progress;
 mod record;
