--- a/crates/cell/src/engine/order.rs
+++ b/crates/cell/src/engine/order.rs
@@ -240,7 +240,7 @@
     /// meantime.
     ///
     /// While the record waited for the store, a ticket may have expired: the worker would reject the order, and the
-    /// members of a gang that did start would wait for the others in vain. Likewise the worker's capacity may have
+    /// members of a gang that did start would wait for the others indefinitely. Likewise the worker's capacity may have
     /// become unknown, the worker may have announced that it leaves, or its data centre may have been evacuated.
     pub(super) fn send_starts(&mut self, starts: Vec<(Slot, TaskId, Run)>, now: Timestamp) {
         let starts = self.hold_announced_starts(starts);
--- a/crates/cell/src/engine/place.rs
+++ b/crates/cell/src/engine/place.rs
@@ -296,7 +296,7 @@
         }
     }
 
-    /// Starts missing members of a gang on other workers, or stops the members that wait for them in vain.
+    /// Starts missing members of a gang on other workers, or stops the members that would wait for them indefinitely.
     fn repair_gang(&mut self, id: StepId, reserved: &Reservations, now: Timestamp) -> bool {
         let Some(stage) = self.jobs.get(&id.job).and_then(|job| job.stage(id)) else {
             return true;
--- a/crates/cell/src/engine/recording.rs
+++ b/crates/cell/src/engine/recording.rs
@@ -52,7 +52,7 @@
 pub(super) struct RecordQueue {
     jobs: BTreeSet<JobId>,
     workers: BTreeSet<Slot>,
-    /// Workers that are gone for good and whose runs are to be removed from the store.
+    /// Workers that are permanently gone and whose runs are to be removed from the store.
     gone: BTreeSet<WorkerId>,
     /// The serial number of the last end that was handled, by worker.
     ends: BTreeMap<Slot, u64>,
--- a/crates/cell/tests/cell/incarnation.rs
+++ b/crates/cell/tests/cell/incarnation.rs
@@ -266,7 +266,7 @@
 }
 
 #[test]
-fn an_order_refused_for_the_raised_fence_doesn_t_depose_the_owner() {
+fn an_order_refused_for_the_raised_fence_doesn_t_end_the_ownership() {
     let mut harness = Harness::new();
     let tasks = harness.submit(JobId(1), 1);
     harness.restart(&[]);
--- a/crates/cell/tests/cell/order.rs
+++ b/crates/cell/tests/cell/order.rs
@@ -161,7 +161,7 @@
     assert_eq!(world.violations, Vec::<String>::new());
 }
 
-/// Guards against a long-running task that ranks behind all other jobs for good because it is late.
+/// Guards against a long-running task that permanently ranks behind all other jobs because it is late.
 #[test]
 fn a_long_running_task_starts_however_late_it_is() {
     let mut world = World::new(5, Faults::default());
--- a/crates/cell/tests/cell/throttling.rs
+++ b/crates/cell/tests/cell/throttling.rs
@@ -233,7 +233,7 @@
     assert!(rises.is_sorted());
 }
 
-/// Guards against a throttle order that is lost for good if its answer never comes.
+/// Guards against a throttle order that is never sent again if its answer never comes.
 #[test]
 fn an_unanswered_throttle_order_is_sent_again() {
     let mut cell = Cell::new(1);
--- a/crates/cell/tests/cell/world/mod.rs
+++ b/crates/cell/tests/cell/world/mod.rs
@@ -864,7 +864,9 @@
             }
             // No history has best-effort tasks, so there is nothing to throttle.
             Effect::Throttle(_) | Effect::Log(_) => {}
-            Effect::OwnershipLost => self.violations.push("the owner was deposed".to_owned()),
+            Effect::OwnershipLost => self
+                .violations
+                .push("the owner lost the ownership".to_owned()),
         }
     }
 
--- a/crates/node/src/owner/jobs.rs
+++ b/crates/node/src/owner/jobs.rs
@@ -83,7 +83,7 @@
 /// instead, since what is known of it is never younger than one read.
 const MAX_READ_AGE_IN_READS: u32 = 2;
 /// How often partitions are read again at most. Where a third of all answers is lost, the slowest
-/// of 16 takes more than a second each time, and a cell without an owner serves nobody. A
+/// of 16 takes more than a second each time, and a cell is unavailable without an owner. A
 /// cancellation whose notification is lost as well then takes effect some seconds later.
 const MAX_REREADS: u32 = 2;
 
